--- a/tests/test_tier_model.py
+++ b/tests/test_tier_model.py
@@ -13,7 +13,16 @@
 import msgspec
 import pytest
 
-from sailhitch.model.story import Event, Story, broken, draw, play, shrink, tell
+from sailhitch.model.story import (
+    Event,
+    Story,
+    broken,
+    draw,
+    draw_with_death,
+    play,
+    shrink,
+    tell,
+)
 from sailhitch.model.tier import TierProcess, World
 from sailhitch.tier.content_exchange import ContentExchange
 from sailhitch.tier.content_store import ContentStore, root_of
@@ -44,6 +53,11 @@
     assert broken(draw(100_328)) is None
 
 
+@pytest.mark.parametrize("seed", [401296, 401720])
+def test_a_change_ends_after_its_proposer_died(seed: int) -> None:
+    assert broken(draw_with_death(seed)) is None
+
+
 def test_a_slow_switch_alone_breaks_nothing(monkeypatch: Patch) -> None:
     monkeypatch.setattr("sailhitch.model.tier.SWITCH", SLOW)
     assert [seed for seed in range(15) if broken(draw(seed))] == []
