--- a/benchmarks/apply.py
+++ b/benchmarks/apply.py
@@ -37,10 +37,13 @@
 def listed(count: int, weight: float) -> list[dict[str, Any]]:
     """Nodes that nobody is at; every tenth has this weight."""
     return [
-        part(f"x{i}", f"127.{1 + i // 60_000}.{i // 250 % 250}.{1 + i % 250}:9000",
-             weight=weight if i % 10 == 0 else 1.0)
+        part(
+            f"x{i}",
+            f"127.{1 + i // 60_000}.{i // 250 % 250}.{1 + i % 250}:9000",
+            weight=weight if i % 10 == 0 else 1.0,
+        )
         for i in range(count)
-    ]  # fmt: skip
+    ]
 
 
 def memory_of(pid: int) -> float:
@@ -72,10 +75,15 @@
         done = time.perf_counter()
         assert answer["ok"], answer
         return {
-            "start_s": up - started, "read_s": read - up, "state_s": asked - read,
-            "plan_s": planned - asked, "apply_s": done - planned, "plan_kb": len(plan) / 1e3,
-            "memory_mb": before, "memory_after_mb": memory_of(daemon.program.pid),
-        }  # fmt: skip
+            "start_s": up - started,
+            "read_s": read - up,
+            "state_s": asked - read,
+            "plan_s": planned - asked,
+            "apply_s": done - planned,
+            "plan_kb": len(plan) / 1e3,
+            "memory_mb": before,
+            "memory_after_mb": memory_of(daemon.program.pid),
+        }
     finally:
         await daemon.stop()
 
@@ -109,9 +117,12 @@
                     count += 1
             await load.finish()
         return {
-            "p50_ms": load.quantile(0.5) * 1e3, "p99_ms": load.quantile(0.99) * 1e3,
-            "served": load.ends["served"], "asked": load.asked, "applies": count,
-        }  # fmt: skip
+            "p50_ms": load.quantile(0.5) * 1e3,
+            "p99_ms": load.quantile(0.99) * 1e3,
+            "served": load.ends["served"],
+            "asked": load.asked,
+            "applies": count,
+        }
     finally:
         await daemon.stop()
         for node in nodes:
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -110,13 +110,17 @@
                     took = time.perf_counter() - begin
                     over.set()
                     await short
-                    rows.append({
-                        "flows": count, "size_mb": size // MB, "seconds": round(took, 2),
-                        "mb_per_s": round(2 * count * size / MB / took),
-                        "peak_mb": round(memory_of(program.pid), 1),
-                        "short_p50_ms": round(1000 * statistics.median(times), 1),
-                        "short_p99_ms": round(1000 * _p99(times), 1),
-                    })  # fmt: skip
+                    rows.append(
+                        {
+                            "flows": count,
+                            "size_mb": size // MB,
+                            "seconds": round(took, 2),
+                            "mb_per_s": round(2 * count * size / MB / took),
+                            "peak_mb": round(memory_of(program.pid), 1),
+                            "short_p50_ms": round(1000 * statistics.median(times), 1),
+                            "short_p99_ms": round(1000 * _p99(times), 1),
+                        }
+                    )
     return rows
 
 
@@ -172,13 +176,17 @@
             await asyncio.gather(*tasks)
             names = [m.split(b"Req-Id: ")[1].split(b"\r")[0] for m in a.seen + b.seen]
             return {
-                "upgrades": count, "requests": asked, "doubled": len(names) - len(set(names)),
-                "lost": asked - len(set(names)), "to_the_host_out": len(banned.seen) - before,
-                "ready_s": round(statistics.median(ready), 2), "ready_most_s": round(max(ready), 2),
+                "upgrades": count,
+                "requests": asked,
+                "doubled": len(names) - len(set(names)),
+                "lost": asked - len(set(names)),
+                "to_the_host_out": len(banned.seen) - before,
+                "ready_s": round(statistics.median(ready), 2),
+                "ready_most_s": round(max(ready), 2),
                 "call_most_ms": round(1000 * max(calls), 1),
                 "p99_ms_between": round(1000 * _p99(times[False]), 1),
                 "p99_ms_during": round(1000 * _p99(times[True]), 1),
-            }  # fmt: skip
+            }
 
 
 def main() -> int:
--- a/benchmarks/front_door.py
+++ b/benchmarks/front_door.py
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from sailhitch.front import ConnectionAdmission, Sizes  # noqa: E402
+from sailhitch.front import ConnectionAdmission, ConnectionBudget  # noqa: E402
 from sailhitch.lab.crowd import Crowd, Front, Tally  # noqa: E402
 from sailhitch.lab.message import platform  # noqa: E402
 from sailhitch.lab.node import Node  # noqa: E402
@@ -103,36 +103,39 @@
         await crowd.honest(front, honest, RATE, int(RATE * SECONDS))
         used, took = cpu_of(program.pid) - before, time.monotonic() - started
         return {
-            "share": honest.share, "crowd": other.share if other.asked else None,
-            "ends": dict(honest.ends), "twice": honest.twice,
-            "cpu": used / took, "cpu_us_a_request": used / max(1, honest.ends["served"]) * 1e6,
-        }  # fmt: skip
+            "share": honest.share,
+            "crowd": other.share if other.asked else None,
+            "ends": dict(honest.ends),
+            "twice": honest.twice,
+            "cpu": used / took,
+            "cpu_us_a_request": used / max(1, honest.ends["served"]) * 1e6,
+        }
 
 
 def event_cost(count: int = 200_000) -> float:
     """Microseconds of admission control per request on a kept connection."""
-    admission = ConnectionAdmission(Sizes(220, 85), 0)
-    slots = [admission.opened(0, "10.0.0.1") for _ in range(40)]
+    admission = ConnectionAdmission(ConnectionBudget(220, 85), 0)
+    slots = [admission.on_opened(0, "10.0.0.1") for _ in range(40)]
     started = time.perf_counter()
     for i in range(count):
         slot = slots[i % 40]
-        admission.taken(slot, i * 100, "1")
-        admission.keeps(slot, i * 100)
-        admission.answered(slot, i * 100)
+        admission.on_request(slot, i * 100, "1")
+        admission.is_retained(slot, i * 100)
+        admission.on_response(slot, i * 100)
     return (time.perf_counter() - started) / count * 1e6
 
 
 def sense_cost(held: int, count: int = 300) -> float:
     """Microseconds of a look at all that is held, under pressure."""
-    admission = ConnectionAdmission(Sizes(held + 100, held), 0)
+    admission = ConnectionAdmission(ConnectionBudget(held + 100, held), 0)
     for i in range(held):
-        slot = admission.opened(i, f"10.0.{i % 7}.1")
-        admission.taken(slot, i, str(i % 7))
-        admission.answered(slot, i)
+        slot = admission.on_opened(i, f"10.0.{i % 7}.1")
+        admission.on_request(slot, i, str(i % 7))
+        admission.on_response(slot, i)
     started = time.perf_counter()
     for i in range(count):
-        admission.sense(i * 25_000, 50, 0.1)
-        admission.trim(i * 25_000)
+        admission.update_pressure(i * 25_000, 50, 0.1)
+        admission.low_value_slots(i * 25_000)
     return (time.perf_counter() - started) / count * 1e6
 
 
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -138,9 +138,13 @@
         bare_us, bare_rate = await measure(bare.pid, bare_addr, seconds)
         us, rate = await measure(gateway.pid, addr, seconds)
         return {
-            "ratio": us / bare_us, "us": us, "bare_us": bare_us, "rate": rate,
-            "bare_rate": bare_rate, "memory_mb": memory_of(gateway.pid),
-        }  # fmt: skip
+            "ratio": us / bare_us,
+            "us": us,
+            "bare_us": bare_us,
+            "rate": rate,
+            "bare_rate": bare_rate,
+            "memory_mb": memory_of(gateway.pid),
+        }
 
 
 async def run(tree: Path, seconds: float, rounds: int) -> list[dict[str, float]]:
--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -17,8 +17,14 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from sailhitch.interface import OK, READY, RESTORED, Listed, Report
 from sailhitch.policy import Gateway
+from sailhitch.policy_interface import (
+    AttemptOutcome,
+    Endpoint,
+    EndpointState,
+    LoadReport,
+    WatchEventKind,
+)
 from sailhitch.reach import Reach
 from sailhitch.settings import parse_settings
 
@@ -29,17 +35,24 @@
     "granularity": 1000,
     "classes": [
         {
-            "name": "page", "importance": 1.0, "goalTime": 1_000_000, "deadline": 3_000_000,
+            "name": "page",
+            "importance": 1.0,
+            "goalTime": 1_000_000,
+            "deadline": 3_000_000,
             "repeat": "pure",
         }
     ],
     "limits": {"attemptsCap": 3},
     "rules": {
-        "graceToAnswer": 20_000, "drainGrace": 1_000_000, "coldShare": 0.3, "cold": 5_000_000,
-        "fallMultiple": 3.0, "overloadFor": 2_000_000,
+        "graceToAnswer": 20_000,
+        "drainGrace": 1_000_000,
+        "coldShare": 0.3,
+        "cold": 5_000_000,
+        "fallMultiple": 3.0,
+        "overloadFor": 2_000_000,
     },
     "discovery": "automatic",
-}  # fmt: skip
+}
 
 
 @dataclass(eq=False)
@@ -73,7 +86,7 @@
 
 def cover(reaches: list[Reach[Spot]]) -> Counter[int]:
     """In whose reach each server is, by its hash."""
-    return Counter(s.hash for one in reaches for part in one.near for s in part)
+    return Counter(s.hash for one in reaches for part in one.subset for s in part)
 
 
 def sharing(gateways: int, servers: int) -> dict[str, float]:
@@ -85,7 +98,7 @@
     def tell() -> None:
         for one in reaches:
             one.sort(there, [])
-            one.look(0)
+            one.select(0)
 
     tell()
     counts = cover(reaches)
@@ -99,9 +112,11 @@
         tell()
         due += cover(reaches)[there[-1].hash]
     return {
-        "least": min(counts[s] for s in counts), "mean": sum(counts.values()) / servers,
-        "most": max(counts.values()), "changes_by_due": sum(r.changes for r in reaches) / due,
-    }  # fmt: skip
+        "least": min(counts[s] for s in counts),
+        "mean": sum(counts.values()) / servers,
+        "most": max(counts.values()),
+        "changes_by_due": sum(r.changes for r in reaches) / due,
+    }
 
 
 def cost(gateways: int, servers: int, numbered: bool, count: int = 4000) -> float:
@@ -114,13 +129,19 @@
         now = 100_000_000
         gateway.start(now)
         names = [f"10.0.{i // 250}.{i % 250}:80" for i in range(servers)]
-        gateway.members(now, RESTORED, [Listed(n, 1.0, 0, 0, READY, 0, 0) for n in names])
+        gateway.on_watch_event(
+            now,
+            WatchEventKind.RESTORED,
+            [Endpoint(n, 1.0, 0, 0, EndpointState.READY, 0, 0) for n in names],
+        )
         begun = time.process_time()
         for req in range(count):
             now += int(1e6 / RATE)
             gateway.request(now, req, 0, now + 3_000_000, 0, None, 0)
-            report = Report(0.0, 40_000.0)
-            gateway.outcome(now + 50_000, req, 0, OK, True, 50_000, port.server, report)
+            report = LoadReport(0.0, 40_000.0)
+            gateway.outcome(
+                now + 50_000, req, 0, AttemptOutcome.OK, True, 50_000, port.server, report
+            )
         best = min(best, (time.process_time() - begun) / count * 1e6)
     return best
 
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -18,26 +18,26 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from sailhitch.daemon.routes import Asked, Match, Route, Routes, tied
+from sailhitch.daemon.routes import Match, Route, RouteQuery, Routes, tied
 
 SIZES = (10, 1_000, 10_000)
 LOOKUPS = 20_000
 
 
-def by_path(i: int) -> tuple[Match, Asked]:
-    return Match(path_prefix=f"/a/r{i}"), Asked("GET", f"/a/r{i}/claims/7", "h.example.org")
+def by_path(i: int) -> tuple[Match, RouteQuery]:
+    return Match(path_prefix=f"/a/r{i}"), RouteQuery("GET", f"/a/r{i}/claims/7", "h.example.org")
 
 
-def by_host(i: int) -> tuple[Match, Asked]:
-    return Match(host=f"h{i}.example.org"), Asked("GET", "/claims/7", f"h{i}.example.org")
+def by_host(i: int) -> tuple[Match, RouteQuery]:
+    return Match(host=f"h{i}.example.org"), RouteQuery("GET", "/claims/7", f"h{i}.example.org")
 
 
-def by_header(i: int) -> tuple[Match, Asked]:
+def by_header(i: int) -> tuple[Match, RouteQuery]:
     match = Match(path_prefix="/a", header=(("x-region", str(i)),))
-    return match, Asked("GET", "/a/claims/7", "h.example.org", {"x-region": str(i)})
+    return match, RouteQuery("GET", "/a/claims/7", "h.example.org", {"x-region": str(i)})
 
 
-def measure(make: Callable[[int], tuple[Match, Asked]], size: int) -> dict[str, float]:
+def measure(make: Callable[[int], tuple[Match, RouteQuery]], size: int) -> dict[str, float]:
     pairs = [make(i) for i in range(size)]
     routes = [Route(f"r{i}", match, "c", (("p", 1.0),)) for i, (match, _) in enumerate(pairs)]
     started = time.perf_counter()
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -43,14 +43,26 @@
         finally:
             await fleet.stop()
     return {
-        "experiment": name, "members": size.members, "daemons": size.daemons,
-        "voters": size.voters, "voters_are": size.voters_are, "fraction": size.fraction,
-        "lease_s": size.lease, "cold": size.cold, "loss": options.loss, "dead": options.dead,
-        "seconds": options.seconds, "state_bytes": len(fleet.content),
-        "processes": size.processes(), "started_after": round(started, 2),
-        "took": round(now() - begun, 1), "at": int(time.time()), **report.commit(),
-        "machine": report.machine(), "figures": found,
-    }  # fmt: skip
+        "experiment": name,
+        "members": size.members,
+        "daemons": size.daemons,
+        "voters": size.voters,
+        "voters_are": size.voters_are,
+        "fraction": size.fraction,
+        "lease_s": size.lease,
+        "cold": size.cold,
+        "loss": options.loss,
+        "dead": options.dead,
+        "seconds": options.seconds,
+        "state_bytes": len(fleet.content),
+        "processes": size.processes(),
+        "started_after": round(started, 2),
+        "took": round(now() - begun, 1),
+        "at": int(time.time()),
+        **report.commit(),
+        "machine": report.machine(),
+        "figures": found,
+    }
 
 
 async def run(name: str, size: Size, options: Options, say: Callable[[str], None]) -> Any:
@@ -68,9 +80,10 @@
 def _parser() -> argparse.ArgumentParser:
     names = "\n".join(f"  {name:<9} {text}" for name, text in described())
     parser = argparse.ArgumentParser(
-        prog="python -m benchmarks.scale", description=f"Experiments:\n{names}",
+        prog="python -m benchmarks.scale",
+        description=f"Experiments:\n{names}",
         formatter_class=argparse.RawDescriptionHelpFormatter,
-    )  # fmt: skip
+    )
     parser.add_argument("name", choices=[*EXPERIMENTS, "report"])
     parser.add_argument("files", nargs="*", metavar="FILE", help="results, for `report`")
     parser.add_argument("--members", default="100", help="such as 100 or 100,400")
--- a/benchmarks/scale/budgets.py
+++ b/benchmarks/scale/budgets.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 from typing import Final
 
-from sailhitch.daemon.live import MAX_OPEN
 from sailhitch.daemon.schema import MOST_MEMBERS
-from sailhitch.daemon.store import KEPT
-from sailhitch.tier.member import POLLS
+from sailhitch.daemon.state_applier import MAX_OPEN
+from sailhitch.daemon.store import MAX_STATES
+from sailhitch.tier.member import RENEWALS_PER_LEASE
 
 from .measurement import MEMBERS
 from .slopes import readable
@@ -90,8 +90,12 @@
 def change_processor_seconds(figures: Figures) -> float:
     """What one weight costs a gateway that hears of it: fetch, read, compare, switch, keep."""
     parts = (
-        "fetch.fetch_s", "fetch.read_s", "compare.equal_s", "fetch.tier_disk_s", "switch.switch_s"
-    )  # fmt: skip
+        "fetch.fetch_s",
+        "fetch.read_s",
+        "compare.equal_s",
+        "fetch.tier_disk_s",
+        "switch.switch_s",
+    )
     return sum(figures[part] for part in parts)
 
 
@@ -126,35 +130,51 @@
     modules = POOLS * figures["module_tenants.pool_memory_bytes"]
     return [
         Verdict(
-            "gateway: processor for control, mean of a day", CORE_SHARE,
-            CHANGES * change / DAY + gossip, "of a core",
+            "gateway: processor for control, mean of a day",
+            CORE_SHARE,
+            CHANGES * change / DAY + gossip,
+            "of a core",
             f"{CHANGES} changes of {change:.2f} s, and gossip {gossip:.2%}, busy {busy:.0%} "
             "of the day",
         ),
         Verdict(
-            "gateway: processor, worst second", CORE_SHARE, min(1.0, change), "of a core",
+            "gateway: processor, worst second",
+            CORE_SHARE,
+            min(1.0, change),
+            "of a core",
             f"a change takes {change:.2f} s on end",
         ),
         Verdict(
-            "gateway: bytes sent and received, mean of a day", BYTES_A_SECOND,
-            gossip_bytes + fetched, "B/s",
+            "gateway: bytes sent and received, mean of a day",
+            BYTES_A_SECOND,
+            gossip_bytes + fetched,
+            "B/s",
             f"gossip {readable(gossip_bytes, 'B/s')}, busy {busy:.0%} of the day; fetches "
             f"{readable(fetched, 'B/s')}",
         ),
         Verdict(
-            "gateway: bytes sent and received, worst second", BYTES_A_SECOND, most + fetch, "B/s",
+            "gateway: bytes sent and received, worst second",
+            BYTES_A_SECOND,
+            most + fetch,
+            "B/s",
             "gossip at its full rate, and a whole version fetched and passed on in that second",
         ),
         Verdict(
-            "gateway: memory", MEMORY, memory, "B",
+            "gateway: memory",
+            MEMORY,
+            memory,
+            "B",
             f"two states and the switch's tables; of that {readable(modules, 'B')} in tenants of "
             f"{POOLS} modules",
         ),
         Verdict(
-            "gateway: disk of kept states", float("inf"), KEPT * figures["keep.store_bytes"], "B",
-            f"{KEPT} kept states, each by what one more takes",
+            "gateway: disk of kept states",
+            float("inf"),
+            MAX_STATES * figures["keep.store_bytes"],
+            "B",
+            f"{MAX_STATES} kept states, each by what one more takes",
         ),
-    ]  # fmt: skip
+    ]
 
 
 def _requests(figures: Figures) -> list[Verdict]:
@@ -163,45 +183,59 @@
     in_force = figures["play.in_force_s"] + change_processor_seconds(figures)
     return [
         Verdict(
-            "requests: part of the time that adds over 4 ms", STALLED_SHARE,
-            CHANGES * stalled / DAY, "of the time",
+            "requests: part of the time that adds over 4 ms",
+            STALLED_SHARE,
+            CHANGES * stalled / DAY,
+            "of the time",
             f"a change holds the loop up for {stalled:.1f} s of wall time, {longest:.1f} s on end; "
             f"by processor time the loop alone works {on_loop:.1f} s",
         ),
         Verdict(
-            "one weight in force everywhere", IN_FORCE, in_force, "s",
+            "one weight in force everywhere",
+            IN_FORCE,
+            in_force,
+            "s",
             "the tier's rounds, then fetch, read and switch, none beside another",
         ),
+        Verdict("members of a tier", MOST_MEMBERS, MEMBERS, "gateways", "the schema's bound"),
         Verdict(
-            "members of a tier", MOST_MEMBERS, MEMBERS, "gateways", "the schema's bound"
-        ),
-        Verdict(
-            "hosts that a gateway is connected to", MAX_OPEN,
-            figures["connections.gateway_hosts"], "hosts",
+            "hosts that a gateway is connected to",
+            MAX_OPEN,
+            figures["connections.gateway_hosts"],
+            "hosts",
             "the default of `gateway.sockets`, 1024, is less",
         ),
-    ]  # fmt: skip
+    ]
 
 
 def _control(figures: Figures) -> list[Verdict]:
-    asked = MEMBERS * POLLS * 1e6 / LEASE
+    asked = MEMBERS * RENEWALS_PER_LEASE * 1e6 / LEASE
     answer = figures["rounds.open_us"] + figures["rounds.poll_us"] + figures["rounds.seal_us"]
     resting = BEATS * figures["rounds.voter_tick_us"] / 1e6
     pending = BEATS * figures["pending.voter_pending_tick_ms"] / 1e3
     return [
         Verdict(
-            "voter: lease questions", ONE_CORE, asked * answer / 1e6, "of a core",
+            "voter: lease questions",
+            ONE_CORE,
+            asked * answer / 1e6,
+            "of a core",
             f"{asked:.0f} a second, each {answer:.0f} us",
         ),
         Verdict(
-            "voter: beats at rest", ONE_CORE, resting, "of a core",
+            "voter: beats at rest",
+            ONE_CORE,
+            resting,
+            "of a core",
             f"{BEATS} a second, each looks at all {MEMBERS} leases",
         ),
         Verdict(
-            "voter: beats while a change waits for members", ONE_CORE, pending, "of a core",
+            "voter: beats while a change waits for members",
+            ONE_CORE,
+            pending,
+            "of a core",
             f"{BEATS} a second, each looks for whom it waits",
         ),
-    ]  # fmt: skip
+    ]
 
 
 def table(found: Sequence[Verdict]) -> str:
--- a/benchmarks/scale/changes.py
+++ b/benchmarks/scale/changes.py
@@ -1,5 +1,7 @@
-"""Changes of the state, as an operator makes them: prepared beforehand, so that a command's time is
-the tier's alone."""
+"""Changes of the state, as an operator makes them.
+
+They are prepared beforehand, so that a command's time is the tier's alone.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/scale/experiments.py
+++ b/benchmarks/scale/experiments.py
@@ -87,8 +87,11 @@
 async def in_force(fleet: Fleet, serial: int, since: float, within: float) -> dict[str, Any]:
     """How long it took from a command until its serial was in force everywhere."""
     times, behind = await fleet.everywhere(serial, within)
-    return {"serial": serial, "in_force": spread([at - since for at in times]),
-            "behind": len(behind)}  # fmt: skip
+    return {
+        "serial": serial,
+        "in_force": spread([at - since for at in times]),
+        "behind": len(behind),
+    }
 
 
 # --- The experiments
@@ -192,7 +195,6 @@
 
 async def regions(fleet: Fleet, options: Options) -> dict[str, Any]:
     """Two regions don't reach each other for `seconds` (for an hour that is), and do again."""
-
     prepared = await changes.prepare(fleet, changes.WEIGHT)
 
     async def parted() -> dict[str, Any]:
@@ -281,9 +283,16 @@
 
 Experiment = Callable[[Fleet, Options], Awaitable[dict[str, Any]]]
 EXPERIMENTS: Final[dict[str, Experiment]] = {
-    "idle": idle, "change": change, "burst": burst, "restart": restart, "rack": rack,
-    "zone": zone, "regions": regions, "start": start, "newcomer": newcomer,
-}  # fmt: skip
+    "idle": idle,
+    "change": change,
+    "burst": burst,
+    "restart": restart,
+    "rack": rack,
+    "zone": zone,
+    "regions": regions,
+    "start": start,
+    "newcomer": newcomer,
+}
 
 
 def described() -> Iterable[tuple[str, str]]:
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -180,9 +180,10 @@
     if not values:
         return {"count": 0, "median": None, "worst": None}
     return {
-        "count": len(values), "median": round(statistics.median(values), 3),
+        "count": len(values),
+        "median": round(statistics.median(values), 3),
         "worst": round(max(values), 3),
-    }  # fmt: skip
+    }
 
 
 def now() -> float:
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -65,9 +65,12 @@
         return line
     curve = lower_constant + lower_slope * x + quadratic * x * x
     return Fit(
-        float(lower_constant), float(lower_slope), float(quadratic), _residual(y, curve),
+        float(lower_constant),
+        float(lower_slope),
+        float(quadratic),
+        _residual(y, curve),
         line_residual,
-    )  # fmt: skip
+    )
 
 
 def _check(sizes: Sequence[float], values: Sequence[float]) -> None:
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -195,11 +195,20 @@
         lease = int(self.size.lease * 1e6) or None
         plan = self.folder / f"host-{number}.json"
         members = [[name, *address] for name, address in self.addresses.items()]
-        plan.write_text(json.dumps({
-            "members": members, "voters": self.voters, "real": self.real, "mine": mine,
-            "key_file": str(keys), "founding": str(founding), "lease": lease,
-            "seeded": not self.size.cold,
-        }))  # fmt: skip
+        plan.write_text(
+            json.dumps(
+                {
+                    "members": members,
+                    "voters": self.voters,
+                    "real": self.real,
+                    "mine": mine,
+                    "key_file": str(keys),
+                    "founding": str(founding),
+                    "lease": lease,
+                    "seeded": not self.size.cold,
+                }
+            )
+        )
         return HostProcess(plan, self.folder / f"host-{number}.log")
 
     def _daemon(self, number: int, name: str, keys: Path) -> RealDaemon:
@@ -351,12 +360,17 @@
                 sizes[tuple(key)] += size
         drops, real = figures.system_drops(self.port), {self.addresses[n][0] for n in self.real}
         return figures.Look(
-            at, daemons, host_cpu, sum(figures.memory_kb(host.pid) for host in self.hosts),
-            datagrams, sizes, kept,
+            at,
+            daemons,
+            host_cpu,
+            sum(figures.memory_kb(host.pid) for host in self.hosts),
+            datagrams,
+            sizes,
+            kept,
             {k: max(one[k] for one in told) for k in ("late_median", "late_p99", "late_worst")},
             {address: count for address, count in drops.items() if address not in real},
             {address: count for address, count in drops.items() if address in real},
-        )  # fmt: skip
+        )
 
     async def _costs(self, last: bool = False) -> dict[str, figures.Cost]:
         """What daemons have used; what asking them costs falls outside of two looks."""
--- a/benchmarks/scale/full_state.py
+++ b/benchmarks/scale/full_state.py
@@ -30,27 +30,56 @@
 
 _REGION_NAMES: Final = ("west", "central", "east", "north", "south")
 _SERVICE_NAMES: Final = (
-    "claims", "orders", "billing", "search", "catalog", "identity", "payouts", "reports",
-    "uploads", "messages", "quotes", "ledger", "notices", "profiles",
-)  # fmt: skip
+    "claims",
+    "orders",
+    "billing",
+    "search",
+    "catalog",
+    "identity",
+    "payouts",
+    "reports",
+    "uploads",
+    "messages",
+    "quotes",
+    "ledger",
+    "notices",
+    "profiles",
+)
 _RESOURCES: Final = (
-    "items", "accounts", "documents", "events", "history", "statements", "contacts", "settings",
-)  # fmt: skip
+    "items",
+    "accounts",
+    "documents",
+    "events",
+    "history",
+    "statements",
+    "contacts",
+    "settings",
+)
 _TENANT_NAMES: Final = ("grain", "cotton", "timber", "freight", "marine", "dairy", "textile")
 _CLASSES: Final[tuple[dict[str, Any], ...]] = (
     {"name": "page", "effect": "safe", "aim": "1s", "deadline": "3s"},
     {"name": "search", "effect": "safe", "aim": "500ms", "deadline": "2s"},
     {
-        "name": "filing", "effect": "keyed", "aim": "2s", "deadline": "4s", "worth": 2.0,
-        "dedup": "pool", "window": "60s",
+        "name": "filing",
+        "effect": "keyed",
+        "aim": "2s",
+        "deadline": "4s",
+        "worth": 2.0,
+        "dedup": "pool",
+        "window": "60s",
     },
     {
-        "name": "upload", "effect": "keyed", "aim": "4s", "deadline": "10s", "worth": 2.0,
-        "dedup": "zone", "window": "30s",
+        "name": "upload",
+        "effect": "keyed",
+        "aim": "4s",
+        "deadline": "10s",
+        "worth": 2.0,
+        "dedup": "zone",
+        "window": "30s",
     },
     {"name": "payout", "effect": "unsafe", "aim": "2500ms", "deadline": "5s", "worth": 3.0},
     {"name": "report", "aim": "5s", "deadline": "30s", "worth": 0.5},
-)  # fmt: skip
+)
 # The class and methods of each of a service's routes, in turns.
 _ROUTE_KINDS: Final[tuple[tuple[str, tuple[str, ...]], ...]] = (
     ("page", ("GET", "HEAD")),
@@ -165,12 +194,14 @@
     for i in range(hosts):
         pool = pools[i % len(pools)]
         number = i // len(pools)
-        pool["nodes"].append({
-            "id": f"{pool['name']}-{number:04d}",
-            "address": _host_address(i),
-            "zone": zone_names[number % len(zone_names)],
-            "weight": 2.0 if number % 5 == 4 else 1.0,
-        })  # fmt: skip
+        pool["nodes"].append(
+            {
+                "id": f"{pool['name']}-{number:04d}",
+                "address": _host_address(i),
+                "zone": zone_names[number % len(zone_names)],
+                "weight": 2.0 if number % 5 == 4 else 1.0,
+            }
+        )
     return pools
 
 
@@ -200,8 +231,12 @@
         pools = {service: 1.0}
         if i % SPLIT_ROUTE_EVERY == SPLIT_ROUTE_EVERY - 1 and len(services) > 1:
             pools = {service: 0.95, services[(i + 1) % len(services)]: 0.05}
-        routes.append({
-            "name": f"{service}-{resource}-{number:03d}", "match": match, "class": cls,
-            "pools": pools,
-        })  # fmt: skip
+        routes.append(
+            {
+                "name": f"{service}-{resource}-{number:03d}",
+                "match": match,
+                "class": cls,
+                "pools": pools,
+            }
+        )
     return routes
--- a/benchmarks/scale/gateway_slopes.py
+++ b/benchmarks/scale/gateway_slopes.py
@@ -1,7 +1,7 @@
 """What the switch to another state costs a gateway, and what its hosts and operators see of it.
 
-The switch is the daemon's own (`sailhitch.daemon.live`), in this process and with no clients. The
-operator's commands are asked of a real daemon, each in a process of its own.
+The switch is the daemon's own (`sailhitch.daemon.state_applier`), in this process and with no
+clients. The operator's commands are asked of a real daemon, each in a process of its own.
 """
 
 from __future__ import annotations
@@ -18,15 +18,19 @@
 from pathlib import Path
 from typing import Any, Final
 
-from sailhitch.core.core import Core
+from sailhitch.core.core import GatewayCore
 from sailhitch.core.log import Log
-from sailhitch.daemon.live import Decided, Live, bounds
 from sailhitch.daemon.schema import GatewayPart, OperatorFile, parse_value
 from sailhitch.daemon.state import State, canonical
+from sailhitch.daemon.state_applier import StateApplier, StateChange, resource_limits
 from sailhitch.daemon.store import Store
-from sailhitch.interface import READY, RESTORED, Listed
 from sailhitch.lab.ports import free_port
 from sailhitch.policy import Gateway
+from sailhitch.policy_interface import (
+    Endpoint,
+    EndpointState,
+    WatchEventKind,
+)
 from sailhitch.reach import Reach
 from sailhitch.settings import Settings, Tenant
 
@@ -65,23 +69,25 @@
     return _with_live(fraction, _switch)
 
 
-async def _switch(live: Live, folder: Path, fraction: float) -> dict[str, float]:
+async def _switch(live: StateApplier, folder: Path, fraction: float) -> dict[str, float]:
     path = written_state(fraction, folder)
     before = resident_bytes()
     state: State = json.loads(path.read_bytes())
     begun = time.process_time()
-    await live.change(Decided(state, "bench", 1, dict.fromkeys(state["nodes"], 0)))
+    await live.change(StateChange(state, "bench", 1, dict.fromkeys(state["nodes"], 0)))
     first_s = time.process_time() - begun
     held = resident_bytes() - before
     changed = one_weight_changed(state)  # shares its objects, as a version that is read does
     begun, on_loop = time.process_time(), time.thread_time()
-    await live.change(Decided(changed, "bench", 2))
+    await live.change(StateChange(changed, "bench", 2))
     return {
-        "first_switch_s": first_s, "first_memory_bytes": held,
-        "switch_s": time.process_time() - begun, "loop_s": time.thread_time() - on_loop,
+        "first_switch_s": first_s,
+        "first_memory_bytes": held,
+        "switch_s": time.process_time() - begun,
+        "loop_s": time.thread_time() - on_loop,
         "peak_memory_bytes": resident_bytes("VmHWM") - before,
         "after_memory_bytes": resident_bytes() - before,
-    }  # fmt: skip
+    }
 
 
 def stall(fraction: float) -> dict[str, float]:
@@ -89,14 +95,14 @@
     return _with_live(fraction, _stall)
 
 
-async def _stall(live: Live, folder: Path, fraction: float) -> dict[str, float]:
+async def _stall(live: StateApplier, folder: Path, fraction: float) -> dict[str, float]:
     state: State = json.loads(written_state(fraction, folder).read_bytes())
     changed = one_weight_changed(state)
-    await live.change(Decided(state, "bench", 1, dict.fromkeys(state["nodes"], 0)))
+    await live.change(StateChange(state, "bench", 1, dict.fromkeys(state["nodes"], 0)))
     gaps: list[float] = []
     ticker = asyncio.create_task(_tick(gaps))
     begun = time.perf_counter()
-    await live.change(Decided(changed, "bench", 2))
+    await live.change(StateChange(changed, "bench", 2))
     took = time.perf_counter() - begun
     await asyncio.sleep(3 * TICKER)
     ticker.cancel()
@@ -115,15 +121,17 @@
 
 def _with_live(
     fraction: float,
-    work: Callable[[Live, Path, float], Coroutine[Any, Any, dict[str, float]]],
+    work: Callable[[StateApplier, Path, float], Coroutine[Any, Any, dict[str, float]]],
 ) -> dict[str, float]:
     """Play something at a gateway that has no state yet, and keeps its states on disk."""
     gateway = GatewayPart.model_validate(GATEWAY_PART)
 
     async def main(folder: Path) -> dict[str, float]:
-        core = Core(bounds(gateway, 1_000_000), asyncio.get_running_loop(), Log("g1"))
+        core = GatewayCore(
+            resource_limits(gateway, 1_000_000), asyncio.get_running_loop(), Log("g1")
+        )
         store = Store(folder / "states", gateway.name)
-        live = Live(core, gateway, store)
+        live = StateApplier(core, gateway, store)
         core.begin()
         try:
             return await work(live, folder, fraction)
@@ -162,7 +170,7 @@
         Tables(None, file).settings(file.gateway),
         tenants=tuple(Tenant(f"tenant-{i:06d}", 1.0 + i) for i in range(int(tenants))),
     )
-    changed = dataclasses.replace(settings, tenants=tuple(list(settings.tenants)))
+    changed = dataclasses.replace(settings, tenants=(*settings.tenants,))
     held = allocated_bytes(lambda: [_module(settings, seed) for seed in range(POOLS)]) / POOLS
     modules = [_module(settings, seed) for seed in range(POOLS)]
     begun = time.process_time()
@@ -183,9 +191,9 @@
     module = Gateway(_Nobody(), settings, seed)
     module.start(100_000_000)
     listed = [
-        Listed(f"h{i}", 1.0, 0, i, READY, 0, 0) for i in range(HOSTS_OF_A_SERVICE)
-    ]  # fmt: skip
-    module.members(100_000_000, RESTORED, listed)
+        Endpoint(f"h{i}", 1.0, 0, i, EndpointState.READY, 0, 0) for i in range(HOSTS_OF_A_SERVICE)
+    ]
+    module.on_watch_event(100_000_000, WatchEventKind.RESTORED, listed)
     return module
 
 
@@ -198,10 +206,10 @@
     def __init__(self, lot: int) -> None:
         self.hash = lot
 
-    def able(self, now: int) -> bool:
+    def is_available(self, now: int) -> bool:
         return True
 
-    def alive(self) -> bool:
+    def is_responding(self) -> bool:
         return True
 
 
@@ -214,16 +222,18 @@
     for me in range(int(gateways)):
         reach: Reach[_Host] = Reach(me, int(gateways))
         reach.sort(hosts, [])
-        reach.look(0)
+        reach.select(0)
         width = max(width, reach.size())
-        for part in reach.near:
+        for part in reach.subset:
             for host in part:
                 counts[host.hash] += 1
     return {
-        "host_least": min(counts.values()), "host_mean": sum(counts.values()) / len(counts),
-        "host_most": max(counts.values()), "pool_width": width,
+        "host_least": min(counts.values()),
+        "host_mean": sum(counts.values()) / len(counts),
+        "host_most": max(counts.values()),
+        "pool_width": width,
         "gateway_hosts": width * full_state.SERVICES,
-    }  # fmt: skip
+    }
 
 
 # --- An operator's commands
@@ -270,16 +280,22 @@
     after = _cpu_of(daemon.pid)
     state_text = subprocess.run(
         [*_SAILHITCH, "state", "--json", "--admin", str(folder / "admin.sock")],
-        capture_output=True, check=True,
-    ).stdout  # fmt: skip
+        capture_output=True,
+        check=True,
+    ).stdout
     return {
-        "plan_cpu_s": planned[0], "plan_memory_bytes": planned[1], "plan_wall_s": planned[2],
-        "apply_cpu_s": applied[0], "apply_memory_bytes": applied[1], "apply_wall_s": applied[2],
-        "daemon_plan_cpu_s": between - before, "daemon_apply_cpu_s": after - between,
+        "plan_cpu_s": planned[0],
+        "plan_memory_bytes": planned[1],
+        "plan_wall_s": planned[2],
+        "apply_cpu_s": applied[0],
+        "apply_memory_bytes": applied[1],
+        "apply_wall_s": applied[2],
+        "daemon_plan_cpu_s": between - before,
+        "daemon_apply_cpu_s": after - between,
         "daemon_memory_bytes": idle_memory,
         "daemon_peak_bytes": resident_bytes("VmHWM", daemon.pid),
         "admin_text_bytes": len(state_text),
-    }  # fmt: skip
+    }
 
 
 # A command that says at its end, as the last line of its errors, what it has used.
@@ -310,11 +326,15 @@
     return sum(int(task.read_text().split()[0]) for task in tasks) / 1e9
 
 
-_LIVE: Final = "daemon/live.py"
+_LIVE: Final = "daemon/state_applier.py"
 _OVERLOAD: Final = "policy/overload.py (tenants)"
 MEASUREMENTS: Final = (
     Measurement(
-        "switch", "gateway", "fraction", FRACTIONS, 1.0,
+        "switch",
+        "gateway",
+        "fraction",
+        FRACTIONS,
+        1.0,
         (
             Figure("first_switch_s", "s", "first switch, processor", _LIVE),
             Figure("first_memory_bytes", "B", "memory held after it", f"{_LIVE}, {_OVERLOAD}"),
@@ -326,7 +346,11 @@
         switch,
     ),
     Measurement(
-        "stall", "gateway", "fraction", FRACTIONS, 1.0,
+        "stall",
+        "gateway",
+        "fraction",
+        FRACTIONS,
+        1.0,
         (
             Figure("change_wall_s", "s", "one weight, wall", _LIVE),
             Figure("longest_stall_s", "s", "longest time without a turn of the loop", _LIVE),
@@ -335,7 +359,11 @@
         stall,
     ),
     Measurement(
-        "module_tenants", "gateway", "tenants", TENANTS, full_state.TENANTS,
+        "module_tenants",
+        "gateway",
+        "tenants",
+        TENANTS,
+        full_state.TENANTS,
         (
             Figure("pool_memory_bytes", "B", "one pool's module", _OVERLOAD),
             Figure("pool_reconfigure_ms", "ms", "new settings for one pool", _OVERLOAD),
@@ -343,7 +371,11 @@
         module_tenants,
     ),
     Measurement(
-        "connections", "host", "gateways", GATEWAYS, MEMBERS,
+        "connections",
+        "host",
+        "gateways",
+        GATEWAYS,
+        MEMBERS,
         (
             Figure("host_least", "1", "gateways that reach a host, least", "reach/width.py"),
             Figure("host_mean", "1", "the same, mean", "reach/width.py"),
@@ -354,7 +386,11 @@
         connections,
     ),
     Measurement(
-        "commands", "operator", "fraction", COMMAND_FRACTIONS, 1.0,
+        "commands",
+        "operator",
+        "fraction",
+        COMMAND_FRACTIONS,
+        1.0,
         (
             Figure("plan_cpu_s", "s", "`plan`, processor", "daemon/cli.py"),
             Figure("plan_memory_bytes", "B", "`plan`, most memory", "daemon/cli.py"),
@@ -370,4 +406,4 @@
         ),
         commands,
     ),
-)  # fmt: skip
+)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,8 +20,8 @@
 from sailhitch.daemon.state_tree import to_tree
 from sailhitch.pages import Tree
 from sailhitch.tier.content_store import PAGE, ContentStore
-from sailhitch.tier.effects import Act, Done, End, Keep, Send
-from sailhitch.tier.member import KNOWN, Founding, Member, MemberStatus, TierConfig
+from sailhitch.tier.effects import ApplyVersions, JobCompleted, Persist, ProposalResult, Send
+from sailhitch.tier.member import CHOSEN_KEY, BootstrapVersion, Member, MemberStatus, TierConfig
 from sailhitch.tier.messages import Message
 from sailhitch.tier.wire import Keys, Wire
 
@@ -29,12 +29,27 @@
 LEAVE_WITHIN: Final = 1.0  # s that a restart gives to leaving, as the daemon's drain
 # What messages are called in the figures, by their tag on the wire, which outlasts renamings.
 KINDS: Final = {
-    "l": "read", "L": "read answer", "u": "unfinished round", "p": "prepare", "P": "promise",
+    "l": "read",
+    "L": "read answer",
+    "u": "unfinished round",
+    "p": "prepare",
+    "P": "promise",
     "a": "accept",
-    "A": "accepted", "h": "voter hello", "H": "voter here", "n": "gossip", "q": "lease question",
-    "g": "lease grant", "c": "content request", "C": "content piece", "i": "ping", "I": "ack",
-    "N": "nack", "v": "relayed", "t": "page request", "T": "page reply",
-}  # fmt: skip
+    "A": "accepted",
+    "h": "voter hello",
+    "H": "voter here",
+    "n": "gossip",
+    "q": "lease question",
+    "g": "lease grant",
+    "c": "content request",
+    "C": "content piece",
+    "i": "ping",
+    "I": "ack",
+    "N": "nack",
+    "v": "relayed",
+    "t": "page request",
+    "T": "page reply",
+}
 GOSSIP: Final = "gossip"
 Address = tuple[str, int]
 
@@ -147,7 +162,7 @@
         self._transport: Any = None
         self._beat: asyncio.TimerHandle | None = None
         self._due = 0.0
-        self._waiters: dict[int, asyncio.Future[Done]] = {}
+        self._waiters: dict[int, asyncio.Future[JobCompleted]] = {}
 
     # --- Its life
 
@@ -158,7 +173,7 @@
         self._wire = Wire(plan.keys, self.name, boot)
         await loop.create_datagram_endpoint(lambda: self, local_addr=plan.addresses[self.name])
         config = TierConfig(self.name, plan.voters, plan.peers, plan.lease)
-        founding = None if KNOWN in self.disk else Founding(plan.founding, 1, "scale")
+        founding = None if CHOSEN_KEY in self.disk else BootstrapVersion(plan.founding, 1, "scale")
         rng = random.Random(secrets.randbits(64))
         self.member = Member(config, boot, dict(self.disk), rng, steady(), founding)
         self.serials = []
@@ -191,7 +206,9 @@
 
     def is_in(self) -> bool:
         """Whether it may act."""
-        return self.member is not None and self.member.standing(steady()) is MemberStatus.IN
+        return (
+            self.member is not None and self.member.member_status(steady()) is MemberStatus.ACTIVE
+        )
 
     def active(self) -> int:
         """The serial that it acts by; 0: none."""
@@ -212,17 +229,17 @@
             return member.propose(content, base, waits, "scale", int(time.time() * 1e6))
 
         done = await self._done(ask)
-        head = done.head
-        version = head.active if done.end is End.ACTIVE else head.pending
-        return done.end.value, 0 if version is None else version.serial
+        head = done.state
+        version = head.active if done.result is ProposalResult.ACTIVE else head.pending
+        return done.result.value, 0 if version is None else version.serial
 
-    async def _done(self, ask: Callable[[Member], int | None]) -> Done:
+    async def _done(self, ask: Callable[[Member], int | None]) -> JobCompleted:
         if self.member is None:
             raise RuntimeError(f"{self.name} does not run")
         job = ask(self.member)
         if job is None:
             raise TimeoutError(f"{self.name} has not heard what holds")
-        future: asyncio.Future[Done] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[JobCompleted] = asyncio.get_running_loop().create_future()
         self._waiters[job] = future
         self._pump()
         try:
@@ -246,7 +263,7 @@
             self._count("lost", sender, kind, len(data))
             return
         self._count("heard", sender, kind, len(data))
-        self.member.heard(sender, envelope.message, steady())
+        self.member.on_message(sender, envelope.message, steady())
         self._pump()
 
     def _drops(self, peer: str, drawn: bool) -> bool:
@@ -276,12 +293,12 @@
         self._due = now + BEAT
         self._beat = loop.call_at(self._due, self._tick)
         if self.member is not None:
-            self.member.tick(steady())
+            self.member.on_tick(steady())
             self._pump()
 
     def _pump(self) -> None:
         while self.member is not None:
-            effects = self.member.take()
+            effects = self.member.take_effects()
             if not effects:
                 return
             for effect in effects:
@@ -290,12 +307,12 @@
     def _happen(self, effect: Any) -> None:
         if isinstance(effect, Send):
             self._send(effect.to, effect.message)
-        elif isinstance(effect, Keep):
+        elif isinstance(effect, Persist):
             self._keep(effect.items)
-        elif isinstance(effect, Act) and self.member is not None:
-            self.serials.append((time.monotonic(), effect.acting.active.serial))
-            self.member.acted(effect.acting.turn, steady())
-        elif isinstance(effect, Done):
+        elif isinstance(effect, ApplyVersions) and self.member is not None:
+            self.serials.append((time.monotonic(), effect.versions.active.serial))
+            self.member.confirm_applied(effect.versions.revision, steady())
+        elif isinstance(effect, JobCompleted):
             future = self._waiters.get(effect.job)
             if future is not None and not future.done():
                 future.set_result(effect)
--- a/benchmarks/scale/host.py
+++ b/benchmarks/scale/host.py
@@ -1,5 +1,7 @@
-"""A process of many hollow gateways. The rig speaks with it in lines of JSON on its standard input
-and output; it ends when its input does, so that none outlives the rig.
+"""A process of many hollow gateways.
+
+The rig speaks with it in lines of JSON on its standard input and output; it ends when its input
+does, so that none outlives the rig.
 
     python -m benchmarks.scale.host PLAN.json
 """
@@ -36,11 +38,17 @@
         self.gateways = {name: HollowGateway(name, plan) for name in names}
         self.prepared: dict[str, Tree] = {}  # states to be proposed, by file
         self.commands: dict[str, Callable[[dict[str, Any]], Awaitable[Any]]] = {
-            "start": self.start, "kill": self.kill, "restart": self.restart,
-            "faults": self.faults, "prepare": self.prepare, "propose": self.propose,
-            "force": self.force, "state": self.state, "gossip": self.gossip,
+            "start": self.start,
+            "kill": self.kill,
+            "restart": self.restart,
+            "faults": self.faults,
+            "prepare": self.prepare,
+            "propose": self.propose,
+            "force": self.force,
+            "state": self.state,
+            "gossip": self.gossip,
             "figures": self.figures,
-        }  # fmt: skip
+        }
 
     def mine(self, request: dict[str, Any]) -> list[HollowGateway]:
         """Those of a command's members that are of this process."""
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -53,10 +53,17 @@
         """Start it; it answers once its plan is read."""
         with open(self.log, "ab") as log:
             self.program = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "benchmarks.scale.host", str(self.plan),
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log,
-                cwd=ROOT, limit=LINE, start_new_session=True,
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "benchmarks.scale.host",
+                str(self.plan),
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=log,
+                cwd=ROOT,
+                limit=LINE,
+                start_new_session=True,
+            )
 
     async def do(self, name: str, **more: Any) -> Any:
         """Have it carry out a command; raises RigError."""
@@ -114,9 +121,16 @@
         self._read = self.log.stat().st_size if self.log.exists() else 0
         with open(self.log, "ab") as log:
             self.program = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", DAEMON, "run", str(self.folder / "g.toml"),
-                stderr=log, stdout=log, cwd=ROOT, start_new_session=True,
-            )  # fmt: skip
+                sys.executable,
+                "-c",
+                DAEMON,
+                "run",
+                str(self.folder / "g.toml"),
+                stderr=log,
+                stdout=log,
+                cwd=ROOT,
+                start_new_session=True,
+            )
         if self._watch is None:
             self._watch = asyncio.get_running_loop().create_task(self._look())
 
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -17,10 +17,12 @@
 def machine() -> dict[str, Any]:
     """What a run was measured on."""
     return {
-        "cores": os.cpu_count(), "memory_mb": machine_memory_kb() // 1024,
-        "python": platform.python_version(), "system": platform.system(),
+        "cores": os.cpu_count(),
+        "memory_mb": machine_memory_kb() // 1024,
+        "python": platform.python_version(),
+        "system": platform.system(),
         "load": [round(one, 2) for one in os.getloadavg()],
-    }  # fmt: skip
+    }
 
 
 def commit() -> dict[str, Any]:
@@ -69,10 +71,28 @@
 
 
 HEADS = (
-    "part", "members", "state", "loss", "dead", "commit", "seconds", "in force", "behind",
-    "all in", "at rest", "B/s sent", "dgrams/s", "gossip B/s", "content B/s", "questions/s",
-    "daemon core", "MB", "B/s in+out", "host core", "dropped",
-)  # fmt: skip
+    "part",
+    "members",
+    "state",
+    "loss",
+    "dead",
+    "commit",
+    "seconds",
+    "in force",
+    "behind",
+    "all in",
+    "at rest",
+    "B/s sent",
+    "dgrams/s",
+    "gossip B/s",
+    "content B/s",
+    "questions/s",
+    "daemon core",
+    "MB",
+    "B/s in+out",
+    "host core",
+    "dropped",
+)
 
 
 def row(result: dict[str, Any], path: str, part: dict[str, Any]) -> list[str]:
@@ -83,18 +103,28 @@
     both = [one["sent"]["all"]["bytes"] + one["heard"]["all"]["bytes"] for one in daemons]
     name = f"{result['experiment']}{'.' if path else ''}{path}"
     return [
-        name, str(result["members"]), said(result["fraction"]), said(result["loss"]),
-        said(result["dead"]), (result["commit"] or "-")[:7] + "+" * bool(result["dirty"]),
-        said(window["seconds"]), f"{said(force.get('median'))}/{said(force.get('worst'))}",
-        said(part.get("behind")), said(part.get("all_in")), said(part.get("at_rest_after")),
-        said(sent["all"]["bytes"]), said(sent["all"]["datagrams"]),
-        said(sent.get("gossip", {}).get("bytes")), said(fetched(sent)),
+        name,
+        str(result["members"]),
+        said(result["fraction"]),
+        said(result["loss"]),
+        said(result["dead"]),
+        (result["commit"] or "-")[:7] + "+" * bool(result["dirty"]),
+        said(window["seconds"]),
+        f"{said(force.get('median'))}/{said(force.get('worst'))}",
+        said(part.get("behind")),
+        said(part.get("all_in")),
+        said(part.get("at_rest_after")),
+        said(sent["all"]["bytes"]),
+        said(sent["all"]["datagrams"]),
+        said(sent.get("gossip", {}).get("bytes")),
+        said(fetched(sent)),
         said(hollow["questions_at_a_voter_s"]),
         said(max((one["core_share"] for one in daemons), default=None)),
-        said(max((one["rss_mb"] for one in daemons), default=None)), said(max(both, default=None)),
+        said(max((one["rss_mb"] for one in daemons), default=None)),
+        said(max(both, default=None)),
         said(max(window["hosts"]["core_share"], default=None)),
         dropped(window["dropped_by_the_system"]),
-    ]  # fmt: skip
+    ]
 
 
 def fetched(sent: dict[str, dict[str, float]]) -> float | None:
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -25,10 +25,8 @@
 
 MEASUREMENTS: Final[Mapping[str, Measurement]] = {
     one.name: one
-    for one in (
-        *state_slopes.MEASUREMENTS, *gateway_slopes.MEASUREMENTS, *tier_slopes.MEASUREMENTS
-    )
-}  # fmt: skip
+    for one in (*state_slopes.MEASUREMENTS, *gateway_slopes.MEASUREMENTS, *tier_slopes.MEASUREMENTS)
+}
 PATIENCE: Final = 300.0  # s for one size of one measurement
 HEADING: Final = (
     "| role | figure | sizes | measured | constant + slope | residual | at full size | mechanism "
@@ -67,13 +65,20 @@
         for figure in measurement.figures:
             fit = self.fit(figure.key)
             figures[figure.key] = {
-                "unit": figure.unit, "values": self.values[figure.key], "fit": asdict(fit),
-                "linear": fit.is_linear, "full": self.at_full(figure.key),
-            }  # fmt: skip
+                "unit": figure.unit,
+                "values": self.values[figure.key],
+                "fit": asdict(fit),
+                "linear": fit.is_linear,
+                "full": self.at_full(figure.key),
+            }
         return {
-            "name": self.name, "role": measurement.role, "axis": measurement.axis,
-            "sizes": self.sizes, "full": measurement.full, "figures": figures,
-        }  # fmt: skip
+            "name": self.name,
+            "role": measurement.role,
+            "axis": measurement.axis,
+            "sizes": self.sizes,
+            "full": measurement.full,
+            "figures": figures,
+        }
 
 
 def play(measurement: Measurement, sizes: Sequence[float]) -> Result:
@@ -89,9 +94,12 @@
     where = f"{measurement.name} at {size:g} {measurement.axis}"
     try:
         done = subprocess.run(
-            [*command, "--sizes", repr(size)], capture_output=True, text=True, check=False,
+            [*command, "--sizes", repr(size)],
+            capture_output=True,
+            text=True,
+            check=False,
             timeout=PATIENCE,
-        )  # fmt: skip
+        )
     except subprocess.TimeoutExpired:
         raise MeasurementError(f"{where}: not done within {PATIENCE:g} s") from None
     if done.returncode:
@@ -114,8 +122,8 @@
     """A line for each figure, as the page has them."""
     lines = [HEADING]
     for result in results:
-        for figure in MEASUREMENTS[result.name].figures:
-            lines.append("| " + " | ".join(_cells(result, figure)) + " |")
+        figures = MEASUREMENTS[result.name].figures
+        lines.extend("| " + " | ".join(_cells(result, figure)) + " |" for figure in figures)
     return "\n".join(lines)
 
 
@@ -146,9 +154,12 @@
         ["git", "rev-parse", "HEAD"], capture_output=True, text=True, check=False
     ).stdout.strip()
     return {
-        "commit": commit, "python": platform.python_version(), "machine": platform.machine(),
-        "processors": os.cpu_count(), "load": os.getloadavg(),
-    }  # fmt: skip
+        "commit": commit,
+        "python": platform.python_version(),
+        "machine": platform.machine(),
+        "processors": os.cpu_count(),
+        "load": os.getloadavg(),
+    }
 
 
 def _sizes(text: str) -> tuple[float, ...]:
--- a/benchmarks/scale/state_slopes.py
+++ b/benchmarks/scale/state_slopes.py
@@ -16,10 +16,10 @@
 
 from sailhitch.daemon.plan import diff, identity, make_plan
 from sailhitch.daemon.rules import contradictions
-from sailhitch.daemon.schema import as_route, parse_value
+from sailhitch.daemon.schema import parse_value, to_route
 from sailhitch.daemon.state import State, canonical, digest, from_file, to_file
 from sailhitch.daemon.state_tree import to_tree, update_tree
-from sailhitch.daemon.store import Applied, Store, unwatched
+from sailhitch.daemon.store import AppliedState, Store, ignore_step
 from sailhitch.daemon.version_states import VersionStates
 from sailhitch.lab.files import toml_text
 from sailhitch.tier.content_store import ContentStore, tree_digest
@@ -32,9 +32,12 @@
 
 FRACTIONS: Final = (0.05, 0.1, 0.2, 0.4, 1.0)
 GATEWAY_PART: Final[dict[str, Any]] = {
-    "name": "g1", "state_dir": "state", "rate": full_state.RATE, "sockets": 16384,
+    "name": "g1",
+    "state_dir": "state",
+    "rate": full_state.RATE,
+    "sockets": 16384,
     "memory_mb": 4096,
-}  # fmt: skip
+}
 SOURCES: Final = 8  # members that a newcomer fetches from
 BEAT: Final = 100_000  # us between two ticks of a member
 FETCHED_WITHIN: Final = 300_000_000  # us
@@ -117,18 +120,18 @@
     born = dict.fromkeys(old["nodes"], 0)
     with tempfile.TemporaryDirectory(prefix="sailhitch-") as folder:
         store = Store(Path(folder), "g1")
-        _commit(store, Applied(1, 1, "bench", old, "", born))
+        _commit(store, AppliedState(1, 1, "bench", old, "", born))
         before = _disk_bytes(Path(folder))
         begun = time.process_time()
-        _commit(store, Applied(2, 2, "bench", new, "1 to alter", born))
+        _commit(store, AppliedState(2, 2, "bench", new, "1 to alter", born))
         took = time.process_time() - begun
         grown = _disk_bytes(Path(folder)) - before
         store.close()
     return {"store_s": took, "store_bytes": grown}
 
 
-def _commit(store: Store, applied: Applied) -> None:
-    store.commit(store.prepare(applied, unwatched), applied.serial, unwatched)
+def _commit(store: Store, applied: AppliedState) -> None:
+    store.commit(store.prepare(applied, ignore_step), applied.serial, ignore_step)
 
 
 def _disk_bytes(folder: Path) -> int:
@@ -160,11 +163,16 @@
     service, _ = source.add(update_tree(source, base.root, old, service_changed(old)))
     return {
         "service_fetch_bytes": _fetch([source], target, service).bytes,
-        "add_s": add_s, "read_s": read_s, "fetch_s": change.processor_s,
-        "fetch_bytes": change.bytes, "fetch_datagrams": change.datagrams,
-        "whole_fetch_s": whole.processor_s, "whole_fetch_bytes": whole.bytes,
-        "whole_fetch_time_s": whole.now / 1e6, **_disk_of_content(change.kept),
-    }  # fmt: skip
+        "add_s": add_s,
+        "read_s": read_s,
+        "fetch_s": change.processor_s,
+        "fetch_bytes": change.bytes,
+        "fetch_datagrams": change.datagrams,
+        "whole_fetch_s": whole.processor_s,
+        "whole_fetch_bytes": whole.bytes,
+        "whole_fetch_time_s": whole.now / 1e6,
+        **_disk_of_content(change.kept),
+    }
 
 
 @dataclass
@@ -236,23 +244,27 @@
 
 def routes(fraction: float) -> dict[str, float]:
     """The lookup table of routes."""
-    from sailhitch.daemon.routes import Asked, Routes
+    from sailhitch.daemon.routes import RouteQuery, Routes
 
     made = parse_value(full_state.operator_file(fraction, (), (), "g1", "state", "tier.key"))
-    parts = [as_route(part) for part in made.routes]
+    parts = [to_route(part) for part in made.routes]
     table = Routes(parts)
     picks = random.Random(1).choices(parts, k=2000)
     asked = [
-        Asked(
-            next(iter(route.match.methods), "GET"), route.match.path_prefix,
-            route.match.host or "", {}, None, route.match.tenant,
+        RouteQuery(
+            next(iter(route.match.methods), "GET"),
+            route.match.path_prefix,
+            route.match.host or "",
+            {},
+            None,
+            route.match.tenant,
         )
         for route in picks
-    ]  # fmt: skip
+    ]
     took = processor_seconds(lambda: [table.find(one) for one in asked])
     return {
-        "build_s": processor_seconds(lambda: Routes([as_route(part) for part in made.routes])),
-        "table_bytes": allocated_bytes(lambda: Routes([as_route(part) for part in made.routes])),
+        "build_s": processor_seconds(lambda: Routes([to_route(part) for part in made.routes])),
+        "table_bytes": allocated_bytes(lambda: Routes([to_route(part) for part in made.routes])),
         "lookup_us": took / len(asked) * 1e6,
     }
 
@@ -260,19 +272,27 @@
 _STATE: Final = "daemon/state.py, tier/content_store.py"
 MEASUREMENTS: Final = (
     Measurement(
-        "text", "gateway", "fraction", FRACTIONS, 1.0,
+        "text",
+        "gateway",
+        "fraction",
+        FRACTIONS,
+        1.0,
         (
             Figure("canonical_bytes", "B", "canonical text of the state", "daemon/state.py"),
             Figure("packed_bytes", "B", "the same, packed", _STATE),
             Figure("encode_s", "s", "canonical text and digest", "daemon/state.py"),
             Figure("pack_s", "s", "packing (zlib)", "tier/content_store.py"),
-            Figure("decode_s", "s", "text to a state", "daemon/tiered.py"),
+            Figure("decode_s", "s", "text to a state", "daemon/tier_source.py"),
             Figure("memory_bytes", "B", "one state in memory", "daemon/state.py"),
         ),
         text,
     ),
     Measurement(
-        "read_file", "operator", "fraction", FRACTIONS, 1.0,
+        "read_file",
+        "operator",
+        "fraction",
+        FRACTIONS,
+        1.0,
         (
             Figure("toml_bytes", "B", "operator file", "daemon/schema.py"),
             Figure("toml_s", "s", "TOML to values", "daemon/schema.py"),
@@ -282,21 +302,29 @@
         read_file,
     ),
     Measurement(
-        "compare", "gateway", "fraction", FRACTIONS, 1.0,
+        "compare",
+        "gateway",
+        "fraction",
+        FRACTIONS,
+        1.0,
         (
             Figure("plan_s", "s", "plan of one weight", "daemon/plan.py"),
             Figure("identity_s", "s", "a state named, where no tree is at hand", "daemon/plan.py"),
             Figure("diff_s", "s", "the changes alone (an apply's summary)", "daemon/plan.py"),
             Figure("contradictions_s", "s", "contradictions of one weight", "daemon/rules.py"),
             Figure("check_s", "s", "check of a decided state", "daemon/state.py (to_file)"),
-            Figure("equal_s", "s", "routes, classes, tenants compared", "daemon/tiered.py"),
+            Figure("equal_s", "s", "routes, classes, tenants compared", "daemon/tier_source.py"),
             Figure("plan_text_bytes", "B", "plan of one weight, text", "daemon/plan.py"),
             Figure("service_plan_text_bytes", "B", "plan of a service, text", "daemon/plan.py"),
         ),
         compare,
     ),
     Measurement(
-        "keep", "gateway", "fraction", FRACTIONS, 1.0,
+        "keep",
+        "gateway",
+        "fraction",
+        FRACTIONS,
+        1.0,
         (
             Figure("store_s", "s", "an applied state kept", "daemon/store.py"),
             Figure("store_bytes", "B", "disk for one more kept state", "daemon/store.py"),
@@ -304,7 +332,11 @@
         keep,
     ),
     Measurement(
-        "fetch", "gateway", "fraction", FRACTIONS, 1.0,
+        "fetch",
+        "gateway",
+        "fraction",
+        FRACTIONS,
+        1.0,
         (
             Figure("add_s", "s", "the new pages made and packed", "tier/content_store.py"),
             Figure("read_s", "s", "a fetched version read", "daemon/version_states.py"),
@@ -321,7 +353,11 @@
         fetch,
     ),
     Measurement(
-        "routes", "gateway", "fraction", FRACTIONS, 1.0,
+        "routes",
+        "gateway",
+        "fraction",
+        FRACTIONS,
+        1.0,
         (
             Figure("build_s", "s", "route table built", "daemon/routes.py"),
             Figure("table_bytes", "B", "route table in memory", "daemon/routes.py"),
@@ -329,4 +365,4 @@
         ),
         routes,
     ),
-)  # fmt: skip
+)
--- a/benchmarks/scale/tier_slopes.py
+++ b/benchmarks/scale/tier_slopes.py
@@ -16,10 +16,10 @@
 import msgspec
 
 from sailhitch.model.tier import World
-from sailhitch.tier.effects import Act, Keep, Send
-from sailhitch.tier.member import Founding, Member, MemberStatus, Roster, TierConfig
+from sailhitch.tier.effects import ApplyVersions, Persist, Send
+from sailhitch.tier.member import BootstrapVersion, Configuration, Member, MemberStatus, TierConfig
 from sailhitch.tier.membership import MembershipTable
-from sailhitch.tier.messages import Ack, MemberRecord, News, Ping, Poll
+from sailhitch.tier.messages import Ack, GossipMessage, LeaseRequest, MemberRecord, Ping
 from sailhitch.tier.wire import Envelope, Keys, Wire
 
 from .measurement import (
@@ -56,11 +56,15 @@
         self.beats = 0
         self.cores = {
             name: Member(
-                TierConfig(name, (voter,), self.names, lease), boot, {}, random.Random(boot), 0,
-                Founding(b"{}", 1, "bench"),
+                TierConfig(name, (voter,), self.names, lease),
+                boot,
+                {},
+                random.Random(boot),
+                0,
+                BootstrapVersion(b"{}", 1, "bench"),
             )
             for boot, name in enumerate((voter, gateway), 1)
-        }  # fmt: skip
+        }
         self.voter, self.gateway = self.cores[voter], self.cores[gateway]
         self._settle()
 
@@ -68,7 +72,9 @@
         """Run until both act by the register and know all members; raises AssertionError."""
         while self.now < SETTLE_WITHIN:
             self.step()
-            if all(one.standing(self.now) is MemberStatus.IN for one in self.cores.values()):
+            if all(
+                one.member_status(self.now) is MemberStatus.ACTIVE for one in self.cores.values()
+            ):
                 self.tell_records()
                 return
         raise AssertionError(f"{len(self.names)} members: not settled")
@@ -77,7 +83,7 @@
         """One beat of both, with all that it leads to."""
         self.now += BEAT
         for core in self.cores.values():
-            core.tick(self.now)
+            core.on_tick(self.now)
         self.deliver()
 
     def deliver(self) -> None:
@@ -86,19 +92,19 @@
         while moved:
             moved = False
             for name, core in self.cores.items():
-                for effect in core.take():
+                for effect in core.take_effects():
                     moved = True
                     self._happen(name, core, effect)
 
     def _happen(self, name: str, core: Member, effect: Any) -> None:
-        if isinstance(effect, Act):
-            core.acted(effect.acting.turn, self.now)
+        if isinstance(effect, ApplyVersions):
+            core.confirm_applied(effect.versions.revision, self.now)
         elif isinstance(effect, Send):
             other = self.cores.get(effect.to)
             if other is not None:
-                other.heard(name, effect.message, self.now)
+                other.on_message(name, effect.message, self.now)
             elif isinstance(effect.message, Ping):
-                core.heard(effect.to, Ack(effect.message.number), self.now)
+                core.on_message(effect.to, Ack(effect.message.number), self.now)
 
     def records(self, names: Sequence[str], confirmed: int) -> list[MemberRecord]:
         """The next word of members that are records."""
@@ -107,22 +113,22 @@
 
     def tell_records(self, confirmed: int | None = None) -> None:
         """Both hear of all members at once."""
-        turn = self.gateway.confirmed if confirmed is None else confirmed
+        turn = self.gateway.confirmed_revision if confirmed is None else confirmed
         for core in self.cores.values():
             core.membership.merge(self.records(self.names[2:], turn), self.now)
 
     def poll_all(self) -> None:
         """The members that are records ask the voter for their leases."""
         for name in self.names[2:]:
-            self.voter.heard(name, Poll(1, self.voter.confirmed), self.now)
-        self.voter.take()
+            self.voter.on_message(name, LeaseRequest(1, self.voter.confirmed_revision), self.now)
+        self.voter.take_effects()
 
     def rest(self) -> None:
         """Until neither has news to pass on."""
         ends = self.now + REST_WITHIN
         while self.now < ends:
             self.step()
-            if not any(one.membership.has_news() for one in self.cores.values()):
+            if not any(one.membership.has_unsent_updates() for one in self.cores.values()):
                 break
         for _ in range(40):  # beyond the time in which each beat has a round
             self.step()
@@ -135,15 +141,17 @@
     gateway, voter = pair.gateway, pair.voter
     news = _news(pair, 60)
     found = {
-        "tick_us": _ticks(pair, gateway, False), "busy_tick_us": _ticks(pair, gateway, True),
+        "tick_us": _ticks(pair, gateway, False),
+        "busy_tick_us": _ticks(pair, gateway, True),
         "voter_tick_us": _ticks(pair, voter, False),
-        "heard_us": _heard(pair, gateway, news), **_sealing(news),
-    }  # fmt: skip
-    names, turn = iter(pair.names[2:] * 200), voter.confirmed
+        "heard_us": _heard(pair, gateway, news),
+        **_sealing(news),
+    }
+    names, turn = iter(pair.names[2:] * 200), voter.confirmed_revision
 
     def ask() -> None:
-        voter.heard(next(names), Poll(1, turn), pair.now)
-        voter.take()
+        voter.on_message(next(names), LeaseRequest(1, turn), pair.now)
+        voter.take_effects()
 
     found["poll_us"] = each_microseconds(ask, 2000)
     return found
@@ -155,37 +163,37 @@
     def beat() -> None:
         pair.now += BEAT
         if busy:
-            core.hurry(pair.now)
-        core.tick(pair.now)
-        for effect in core.take():
+            core.gossip_soon(pair.now)
+        core.on_tick(pair.now)
+        for effect in core.take_effects():
             if isinstance(effect, Send) and isinstance(effect.message, Ping):
-                core.heard(effect.to, Ack(effect.message.number), pair.now)
+                core.on_message(effect.to, Ack(effect.message.number), pair.now)
 
     return each_microseconds(beat, 100)
 
 
-def _news(pair: Pair, count: int) -> list[News]:
+def _news(pair: Pair, count: int) -> list[GossipMessage]:
     """Gossip as it comes at rest: what is known, and twelve members' next words."""
     draws = random.Random(3)
     others = pair.names[2:]
-    turn = pair.gateway.confirmed
+    turn = pair.gateway.confirmed_revision
     return [
-        News(pair.gateway.known, pair.records(draws.sample(others, 12), turn), {}, None)
+        GossipMessage(pair.gateway.chosen, pair.records(draws.sample(others, 12), turn), {}, None)
         for _ in range(count)
     ]
 
 
-def _heard(pair: Pair, core: Member, news: list[News]) -> float:
+def _heard(pair: Pair, core: Member, news: list[GossipMessage]) -> float:
     waiting = iter(news)
 
     def hear() -> None:
-        core.heard(pair.names[2], next(waiting), pair.now)
-        core.take()
+        core.on_message(pair.names[2], next(waiting), pair.now)
+        core.take_effects()
 
     return each_microseconds(hear, len(news))
 
 
-def _sealing(news: list[News]) -> dict[str, float]:
+def _sealing(news: list[GossipMessage]) -> dict[str, float]:
     sender, receiver = Wire(KEYS, "gw-0002", 1), Wire(KEYS, "gw-0001", 2)
     data: list[bytes] = []
     said = iter(news)
@@ -194,8 +202,10 @@
     open_us = each_microseconds(lambda: receiver.open(next(came)), len(data))
     assert not receiver.refused
     return {
-        "seal_us": seal_us, "open_us": open_us, "news_bytes": sum(map(len, data)) / len(data),
-    }  # fmt: skip
+        "seal_us": seal_us,
+        "open_us": open_us,
+        "news_bytes": sum(map(len, data)) / len(data),
+    }
 
 
 def pending(members: float) -> dict[str, float]:
@@ -218,8 +228,8 @@
 def _few_ticks(pair: Pair, core: Member) -> float:
     def beat() -> None:
         pair.now += BEAT
-        core.tick(pair.now)
-        core.take()
+        core.on_tick(pair.now)
+        core.take_effects()
 
     return each_microseconds(beat, 6) / 1000
 
@@ -234,11 +244,12 @@
         made.merge(msgspec.msgpack.decode(said, type=list[MemberRecord]), 1)
         return made
 
-    content = Roster(tuple(names), ()).content()
+    content = Configuration(tuple(names), ()).encode()
     return {
-        "table_bytes": allocated_bytes(fill), "roster_bytes": len(content),
+        "table_bytes": allocated_bytes(fill),
+        "roster_bytes": len(content),
         "roster_packed_bytes": len(zlib.compress(content, 6)),
-    }  # fmt: skip
+    }
 
 
 def register_change(members: float) -> dict[str, float]:
@@ -250,18 +261,18 @@
 
     def change() -> None:
         nonlocal writes
-        head = pair.voter.known
+        head = pair.voter.chosen
         assert head is not None
-        content = f'{{"n":{head.head.turn}}}'.encode()
-        pair.voter.propose(content, head.head.active.serial, False, "bench", 0)
+        content = f'{{"n":{head.state.revision}}}'.encode()
+        pair.voter.propose(content, head.state.active.serial, False, "bench", 0)
         for _ in range(3):
             pair.now += BEAT
-            pair.voter.tick(pair.now)
-            for effect in pair.voter.take():
-                if isinstance(effect, Keep):
+            pair.voter.on_tick(pair.now)
+            for effect in pair.voter.take_effects():
+                if isinstance(effect, Persist):
                     writes += 1
-                elif isinstance(effect, Act):
-                    pair.voter.acted(effect.acting.turn, pair.now)
+                elif isinstance(effect, ApplyVersions):
+                    pair.voter.confirm_applied(effect.versions.revision, pair.now)
 
     took = each_microseconds(change, changes)
     return {"register_us": took, "register_keeps": writes / changes}
@@ -321,12 +332,14 @@
     assert in_force, f"{members} members: not in force"
     assert rested, f"{members} members: not at rest in {REST_WITHIN // SECOND} s"
     return {
-        "rest_bytes_s": rest_bytes / members, "rest_datagrams_s": rest_datagrams / members,
-        "in_force_s": (in_force - at) / SECOND, "until_rest_s": (rested - at) / SECOND,
+        "rest_bytes_s": rest_bytes / members,
+        "rest_datagrams_s": rest_datagrams / members,
+        "in_force_s": (in_force - at) / SECOND,
+        "until_rest_s": (rested - at) / SECOND,
         "change_bytes": (tally.bytes - start.bytes) / members,
         "change_datagrams": (tally.datagrams - start.datagrams) / members,
         "worst_bytes_s": worst / members,
-    }  # fmt: skip
+    }
 
 
 def _quiet_from(members: int) -> int:
@@ -370,7 +383,11 @@
 )
 MEASUREMENTS: Final = (
     Measurement(
-        "rounds", "gateway", "members", SIZES, MEMBERS,
+        "rounds",
+        "gateway",
+        "members",
+        SIZES,
+        MEMBERS,
         (
             Figure("tick_us", "us", "a beat at rest, ten a second", "tier/member.py"),
             Figure("busy_tick_us", "us", "a beat with news", "tier/member.py"),
@@ -384,7 +401,11 @@
         rounds,
     ),
     Measurement(
-        "pending", "voter", "members", PENDING_SIZES, MEMBERS,
+        "pending",
+        "voter",
+        "members",
+        PENDING_SIZES,
+        MEMBERS,
         (
             Figure("waiting_for_ms", "ms", "whom a change waits for", "tier/member.py"),
             Figure("pending_tick_ms", "ms", "a gateway's beat then", "tier/member.py"),
@@ -393,7 +414,11 @@
         pending,
     ),
     Measurement(
-        "table", "gateway", "members", SIZES, MEMBERS,
+        "table",
+        "gateway",
+        "members",
+        SIZES,
+        MEMBERS,
         (
             Figure("table_bytes", "B", "membership in memory", "tier/membership.py"),
             Figure("roster_bytes", "B", "the list of members, text", "tier/member.py (Roster)"),
@@ -402,7 +427,11 @@
         table,
     ),
     Measurement(
-        "register_change", "voter", "members", (25, 100, 400, 1700), MEMBERS,
+        "register_change",
+        "voter",
+        "members",
+        (25, 100, 400, 1700),
+        MEMBERS,
         (
             Figure("register_us", "us", "one register change", "tier/proposer.py, voter.py"),
             Figure("register_keeps", "1", "writes of it to the disk", "tier/disk.py"),
@@ -415,4 +444,4 @@
     Measurement(
         "play_lease", "gateway", "members", REST_SIZES, MEMBERS, _REST_FIGURES, play_with_lease
     ),
-)  # fmt: skip
+)
--- a/benchmarks/state_difference.py
+++ b/benchmarks/state_difference.py
@@ -44,8 +44,10 @@
     counts = {kind: max(1, round(count * share)) for kind, count in FULL.items()}
     pools = counts["pools"]
     classes = {
-        "page": _class("safe"), "payout": _class("unsafe"), "filing": _class("keyed"),
-    }  # fmt: skip
+        "page": _class("safe"),
+        "payout": _class("unsafe"),
+        "filing": _class("keyed"),
+    }
     return {
         "listeners": {},
         "classes": classes,
@@ -57,15 +59,21 @@
         "nodes": {
             f"service-{i % pools}/node-{i}": {
                 "address": f"10.{i // 62_500}.{i // 250 % 250}.{1 + i % 250}:9000",
-                "zone": f"zone-{i % 24}", "cell": "", "weight": 1.0,
+                "zone": f"zone-{i % 24}",
+                "cell": "",
+                "weight": 1.0,
             }
             for i in range(counts["nodes"])
         },
         "routes": {
             f"route-{i}": {
                 "match": {
-                    "path_prefix": f"/r{i}", "host": None, "methods": [], "header": {},
-                    "class": None, "tenant": None,
+                    "path_prefix": f"/r{i}",
+                    "host": None,
+                    "methods": [],
+                    "header": {},
+                    "class": None,
+                    "tenant": None,
                 },
                 "class": ("page", "payout", "filing")[i % 3],
                 "pools": {f"service-{i % pools}": 1.0},
@@ -73,14 +81,19 @@
             for i in range(counts["routes"])
         },
         "bans": {},
-    }  # fmt: skip
+    }
 
 
 def _class(effect: str) -> dict[str, Any]:
     return {
-        "effect": effect, "aim": "1s", "deadline": "3s", "worth": 1.0, "late_worth": 0.0,
-        "dedup": "cell", "window": None,
-    }  # fmt: skip
+        "effect": effect,
+        "aim": "1s",
+        "deadline": "3s",
+        "worth": 1.0,
+        "late_worth": 0.0,
+        "dedup": "cell",
+        "window": None,
+    }
 
 
 def with_weights(state: State, names: list[str], weight: float) -> State:
@@ -222,9 +235,9 @@
     """A store with the first state in it."""
 
     def __init__(self, folder: Path, state: State, timer: Timer) -> None:
-        from sailhitch.daemon.store import Applied, Store, unwatched
+        from sailhitch.daemon.store import AppliedState, Store, ignore_step
 
-        self._applied, self._step = Applied, unwatched
+        self._applied, self._step = AppliedState, ignore_step
         self._store = Store(folder / "state", "g1")
         self._born = dict.fromkeys(state["nodes"], 0)
         self._timer, self._serial = timer, 0
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -49,9 +49,13 @@
             last = world.kernel.now
     assert last, f"{members} members, loss {loss}, seed {seed}: not active everywhere in 60 s"
     return {
-        "active": (first - at) / S, "all": (last - at) / S, "bytes": rate, "datagrams": datagrams,
-        "seconds": time.perf_counter() - began, "virtual": world.kernel.now / S,
-    }  # fmt: skip
+        "active": (first - at) / S,
+        "all": (last - at) / S,
+        "bytes": rate,
+        "datagrams": datagrams,
+        "seconds": time.perf_counter() - began,
+        "virtual": world.kernel.now / S,
+    }
 
 
 def restart(members: int, loss: float, seed: int) -> float:
@@ -73,7 +77,7 @@
 
 def _is_in(process: TierProcess) -> bool:
     member = process.member
-    return member is not None and member.standing(process.clock()) is MemberStatus.IN
+    return member is not None and member.member_status(process.clock()) is MemberStatus.ACTIVE
 
 
 def _active(process: Any) -> bool:
--- a/benchmarks/tier_cpu.py
+++ b/benchmarks/tier_cpu.py
@@ -79,8 +79,10 @@
             here.mkdir()
             port = free_port()
             value["gateway"] = {
-                **value["gateway"], "state_dir": str(here / "s"), "admin": str(here / "admin.sock"),
-            }  # fmt: skip
+                **value["gateway"],
+                "state_dir": str(here / "s"),
+                "admin": str(here / "admin.sock"),
+            }
             value["listeners"] = [{"name": "web", "address": f"127.0.0.1:{port}"}]
             alone = Gateway("alone", here, value, port)
             await alone.start()
--- a/benchmarks/tier_processes.py
+++ b/benchmarks/tier_processes.py
@@ -58,10 +58,12 @@
         await gateway.start()
     await lab.do(StepPart(at=0, do="agree"))
     return {
-        "took": took, "held_back": sum(one["held_back"] for one in said),
+        "took": took,
+        "held_back": sum(one["held_back"] for one in said),
         "requests": sum(load.asked for load in lab.loads.values()),
-        "contradiction": lab.result.late, "restart": loop.time() - since,
-    }  # fmt: skip
+        "contradiction": lab.result.late,
+        "restart": loop.time() - since,
+    }
 
 
 def main() -> None:
--- a/benchmarks/tier_seeds.py
+++ b/benchmarks/tier_seeds.py
@@ -13,17 +13,23 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from sailhitch.model.story import broken, draw, draw_with_death, shrink, tell
+from sailhitch.model.scenario import (
+    draw_scenario,
+    draw_scenario_with_death,
+    find_violation,
+    format_scenario,
+    shrink,
+)
 
 
 def play(seed: int) -> tuple[int, str | None]:
     """A seed, and the promise that it breaks."""
-    return seed, broken(draw(seed))
+    return seed, find_violation(draw_scenario(seed))
 
 
 def play_with_death(seed: int) -> tuple[int, str | None]:
     """The same where a member is killed for good."""
-    return seed, broken(draw_with_death(seed))
+    return seed, find_violation(draw_scenario_with_death(seed))
 
 
 def main() -> int:
@@ -34,7 +40,9 @@
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--death", action="store_true")
     options = parser.parse_args()
-    story, one = (draw_with_death, play_with_death) if options.death else (draw, play)
+    story, one = (
+        (draw_scenario_with_death, play_with_death) if options.death else (draw_scenario, play)
+    )
     began, bad = time.perf_counter(), []
     with ProcessPoolExecutor(options.jobs) as pool:
         seeds = range(options.first, options.first + options.seeds)
@@ -46,7 +54,7 @@
                 took = time.perf_counter() - began
                 print(f"{i} played, {len(bad)} broken, {took:.0f} s", file=sys.stderr, flush=True)
     for seed in bad[:5]:
-        print(tell(*shrink(story(seed))))
+        print(format_scenario(*shrink(story(seed))))
     took = time.perf_counter() - began
     print(
         f"{options.seeds} seeds, {len(bad)} broken, {took:.0f} s, {options.jobs} jobs: {bad[:20]}"
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -30,9 +30,17 @@
 def fleet(members: int, seed: int, loss: float) -> World:
     """A tier in three zones that has come to rest, with `act`."""
     world = World(
-        seed, members, min(5, members), beat=100_000, every=S // 25, first=range(30), acts=30,
-        zones=NODES, step=2 * S, act=True,
-    )  # fmt: skip
+        seed,
+        members,
+        min(5, members),
+        beat=100_000,
+        every=S // 25,
+        first=range(30),
+        acts=30,
+        zones=NODES,
+        step=2 * S,
+        act=True,
+    )
     world.network.loss = loss
     world.start()
     world.kernel.run(15 * S)
@@ -86,7 +94,7 @@
         if kind == "gray":
             part, zone = rng.uniform(0.1, 0.17), "z1"
         if kind == "gray" or (kind in ("sick", "half") and name in chosen):
-            controller.saw = _worse(controller.saw, rng, part, zone)  # type: ignore[method-assign]
+            controller.record = _worse(controller.record, rng, part, zone)  # type: ignore[method-assign]
     if kind == "pause":
         for name in chosen:
             process = world.processes[name]
@@ -94,7 +102,7 @@
             world.kernel.after(rng.randrange(S, 10 * S), process.wake)
     world.kernel.run(world.kernel.now + 20 * S)
     left = sorted(
-        {zone for controller in controllers.values() for zone in controller.posture.zones}
+        {zone for controller in controllers.values() for zone in controller.traffic_policy.zones}
     )
     return f"seed {seed}, {kind}: {', '.join(left)}" if left else ""
 
--- a/sailhitch/__main__.py
+++ b/sailhitch/__main__.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from .control.server import OperatorServer
-    from .handover.succession import Succession
+    from .handover.takeover import Takeover
 
 USAGE = """usage: python -m sailhitch [--help | --version]
 
@@ -39,10 +39,12 @@
     """SIGHUP: goes by the file as it is now, or by the old configuration if it can't be read."""
 
     def __init__(self, platform: Platform, log: Log) -> None:
-        self.platform, self.log = platform, log
+        self.platform = platform
+        self.log = log
         self._again: asyncio.TimerHandle | None = None
 
     def reload(self, tries: int = 0) -> None:
+        """Read the file and apply it; on an error keep the old configuration and try again soon."""
         if self._again is not None:
             self._again.cancel()
             self._again = None
@@ -53,22 +55,23 @@
             # Whatever is wrong with the file, the gateway goes on as it was.
             wrong = str(error).splitlines() or [type(error).__name__]
             more = f" ({len(wrong)} things are wrong)" if len(wrong) > 1 else ""
-            self.log.say(f"SIGHUP: the old configuration stays{more}: {wrong[0]:.200}")
+            self.log.write(f"SIGHUP: the old configuration stays{more}: {wrong[0]:.200}")
             for line in wrong[1:MOST_WRONG]:
-                self.log.say(f"SIGHUP: also {line:.200}")
+                self.log.write(f"SIGHUP: also {line:.200}")
             if tries < len(REREAD):
                 loop = asyncio.get_running_loop()
                 self._again = loop.call_later(REREAD[tries], self.reload, tries + 1)
             return
         host, port = config.discovery
-        self.log.say(f"SIGHUP: new configuration, discovery at {host}:{port}")
+        self.log.write(f"SIGHUP: new configuration, discovery at {host}:{port}")
 
 
 async def serve(config: Config, log: Log, held: socket.socket | None = None) -> None:
     """Run one gateway until SIGTERM has been honoured; `held` is a socket that clients come to."""
     loop = asyncio.get_running_loop()
     platform = Platform(config, loop, log)
-    core, discovery = platform.core, platform.discovery
+    core = platform.core
+    discovery = platform.discovery
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -86,10 +89,10 @@
     heed(signal.SIGHUP)
     if held is None:
         listener.start()
-    log.say(
+    log.write(
         f"sailhitch {__version__} listens on {config.listen[0]}:{config.listen[1]}; "
-        f"cores {config.cores:g}, memory {config.memory_mb} MB, sockets {config.sockets}, "
-        f"{len(config.known.entries)} hosts known"
+        f"cores {config.cores:g}, memory {config.memory_mb} MB, sockets {config.descriptors}, "
+        f"{len(config.known_endpoints.entries)} hosts known"
     )
     settle_memory()
     waits = [loop.create_task(e.wait()) for e in (discovery.settled, stop)]
@@ -99,44 +102,44 @@
     core.ready = not stop.is_set()
     if succession is not None:
         succession.ready()
-    log.say("ready")
+    log.write("ready")
     await stop.wait()
-    log.say("SIGTERM: draining")
+    log.write("SIGTERM: draining")
     if succession is not None and succession.can_pass_on():
         await succession.pass_on()
         await finish(core)
     else:
         await drain(core, listener.close)
     watch.cancel()
-    core.say_stats(core.clock())
+    core.log_statistics(core.clock())
     if operator_server is not None:
         operator_server.close()
     if succession is not None:
         succession.close()
     core.finish()
-    # Danger: the loop takes its handlers with it, and one that comes after it would kill.
+    # The loop takes its handlers with it, and one that comes after it would kill.
     hold_signals()
-    log.say("drained")
+    log.write("drained")
 
 
-async def _succeed(platform: Platform, listener: Listener) -> Succession | None:
-    """Where the platform holds clients' socket it may start a process beside this one."""
+async def _succeed(platform: Platform, listener: Listener) -> Takeover | None:
+    """Return where the platform holds clients' socket it may start a process beside this one."""
     folder = os.environ.get("TMPDIR")
     if not folder:
-        platform.core.logger.say("TMPDIR: not set, so no process before or after is known")
+        platform.core.logger.write("TMPDIR: not set, so no process before or after is known")
         return None
     # Not before it is asked for: the line that has none of this loads none of it.
-    from .handover.files import Places
-    from .handover.succession import Succession
+    from .handover.files import HandoverFiles
+    from .handover.takeover import Takeover
 
-    succession = Succession(platform, listener, Places(folder, platform.config.name))
+    succession = Takeover(platform, listener, HandoverFiles(folder, platform.config.name))
     await succession.inherit()
     succession.open()
     return succession
 
 
 async def _open_operator_server(
-    config: Config, platform: Platform, succession: Succession | None
+    config: Config, platform: Platform, succession: Takeover | None
 ) -> OperatorServer | None:
     if config.operator is None:
         return None
@@ -144,7 +147,7 @@
     from .control.server import OperatorServer
 
     pool = platform.pool
-    announce = succession.said if succession else pool.by_hand
+    announce = succession.mark_changed if succession else pool.set_maintenance
     server = OperatorServer(OperatorHandlers(pool, announce), pool.core.logger)
     address = config.operator
     await retry_shortage(lambda: server.listen(address))
--- a/sailhitch/adapter.py
+++ b/sailhitch/adapter.py
@@ -14,42 +14,37 @@
 from collections.abc import Callable
 from typing import BinaryIO, TextIO, TypeVar
 
-from .interface import (
-    BUSY,
-    CANCELLED,
-    CHANGES,
-    CONNECT_FAILED,
-    DRAINING,
-    ERROR,
-    FAILED,
-    FULL,
-    GONE,
-    MOOT,
-    OK,
-    READY,
-    RESET,
-    RESTORED,
-    TIMEOUT,
-    Listed,
-    Report,
-)
 from .policy import Gateway
+from .policy_interface import (
+    AttemptOutcome,
+    Endpoint,
+    EndpointState,
+    LoadReport,
+    WatchEventKind,
+)
 from .settings import SettingsError, parse_settings
 
-STATES = {"U": READY, "L": DRAINING, "D": GONE}
-MODES = {"update": CHANGES, "replace": FULL, "restored": RESTORED, "unavailable": FAILED}
+STATES = {"U": EndpointState.READY, "L": EndpointState.DRAINING, "D": EndpointState.GONE}
+MODES = {
+    "update": WatchEventKind.CHANGES,
+    "replace": WatchEventKind.SNAPSHOT,
+    "restored": WatchEventKind.RESTORED,
+    "unavailable": WatchEventKind.FAILED,
+}
 CODES = {
-    "done": OK,
-    "err": ERROR,
-    "busy": BUSY,
-    "etimedout": TIMEOUT,
-    "econnrefused": CONNECT_FAILED,
-    "econnreset": RESET,
-    "ecanceled": CANCELLED,
-    "skipped": MOOT,
+    "done": AttemptOutcome.OK,
+    "err": AttemptOutcome.ERROR,
+    "busy": AttemptOutcome.BUSY,
+    "etimedout": AttemptOutcome.TIMEOUT,
+    "econnrefused": AttemptOutcome.CONNECT_FAILED,
+    "econnreset": AttemptOutcome.RESET,
+    "ecanceled": AttemptOutcome.CANCELLED,
+    "skipped": AttemptOutcome.NOT_SENT,
 }
 FLAGS = {"1": True, "0": False}
-HINTED, REPEAT = 1, 2  # bits of `attrs`: the cost hint is valid; a client's repeat
+# bits of `attrs`: the cost hint is valid; a client's repeat
+HINTED = 1
+REPEAT = 2
 
 T = TypeVar("T")
 
@@ -68,24 +63,31 @@
         self._arm = f"arm\t{instance}\t"
 
     def send(self, req: int, server: str, timeout: int) -> None:
+        """Write the action `relay`."""
         self._out.append(f"{self._relay}{req}\t{server}\t{timeout}")
 
     def refuse(self, req: int, retry_after: int) -> None:
+        """Write the action `turn_away`."""
         self._out.append(f"turn_away\t{self._instance}\t{req}\t{retry_after}")
 
     def fail(self, req: int) -> None:
+        """Write the action `finish_error`."""
         self._out.append(f"finish_error\t{self._instance}\t{req}")
 
     def cancel(self, req: int, attempt: int) -> None:
+        """Write the action `call_off`."""
         self._out.append(f"call_off\t{self._instance}\t{req}\t{attempt}")
 
     def set_timer(self, token: int, at: int) -> None:
+        """Write the action `arm`."""
         self._out.append(f"{self._arm}{token}\t{at}")
 
     def watch(self, on: bool) -> None:
+        """Write the action `follow`."""
         self._out.append(f"follow\t{self._instance}\t{int(on)}")
 
     def log(self, text: str) -> None:
+        """Write the action `write_log`."""
         self._out.append(f"write_log\t{self._instance}\t{text}")
 
 
@@ -146,8 +148,8 @@
         raise WireError(f"field {field}: not base64") from None
 
 
-def _load(field: str, text: str) -> Report | None:
-    """The load report, in microseconds; values it does not know are checked and left out."""
+def _load(field: str, text: str) -> LoadReport | None:
+    """Return the load report, in microseconds; values it does not know are checked and left out."""
     if text == "-":
         return None
     queue = service = inflight = None
@@ -161,14 +163,14 @@
             inflight = _real(field, value)
         else:
             _real(field, value)
-    return Report(queue, service, inflight)
+    return LoadReport(queue, service, inflight)
 
 
-def _listed(parts: list[str]) -> Listed:
+def _listed(parts: list[str]) -> Endpoint:
     if len(parts) != 8 or parts[0] != "m":
         raise WireError("not an entry of the catalog: expected m and 7 values")
     _, host, weight, zone, cell, state, boot, kind = parts
-    return Listed(
+    return Endpoint(
         host,
         _real("weight", weight),
         _optional("campus", zone),
@@ -183,10 +185,11 @@
     """Reads batches, hands each event to its instance and writes what the instances do."""
 
     def __init__(self, source: BinaryIO, sink: BinaryIO) -> None:
-        self._source, self._sink = source, sink
+        self._source = source
+        self._sink = sink
         self._out: list[str] = []
         self._gateways: dict[str, Gateway] = {}
-        self._pages: dict[int, list[Listed]] = {}
+        self._pages: dict[int, list[Endpoint]] = {}
         self._line = 0
         self._now = 0
         self._handlers: dict[str, tuple[int, Callable[[Gateway, list[str]], None]]] = {
@@ -202,7 +205,8 @@
 
     def run(self) -> None:
         """Serve batches until the input ends."""
-        source, out = self._source, self._out
+        source = self._source
+        out = self._out
         in_batch = False
         while raw := source.readline():
             self._line += 1
@@ -229,34 +233,38 @@
             raise WireError("the input ended inside a batch")
 
     def where(self) -> str:
+        """Return the place of the last line that was read, for errors."""
         return f"line {self._line}"
 
     def _event(self, line: str) -> None:
-        parts = line.split("\t")
-        name = parts[0]
-        known = self._handlers.get(name)
+        name = line.partition("\t")[0]
         try:
-            if known is not None:
-                count, handler = known
-                if len(parts) != count:
-                    raise WireError(f"expected {count - 1} values, got {len(parts) - 1}")
-                gateway = self._gateways.get(parts[1])
-                if gateway is None:
-                    raise WireError(f"field gatewayId: no such instance: {parts[1][:60]!r}")
-                handler(gateway, parts)
-            elif name == "attach":
-                self._attach(line.split("\t", 3))
-            elif name == "catalog":
-                self._catalog(parts)
-            elif name == "teardown":
-                if len(parts) != 2:
-                    raise WireError(f"expected 1 value, got {len(parts) - 1}")
-                self._gateways.pop(parts[1], None)
-            else:
-                raise WireError("no such event")
+            self._dispatch(name, line)
         except WireError as error:
             raise WireError(f"{name[:60]}: {error}") from None
 
+    def _dispatch(self, name: str, line: str) -> None:
+        """Handle one line; raises WireError without the event's name."""
+        parts = line.split("\t")
+        if name in self._handlers:
+            count, handler = self._handlers[name]
+            if len(parts) != count:
+                raise WireError(f"expected {count - 1} values, got {len(parts) - 1}")
+            gateway = self._gateways.get(parts[1])
+            if gateway is None:
+                raise WireError(f"field gatewayId: no such instance: {parts[1][:60]!r}")
+            handler(gateway, parts)
+        elif name == "attach":
+            self._attach(line.split("\t", 3))
+        elif name == "catalog":
+            self._catalog(parts)
+        elif name == "teardown":
+            if len(parts) != 2:
+                raise WireError(f"expected 1 value, got {len(parts) - 1}")
+            self._gateways.pop(parts[1], None)
+        else:
+            raise WireError("no such event")
+
     def _call(self, instance: str, decide: Callable[[], None]) -> None:
         """Let the module decide; its exceptions are the instance's fault, not the wire's."""
         try:
@@ -293,7 +301,8 @@
     def _catalog(self, parts: list[str]) -> None:
         if len(parts) != 3:
             raise WireError(f"expected 2 values, got {len(parts) - 1}")
-        page, count = _whole("page", parts[1]), _whole("hosts", parts[2])
+        page = _whole("page", parts[1])
+        count = _whole("hosts", parts[2])
         entries = []
         for _ in range(count):
             self._line += 1
@@ -305,13 +314,13 @@
 
     def _roster_change(self, gateway: Gateway, parts: list[str]) -> None:
         mode = _word("mode", parts[2], MODES)
-        entries: list[Listed] = []
-        if mode != FAILED:
+        entries: list[Endpoint] = []
+        if mode != WatchEventKind.FAILED:
             page = _whole("page", parts[4])
             if page not in self._pages:
                 raise WireError(f"field page: no such catalog: {page}")
             entries = self._pages[page]
-        self._call(parts[1], lambda: gateway.members(self._now, mode, entries))
+        self._call(parts[1], lambda: gateway.on_watch_event(self._now, mode, entries))
 
     def _job_in(self, gateway: Gateway, parts: list[str]) -> None:
         _, instance, req, attrs, predicted, deadline, grade, key, tenant = parts
@@ -332,9 +341,12 @@
 
     def _done(self, gateway: Gateway, parts: list[str]) -> None:
         _, instance, req, closed, code, attempt, lag, host, load = parts
-        number, which = _whole("req", req), _whole("n", attempt)
-        status, over = _word("code", code, CODES), _word("closed", closed, FLAGS)
-        took, report = _optional("lag", lag), _load("load", load)
+        number = _whole("req", req)
+        which = _whole("n", attempt)
+        status = _word("code", code, CODES)
+        over = _word("closed", closed, FLAGS)
+        took = _optional("lag", lag)
+        report = _load("load", load)
         try:
             gateway.outcome(self._now, number, which, status, over, took, host, report)
         except Exception as error:
@@ -346,16 +358,18 @@
 
     def _left(self, gateway: Gateway, parts: list[str]) -> None:
         req = _whole("req", parts[2])
-        self._call(parts[1], lambda: gateway.gone(self._now, req))
+        self._call(parts[1], lambda: gateway.client_disconnected(self._now, req))
 
     def _headers(self, gateway: Gateway, parts: list[str]) -> None:
-        req, attempt, lag = (
-            _whole("req", parts[2]), _whole("n", parts[3]), _optional("lag", parts[5]),
-        )  # fmt: skip
-        self._call(parts[1], lambda: gateway.first(self._now, req, attempt, parts[4], lag))
+        req = _whole("req", parts[2])
+        attempt = _whole("n", parts[3])
+        lag = _optional("lag", parts[5])
+        self._call(
+            parts[1], lambda: gateway.response_started(self._now, req, attempt, parts[4], lag)
+        )
 
     def _pong(self, gateway: Gateway, parts: list[str]) -> None:
-        """A probe's finding is none of the module's: none are sent, as answers report the same."""
+        """Ignore a probe's result: no probes are sent, as responses report the same."""
         _word("code", parts[3], CODES)
         _optional("lag", parts[4])
         _load("load", parts[5])
--- a/sailhitch/control/handlers.py
+++ b/sailhitch/control/handlers.py
@@ -36,5 +36,5 @@
         if out != maintenance.is_out(target):
             self.announce(target, out)
             word = "out for maintenance" if out else "back in use"
-            self.core.logger.say(f"operators: host {target:.80} {word}")
+            self.core.logger.write(f"operators: host {target:.80} {word}")
         return True
--- a/sailhitch/control/requests.py
+++ b/sailhitch/control/requests.py
@@ -12,7 +12,9 @@
 import httptools
 
 MAX_REQUEST_BYTES: Final = 8 * 1024  # head and body
-STATUS, ENTER, EXIT = "/status", "/maintenance/enter", "/maintenance/exit"
+STATUS = "/status"
+ENTER = "/maintenance/enter"
+EXIT = "/maintenance/exit"
 METHODS: Final = {STATUS: ("GET", "HEAD"), ENTER: ("POST",), EXIT: ("POST",)}
 
 
--- a/sailhitch/control/server.py
+++ b/sailhitch/control/server.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import Final, cast
 
+from ..core.endpoints import Address
 from ..core.log import Log
-from ..core.terms import Address
 from .requests import OperatorActions, OperatorRequest, OperatorResponse
 
 MAX_CONNECTIONS: Final = 12  # without a response yet; one more closes the oldest
@@ -41,7 +41,9 @@
         try:
             response = self.request.feed(data)
         except Exception as error:
-            self.server.log.often("operators", f"a call of the operators failed: {error!r:.100}")
+            self.server.log.write_limited(
+                "operators", f"a call of the operators failed: {error!r:.100}"
+            )
             response = OperatorResponse(500, "the call failed here; the log says why")
         if response is not None:
             self.answer(response)
@@ -68,7 +70,8 @@
     """
 
     def __init__(self, actions: OperatorActions, log: Log) -> None:
-        self.actions, self.log = actions, log
+        self.actions = actions
+        self.log = log
         self.loop = asyncio.get_running_loop()
         self.pending: dict[_OperatorConnection, None] = {}  # without a response, oldest first
         self.server: asyncio.Server | None = None
--- a/sailhitch/core/budget.py
+++ b/sailhitch/core/budget.py
@@ -8,9 +8,8 @@
 HELD_MOST: Final = 64 * 1024  # bodies and answers of up to so much are held whole; longer ones flow
 LONGEST: Final = 40 * MB  # they are up to 32 MB long; more than this has no end
 PROCESS: Final = 32 * MB  # what the rest of the process needs
-SHARE: Final = (
-    3  # one part in so many of what is left may be bodies; answers and buffers need theirs
-)
+# One part in so many of what is left may be bodies; answers and buffers need theirs.
+SHARE: Final = 3
 LEAST: Final = 2 * MB
 
 
@@ -27,23 +26,23 @@
     """
 
     def __init__(self, memory_mb: int) -> None:
-        self.held = self.most = 0
+        self.reserved = self.limit = 0
         self.flows = 0  # bytes on their way through, of bodies and answers that are not held whole
         self.resize(memory_mb)
 
     def resize(self, memory_mb: int) -> None:
-        self.most = max(LEAST, (memory_mb * MB - PROCESS) // SHARE)
+        self.limit = max(LEAST, (memory_mb * MB - PROCESS) // SHARE)
 
     def take(self, size: int) -> bool:
         """Count bytes that have come; False, and nothing counted, if there is no room for them."""
-        if self.held + size > self.most:
+        if self.reserved + size > self.limit:
             return False
-        self.held += size
+        self.reserved += size
         return True
 
     def share(self) -> float:
-        """The share in use of whichever is shorter: what is held, or what flows."""
-        return max(self.held, self.flows) / self.most
+        """Return the share in use of whichever is shorter: what is held, or what flows."""
+        return max(self.reserved, self.flows) / self.limit
 
     def give_back(self, size: int) -> None:
-        self.held -= size
+        self.reserved -= size
--- a/sailhitch/core/interfaces.py
+++ b/sailhitch/core/interfaces.py
@@ -5,26 +5,27 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..front import Reason
-from .terms import Answer, Entry
+from .endpoints import EndpointAddress
+from .response import Response
 
 if TYPE_CHECKING:
-    from .exchange import Attempt, Exchange
+    from .request_context import Attempt, RequestContext
 
 
 class Client(Protocol):
     """A front's side of one request, which gets exactly one final answer."""
 
-    def serve(self, exchange: Exchange, answer: Answer) -> None:
+    def serve(self, request: RequestContext, answer: Response) -> None:
         """Send a host's whole answer."""
 
-    def refuse(self, exchange: Exchange, retry_after: int) -> None:
+    def refuse(self, request: RequestContext, retry_after: int) -> None:
         """Refuse the request; `retry_after` in microseconds, 0 for no advice."""
 
-    def fail(self, exchange: Exchange, late: bool) -> None:
+    def fail(self, request: RequestContext, late: bool) -> None:
         """Report a failure, or a time-out (`late`); the request may have taken effect."""
 
     def begin(
-        self, exchange: Exchange, answer: Answer, length: int | None, source: ResponseSource
+        self, request: RequestContext, answer: Response, length: int | None, source: ResponseSource
     ) -> None:
         """Send the head of a host's answer; its body follows by `more` until `end` or `cut`.
 
@@ -47,20 +48,20 @@
 class ResponseSource(Protocol):
     """Where a streamed answer comes from: a connection to a host."""
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Pause: the client reads more slowly than the host sends."""
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Resume: the client has read all that was sent."""
 
-    def unwanted(self) -> None:
+    def cancelled(self) -> None:
         """Cancel: the client has gone."""
 
 
 class Connection(Protocol):
     """A front's connection, as admission control and the drain use it."""
 
-    def let_go(self, reason: Reason) -> bool:
+    def close_unless_unread(self, reason: Reason) -> bool:
         """Close now; return False, and don't close, if bytes of a request are here unread."""
 
     def close_idle(self, reason: Reason) -> bool:
@@ -75,7 +76,7 @@
     def is_closed(self) -> bool:
         """Return whether this side has closed it and written all: its descriptor is freed next."""
 
-    def owes(self) -> bool:
+    def has_unanswered_request(self) -> bool:
         """Return whether the client may still get an answer, or bytes already written."""
 
     def abort(self) -> None:
@@ -94,7 +95,7 @@
     def abandon(self) -> None:
         """Drop the answer, which may still come."""
 
-    def holds_back(self) -> bool:
+    def has_unsent_bytes(self) -> bool:
         """Return whether part of the request is not sent: abandoned now, it never ran."""
 
 
@@ -120,7 +121,7 @@
     def is_connected(self, attempt: Attempt) -> bool:
         """Return whether the system has connected it, while it still waits for its connection."""
 
-    def list_host(self, entry: Entry) -> None:
+    def list_host(self, entry: EndpointAddress) -> None:
         """Add a host, or update a known one."""
 
     def drop_host(self, name: str) -> None:
--- a/sailhitch/core/invariants.py
+++ b/sailhitch/core/invariants.py
@@ -9,9 +9,9 @@
 
 from enum import Enum
 
-from ..settings import KEYED, SAFE, UNSAFE
-from .exchange import Attempt, Exchange
+from ..settings import Idempotency
 from .log import Log
+from .request_context import Attempt, RequestContext
 
 
 class Violation(Enum):
@@ -38,12 +38,12 @@
         """Return the number of violations so far."""
         return sum(self.counts.values())
 
-    def found(self, violation: Violation, exchange: Exchange, more: str = "") -> Violation:
+    def record(self, violation: Violation, request: RequestContext, more: str = "") -> Violation:
         """Record a violation."""
         self.counts[violation] += 1
-        name = exchange.name.decode("latin-1")
+        name = request.name.decode("latin-1")
         text = f"violation: request {name}: {violation.value}{more}"
-        self._log.often(f"violation {violation.name}", text)
+        self._log.write_limited(f"violation {violation.name}", text)
         return violation
 
     def before_send(
@@ -54,40 +54,42 @@
         `ready`: the list has its host as ready. `remembered`: hosts still know a repeat of it as
         one.
         """
-        exchange = attempt.exchange
+        request = attempt.request
         violation = None
-        if exchange.closed:
+        if request.closed:
             violation = Violation.SENT_UNOWED
-        elif now >= attempt.ends:
+        elif now >= attempt.expires_at:
             violation = Violation.SENT_LATE
         elif not ready:
             violation = Violation.SENT_UNLISTED
         elif _repeats(attempt) and not remembered:
             violation = Violation.REPEATED
         if violation is not None:
-            self.found(violation, exchange, f" (attempt {attempt.n} at {attempt.server})")
+            self.record(violation, request, f" (attempt {attempt.number} at {attempt.server})")
         return violation
 
-    def before_refusal(self, exchange: Exchange) -> bool:
+    def before_refusal(self, request: RequestContext) -> bool:
         """Return whether a refusal, which promises that a repeat is harmless, is true."""
-        kind = exchange.kind
-        if kind is None or kind.effect != UNSAFE or not exchange.ran_at:
+        kind = request.request_class
+        if kind is None or kind.idempotency != Idempotency.UNSAFE or not request.first_run_at:
             return True
-        self.found(Violation.REFUSED_AFTER_RUN, exchange)
+        self.record(Violation.REFUSED_AFTER_RUN, request)
         return False
 
-    def told(self) -> str:
+    def summary(self) -> str:
         """Return the violations by kind, for the log; empty if there are none."""
         return " ".join(f"{v.name.lower()}={count}" for v, count in self.counts.items() if count)
 
 
 def _repeats(attempt: Attempt) -> bool:
     """Return whether an attempt could make an effect happen a second time."""
-    exchange = attempt.exchange
-    kind = exchange.kind
-    if kind is None or kind.effect == SAFE:
+    request = attempt.request
+    kind = request.request_class
+    if kind is None or kind.idempotency == Idempotency.SAFE:
         return False
-    if kind.effect == KEYED:
-        return bool(exchange.ran_at)
-    others = [one for one in exchange.out if one is not attempt and one.conn is not None]
-    return bool(exchange.ran_at or others)
+    if kind.idempotency == Idempotency.KEYED:
+        return bool(request.first_run_at)
+    others = [
+        one for one in request.open_attempts if one is not attempt and one.connection is not None
+    ]
+    return bool(request.first_run_at or others)
--- a/sailhitch/core/log.py
+++ b/sailhitch/core/log.py
@@ -14,20 +14,23 @@
 
 
 class Log:
-    """Owns standard error. Danger: whatever a peer can cause a thousand times a second must not
-    cost a line each time; what is left out is counted and said with the next line of its kind."""
+    """Owns standard error. Whatever a peer can cause a thousand times a second must not
+    cost a line each time; what is left out is counted and said with the next line of its kind.
+    """
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._last: dict[str, tuple[float, int]] = {}
-        self._second, self._lines = 0, 0
+        self._second = 0
+        self._lines = 0
         self._lost = 0  # lines that standard error did not take
 
-    def say(self, text: str) -> None:
+    def write(self, text: str) -> None:
         """Write a line that comes seldom by itself."""
         now = time.time()
         if int(now) != self._second:
-            self._second, self._lines = int(now), 0
+            self._second = int(now)
+            self._lines = 0
         self._lines += 1
         if self._lines > BURST:
             return
@@ -37,13 +40,14 @@
                 self._lost += 1
                 return
             if self._lost:
-                text, self._lost = f"{text} ({self._lost} lines were lost before)", 0
+                text = f"{text} ({self._lost} lines were lost before)"
+                self._lost = 0
             sys.stderr.write(_line(f"{stamp} {self._name} {text}"))
             sys.stderr.flush()
         except (OSError, ValueError):
             return  # nobody reads the log; the gateway goes on
 
-    def often(self, key: str, text: str) -> None:
+    def write_limited(self, key: str, text: str) -> None:
         """Write a line about something that may happen often: one in a while for each key."""
         now = time.monotonic()
         last, missed = self._last.get(key, (-PER_KEY, 0))
@@ -53,13 +57,13 @@
         if len(self._last) >= KEYS:
             self._last.clear()
         self._last[key] = (now, 0)
-        self.say(f"{text} ({missed} more like this before)" if missed else text)
+        self.write(f"{text} ({missed} more like this before)" if missed else text)
 
 
 def _line(text: str) -> str:
     """Return a text as one line, cut where it is too long.
 
-    Danger: what is cut must be bytes and not characters, and must not be the end of the line: the
+    What is cut must be bytes and not characters, and must not be the end of the line: the
     next line would run into it.
     """
     encoded = text.encode(errors="backslashreplace")
--- a/sailhitch/core/maintenance.py
+++ b/sailhitch/core/maintenance.py
@@ -11,12 +11,15 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-from ..interface import DRAINING, READY, Listed
+from ..policy_interface import (
+    Endpoint,
+    EndpointState,
+)
 
 REMEMBERED: Final = 20_000  # ids ever listed; a call that names an older one is answered no
 
 
-class Told(Enum):
+class MaintenanceResult(Enum):
     """What a call came to."""
 
     CHANGED = "changed"
@@ -24,7 +27,7 @@
     UNKNOWN = "unknown"  # never listed here
 
 
-class Returned(NamedTuple):
+class CompletedBan(NamedTuple):
     """A host that was put back: when it was taken out, and when its ban ended."""
 
     entered: int
@@ -35,62 +38,68 @@
     """Bans, and what is still to be borne in mind after them."""
 
     def __init__(self) -> None:
-        self.ever: OrderedDict[str, None] = OrderedDict()
+        self.known_names: OrderedDict[str, None] = OrderedDict()
         self.bans: dict[str, int] = {}  # since when
-        self.returned: dict[str, Returned] = {}
+        self.returned: dict[str, CompletedBan] = {}
 
-    def saw(self, names: Iterable[str]) -> None:
+    def add_names(self, names: Iterable[str]) -> None:
         """These are or were listed."""
         for name in names:
-            self.ever[name] = None
-            self.ever.move_to_end(name)
-        while len(self.ever) > REMEMBERED:
-            self.ever.popitem(last=False)
+            self.known_names[name] = None
+            self.known_names.move_to_end(name)
+        while len(self.known_names) > REMEMBERED:
+            self.known_names.popitem(last=False)
 
     def knows(self, name: str) -> bool:
-        """Whether a host of this id was ever listed here."""
-        return name in self.ever or name in self.bans
+        """Return whether a host of this id was ever listed here."""
+        return name in self.known_names or name in self.bans
 
     def is_out(self, name: str) -> bool:
-        """Whether staff have taken it out."""
+        """Return whether staff have taken it out."""
         return name in self.bans
 
-    def enter(self, name: str, now: int) -> Told:
+    def enter(self, name: str, now: int) -> MaintenanceResult:
         """Take a host out. Its ban lasts until `leave`, however often this is said."""
         if name in self.bans:
-            return Told.ALREADY
-        if name not in self.ever:
-            return Told.UNKNOWN
+            return MaintenanceResult.ALREADY
+        if name not in self.known_names:
+            return MaintenanceResult.UNKNOWN
         self.bans[name] = now
         self.returned.pop(name, None)
-        return Told.CHANGED
+        return MaintenanceResult.CHANGED
 
-    def leave(self, name: str, now: int) -> Told:
+    def leave(self, name: str, now: int) -> MaintenanceResult:
         """Put a host back; one call ends any number of `enter`."""
         entered = self.bans.pop(name, None)
         if entered is None:
-            return Told.ALREADY if name in self.ever else Told.UNKNOWN
-        self.returned[name] = Returned(entered, now)
-        return Told.CHANGED
+            return (
+                MaintenanceResult.ALREADY if name in self.known_names else MaintenanceResult.UNKNOWN
+            )
+        self.returned[name] = CompletedBan(entered, now)
+        return MaintenanceResult.CHANGED
 
-    def over(self, listed: Listed) -> Listed:
-        """What the module is to hear of a host that is listed so.
+    def apply_to(self, listed: Endpoint) -> Endpoint:
+        """Return what the module is to hear of a host that is listed so.
 
-        Danger: hosts are taken out to be restarted, and the list tells of a start late. Taken for
+        Hosts are taken out to be restarted, and the list tells of a start late. Taken for
         a warm one, a host that has just come back is pushed over. So from the end of its ban on it
         counts as started then, until the list tells of a start since it was taken out.
         """
-        name = listed.server
+        name = listed.name
         if name in self.bans:
-            return listed._replace(state=DRAINING) if listed.state == READY else listed
+            return (
+                listed._replace(state=EndpointState.DRAINING)
+                if listed.state == EndpointState.READY
+                else listed
+            )
         back = self.returned.get(name)
         if back is None:
             return listed
-        if listed.boot >= back.entered:
+        if listed.started_at >= back.entered:
             del self.returned[name]
             return listed
-        return listed._replace(boot=back.left)
+        return listed._replace(started_at=back.left)
 
-    def gone(self, name: str) -> None:
+    def forget(self, name: str) -> None:
         """A host has left the list. Its ban stays: it may come back under the same id."""
         self.returned.pop(name, None)
--- a/sailhitch/core/policy_snapshot.py
+++ b/sailhitch/core/policy_snapshot.py
@@ -1,59 +1,78 @@
-"""What an instance of the decision module has learned, for the process that goes on in its place.
+"""Snapshots of what the decision module has learned, for the process that takes over.
 
-No decision is made here: what the module knows is taken out of it and put into another one.
+No decision is made here.
 """
 
 from __future__ import annotations
 
-from ..interface import Knowledge, KnownServer
 from ..policy import Gateway
+from ..policy_interface import PolicySnapshot, ServerSnapshot
 
 
-def learned(module: Gateway) -> Knowledge:
-    """What has been learned; what is out, held or counted as tokens stays where it is."""
-    plain, load, typical = KnownServer._fields[1:-1], module.overload, module.scores
-    pairs = zip(load.arrivals[::2], load.arrivals[1::2], strict=True)
-    return Knowledge(
+def take_snapshot(policy: Gateway) -> PolicySnapshot:
+    """Return what was learned; attempts, held requests and tokens are not part of it."""
+    fields = ServerSnapshot._fields[1:-1]
+    overload = policy.overload
+    scores = policy.scores
+    pairs = zip(overload.arrivals[::2], overload.arrivals[1::2], strict=True)
+    return PolicySnapshot(
         {
-            s.name: KnownServer._make(
-                [s.listed_boot, *[getattr(s, name) for name in plain], s.rate.known()]
+            s.name: ServerSnapshot._make(
+                [
+                    s.listed_started_at,
+                    *[getattr(s, name) for name in fields],
+                    s.rate.take_snapshot(),
+                ]
             )
-            for s in module.roster.servers.values()
-            if s.seen or s.failures
+            for s in policy.endpoint_table.servers.values()
+            if s.answered_at or s.ejections
         },
         {
-            c.name: (load.class_r[i], load.class_work[i])
-            for i, c in enumerate(module.settings.classes)
+            c.name: (overload.class_latency[i], overload.class_work[i])
+            for i, c in enumerate(policy.settings.classes)
         },
-        [(w, *pair) for w, pair in zip(load.worths, pairs, strict=True)],
-        load.t_arrival, load.t_start, (typical.q, typical.r, typical.all),
-        list(typical.service), load.fleet.known(), load.late_sum,
-    )  # fmt: skip
+        [(w, *pair) for w, pair in zip(overload.priority_levels, pairs, strict=True)],
+        overload.arrivals_at,
+        overload.started_at,
+        (
+            scores.typical_queue,
+            scores.typical_response_time,
+            scores.typical_service_time,
+        ),
+        list(scores.typical_service_times),
+        overload.fleet.take_snapshot(),
+        overload.late_sum,
+    )
 
 
-def teach(module: Gateway, knowledge: Knowledge) -> None:
-    """Let it go on with what the process before has learned.
+def restore_snapshot(policy: Gateway, snapshot: PolicySnapshot) -> None:
+    """Continue with what the predecessor has learned.
 
-    Danger: without it the new process takes every server for as good as any and the fleet for
-    empty, and fills the slow ones first. What it knows of another life of a server is dropped.
+    Without it a new process would take all servers for equal and idle, and overload the slow ones
+    first. What was learned of another instance of a server is dropped.
     """
-    load, typical = module.overload, module.scores
-    for name, known in knowledge.servers.items():
-        server = module.roster.servers.get(name)
-        if server is not None and server.listed_boot == known.boot:
-            for field, value in zip(KnownServer._fields[2:-1], known[2:-1], strict=True):
+    overload = policy.overload
+    scores = policy.scores
+    for name, known in snapshot.servers.items():
+        server = policy.endpoint_table.servers.get(name)
+        if server is not None and server.listed_started_at == known.started_at:
+            for field, value in zip(ServerSnapshot._fields[2:-1], known[2:-1], strict=True):
                 setattr(server, field, value)
-            server.rate.adopt(known.rate)
-    for i, cls in enumerate(module.settings.classes):
-        if cls.name in knowledge.classes:
-            load.class_r[i], load.class_work[i] = knowledge.classes[cls.name]
-    for worth, *counts in knowledge.arrivals:
-        if worth in load.worths:
-            at = 2 * load.worths.index(worth)
-            load.arrivals[at : at + 2] = counts
-    load.t_arrival, load.t_start = knowledge.t_arrival, knowledge.t_start
-    typical.q, typical.r, typical.all = knowledge.typical
-    if len(knowledge.typical_service) == len(typical.service):
-        typical.service = list(knowledge.typical_service)
-    load.fleet.adopt(knowledge.fleet)
-    load.late_sum = knowledge.late_sum
+            server.rate.restore_snapshot(known.rate)
+    for i, cls in enumerate(policy.settings.classes):
+        if cls.name in snapshot.classes:
+            overload.class_latency[i], overload.class_work[i] = snapshot.classes[cls.name]
+    for worth, *counts in snapshot.arrivals:
+        if worth in overload.priority_levels:
+            at = 2 * overload.priority_levels.index(worth)
+            overload.arrivals[at : at + 2] = counts
+    overload.arrivals_at = snapshot.arrivals_at
+    overload.started_at = snapshot.started_at
+    queue, response_time, service_time = snapshot.typical
+    scores.typical_queue = queue
+    scores.typical_response_time = response_time
+    scores.typical_service_time = service_time
+    if len(snapshot.typical_service_times) == len(scores.typical_service_times):
+        scores.typical_service_times = list(snapshot.typical_service_times)
+    overload.fleet.restore_snapshot(snapshot.fleet)
+    overload.late_sum = snapshot.late_sum
--- a/sailhitch/core/process.py
+++ b/sailhitch/core/process.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from .core import Core
+from .core import GatewayCore
 
 ACCEPT_ON: Final = 0.6  # s after SIGTERM; new connections go on coming for 0.4 s
 STEP: Final = 0.02
@@ -36,12 +36,12 @@
     # The collector need not look at that again.
     gc.collect()
     gc.freeze()
-    # Danger: what connections leave in cycles is only freed by a look at the oldest generation,
+    # What connections leave in cycles is only freed by a look at the oldest generation,
     # which must come often enough that it doesn't add up over a long day.
     gc.set_threshold(10_000, 10, 10)
 
 
-async def drain(core: Core, stop_listening: Callable[[], None]) -> None:
+async def drain(core: GatewayCore, stop_listening: Callable[[], None]) -> None:
     """SIGTERM: serve on for a while, take nobody new in, and return when nothing is owed."""
     core.drain()
     await asyncio.sleep(ACCEPT_ON)
@@ -50,9 +50,9 @@
     await finish(core)
 
 
-async def finish(core: Core) -> None:
+async def finish(core: GatewayCore) -> None:
     """Draining: each answer is a connection's last. Returns when nothing is owed, or time is up."""
     # Peers that never get on with it must not keep the process from its end.
     last = core.drain_until + AFTERWARDS
-    while core.hang_up() and core.clock() < last:
+    while core.close_idle_clients() and core.clock() < last:
         await asyncio.sleep(STEP)
--- a/sailhitch/core/throughput_watchdog.py
+++ b/sailhitch/core/throughput_watchdog.py
@@ -19,7 +19,9 @@
     __slots__ = ("_last", "_since", "_spent", "grace", "moved", "rate", "stall")
 
     def __init__(self, now: int, rate: int = RATE, grace: int = GRACE, stall: int = STALL) -> None:
-        self.rate, self.grace, self.stall = rate, grace, stall
+        self.rate = rate
+        self.grace = grace
+        self.stall = stall
         self.moved = 0  # bytes
         self._spent = 0  # counted time, up to `_since`
         self._since: int | None = now  # since when the clock runs; None while it is stopped
@@ -37,7 +39,8 @@
 
     def stop(self, now: int) -> None:
         """Stop the clock: the peer is not waited for."""
-        self._spent, self._since = self.spent(now), None
+        self._spent = self.spent(now)
+        self._since = None
 
     def go(self, now: int) -> None:
         """Run the clock again; the limit on time without a byte starts anew."""
--- a/sailhitch/core/timer_wheel.py
+++ b/sailhitch/core/timer_wheel.py
@@ -8,6 +8,7 @@
 from typing import Final, Generic, TypeVar
 
 MS: Final = 1000
+NEVER: Final = 1 << 62  # us; a time that never comes
 LATE: Final = 40 * MS  # us of delay after which sockets are read before timers fire
 
 T = TypeVar("T")
@@ -32,7 +33,10 @@
         stalled: Callable[[int, int], None],
         moot: Callable[[T, int], bool] = lambda what, at: False,
     ) -> None:
-        self.loop, self.clock, self.fire, self.failed = loop, clock, fire, failed
+        self.loop = loop
+        self.clock = clock
+        self.fire = fire
+        self.failed = failed
         self.moot = moot
         self.stalled = stalled  # called with the time and the delay, before sockets are read
         self.lag = 0  # delay of the last turn; 0 up to 2 ms
--- a/sailhitch/core/upload.py
+++ b/sailhitch/core/upload.py
@@ -14,10 +14,10 @@
 class Source(Protocol):
     """Where it comes from: a front's connection."""
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Read no more for now."""
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Read on."""
 
 
@@ -34,25 +34,26 @@
     __slots__ = (
         "_pending",
         "_reserved",
+        "abandoned",
         "budget",
         "chunked",
-        "over",
+        "complete",
         "sink",
         "size",
         "source",
         "start",
-        "whole",
-    )  # fmt: skip
+    )
 
     def __init__(
         self, source: Source, start: bytes | bytearray, chunked: bool, budget: Budget
     ) -> None:
-        self.source, self.budget = source, budget
+        self.source = source
+        self.budget = budget
         self.chunked = chunked  # its length is not known beforehand
         self.start: bytearray | None = bytearray(start)  # None: it is not held any more
         self.size = len(start)
-        self.whole = False  # its last byte has come
-        self.over = False  # nobody wants it any more
+        self.complete = False  # its last byte has come
+        self.abandoned = False  # nobody wants it any more
         self.sink: Sink | None = None
         self._pending = bytearray()  # of the read that is being looked at
         self._reserved = 0
@@ -63,18 +64,18 @@
         self._reserved = size
 
     def replayable(self) -> bool:
-        """Whether an attempt can still send it from its first byte on."""
-        return self.start is not None and not self.over
+        """Return whether an attempt can still send it from its first byte on."""
+        return self.start is not None and not self.abandoned
 
     def came(self, data: bytes) -> None:
         """Some of it has come; `flush` follows once all of a read has."""
         self.size += len(data)
-        if not self.over:
+        if not self.abandoned:
             self._pending += data
 
     def flush(self) -> None:
         """All of a read has come: hand it on, or keep it where it can't go yet."""
-        if self.over:
+        if self.abandoned:
             return
         if self.sink is None:
             if self.start is not None:
@@ -83,25 +84,25 @@
                 self._pending.clear()
             else:
                 self._reserve(len(self._pending))
-            self.source.hold()
-        elif self._pending or self.whole:
+            self.source.pause_reading()
+        elif self._pending or self.complete:
             data = bytes(self._pending)
             self._pending.clear()
             self.start = None
             self._reserve(len(data))
-            self.source.hold()
-            self.sink.more(data, self.whole)
+            self.source.pause_reading()
+            self.sink.more(data, self.complete)
 
     def open(self, sink: Sink) -> tuple[bytes, bool]:
-        """An attempt begins: the start, and whether that is all. Only while `replayable`."""
+        """Return an attempt begins: the start, and whether that is all. Only while `replayable`."""
         assert self.start is not None
         self.sink = sink
-        return bytes(self.start), self.whole
+        return bytes(self.start), self.complete
 
     def taken(self, sink: Sink) -> None:
         """The sink holds nothing any more; the source may bring more."""
-        if self.sink is sink and not self.over and not self.whole:
-            self.source.go_on()
+        if self.sink is sink and not self.abandoned and not self.complete:
+            self.source.resume_reading()
 
     def left(self, sink: Sink) -> None:
         """The attempt that took it is over."""
@@ -110,9 +111,9 @@
 
     def close(self) -> None:
         """The request is over: what still comes is thrown away as it comes."""
-        if not self.over:
-            self.over = True
+        if not self.abandoned:
+            self.abandoned = True
             self.sink = self.start = None
             self._pending.clear()
             self._reserve(0)
-            self.source.go_on()
+            self.source.resume_reading()
--- a/sailhitch/daemon/admin.py
+++ b/sailhitch/daemon/admin.py
@@ -21,20 +21,23 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, Final
 
+from ..core.endpoints import EndpointAddress
 from ..core.pool import Pool
-from ..core.terms import Entry
-from .live import ApplyError, Live
 from .plan import MovedError, PlanError
-from .source import Source, StillPendingError
-from .store import Applied, Record, StoreError
+from .source import StateSource, StillPendingError
+from .state_applier import ApplyError, StateApplier
+from .store import AppliedState, HistoryRecord, StoreError
 
 if TYPE_CHECKING:
-    from .tiered import Tiered
+    from .tier_source import TierStateSource
 
 MOST: Final = 32 << 20  # bytes of a request; a plan for ten thousand nodes takes three
 PATIENCE: Final = 10.0  # s for a request to come whole, and for its answer to be taken
 CLIENTS: Final = 8  # at a time
-MOVED, PLAN, FAILED, BAD = "moved", "plan", "failed", "bad"
+MOVED = "moved"
+PLAN = "plan"
+FAILED = "failed"
+BAD = "bad"
 
 
 class AdminError(Exception):
@@ -44,8 +47,17 @@
 class Admin:
     """Serves the admin socket."""
 
-    def __init__(self, live: Live, source: Source, path: Path, tier: Tiered | None = None) -> None:
-        self.live, self.source, self.path, self.tier = live, source, path, tier
+    def __init__(
+        self,
+        live: StateApplier,
+        source: StateSource,
+        path: Path,
+        tier: TierStateSource | None = None,
+    ) -> None:
+        self.live = live
+        self.source = source
+        self.path = path
+        self.tier = tier
         self.clients = 0
         self._server: asyncio.Server | None = None
 
@@ -53,7 +65,7 @@
         """Listen; raises AdminError. A socket that nobody serves any more is taken over."""
         _clear(self.path)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        # Danger: a socket made with another mode and changed after that is open for a moment.
+        # A socket made with another mode and changed after that is open for a moment.
         before = os.umask(0o177)
         try:
             sock.bind(str(self.path))
@@ -127,7 +139,7 @@
             return {"ok": True, "pools": hosts(self.live)}
         if op == "apply":
             by = _user(peer_uid(writer.get_extra_info("socket")))
-            # Danger: a client that goes away must not take an apply with it half-way.
+            # A client that goes away must not take an apply with it half-way.
             plan = str(request.get("plan", ""))
             return await asyncio.shield(self._decide(lambda: self.source.apply_plan(plan, by)))
         if op == "ban":
@@ -141,7 +153,8 @@
         return _error(BAD, f"op: not known: {str(op)[:40]!r}")
 
     async def _tier(self, request: dict[str, Any]) -> dict[str, Any]:
-        tier, act = self.tier, request.get("act")
+        tier = self.tier
+        act = request.get("act")
         if tier is None:
             return _error(FAILED, "this gateway is of no tier: its file has no [tier]")
         try:
@@ -150,7 +163,7 @@
             if act == "withdraw":
                 return await tier.withdraw()
             if act == "gone":
-                return await tier.gone(str(request.get("name", "")))
+                return await tier.evict(str(request.get("name", "")))
             if act == "join":
                 return await tier.join(str(request.get("name", "")), str(request.get("place", "")))
         except ApplyError as error:
@@ -161,7 +174,7 @@
         if self.tier is None:
             return _error(FAILED, "this gateway is of no tier: its file has no [tier]")
         try:
-            return await self.tier.zoned.ask(request, by)
+            return await self.tier.zone_coordinator.admin_request(request, by)
         except ApplyError as error:
             return _error(FAILED, str(error))
 
@@ -179,7 +192,8 @@
         return told if self.tier is None else {**told, "tier": self.tier.part.name}
 
     async def _ban(self, request: dict[str, Any], by: str) -> dict[str, Any]:
-        node, live = str(request.get("node", "")), self.source.base().state
+        node = str(request.get("node", ""))
+        live = self.source.base().state
         out = bool(request.get("out"))
         if out and node not in live["nodes"]:
             return _error(FAILED, f"{node!r}: no such node; `sailhitch hosts` has them, pool/id")
@@ -188,16 +202,19 @@
         ban = {"by": by, "when": self.live.core.clock(), "why": str(request.get("why", ""))[:200]}
         return await self._decide(lambda: self.source.ban(node, ban if out else None, by))
 
-    async def _decide(self, work: Callable[[], Awaitable[Applied]]) -> dict[str, Any]:
+    async def _decide(self, work: Callable[[], Awaitable[AppliedState]]) -> dict[str, Any]:
         try:
             applied = await work()
         except MovedError as error:
             return {**_error(MOVED, str(error)), "moved": await self._since(error.since)}
         except StillPendingError as error:
             return {
-                "ok": True, "pending": True, "serial": error.serial,
-                "waiting_for": error.waiting_for, "error": str(error),
-            }  # fmt: skip
+                "ok": True,
+                "pending": True,
+                "serial": error.serial,
+                "waiting_for": error.waiting_for,
+                "error": str(error),
+            }
         except PlanError as error:
             return _error(PLAN, str(error))
         except ApplyError as error:
@@ -205,7 +222,7 @@
         return {"ok": True, **_told(applied)}
 
     async def _since(self, serial: int) -> list[dict[str, Any]]:
-        """What has been applied after that serial; from disk, so in a thread."""
+        """Return what has been applied after that serial; from disk, so in a thread."""
         past = await asyncio.to_thread(self.source.history)
         return [_told(one) for one in past if one.serial > serial]
 
@@ -218,27 +235,32 @@
     return {"ok": False, "code": code, "error": text}
 
 
-def _told(one: Applied | Record) -> dict[str, Any]:
-    return {"serial": one.serial, "when": one.when, "by": one.by, "summary": one.summary}
+def _told(one: AppliedState | HistoryRecord) -> dict[str, Any]:
+    return {
+        "serial": one.serial,
+        "when": one.applied_at,
+        "by": one.applied_by,
+        "summary": one.summary,
+    }
 
 
-def hosts(live: Live) -> dict[str, list[dict[str, Any]]]:
-    """All nodes as they are at this moment, by pool; those that leave too."""
+def hosts(live: StateApplier) -> dict[str, list[dict[str, Any]]]:
+    """Return all nodes as they are at this moment, by pool; those that leave too."""
     found: dict[str, list[dict[str, Any]]] = {}
     for pool in live.core.pools:
         found.setdefault(pool.name, []).extend(
-            _host(pool, name, entry) for name, entry in pool.listed.items()
+            _host(pool, name, entry) for name, entry in pool.endpoints.items()
         )
     return found
 
 
-def _host(pool: Pool, name: str, entry: Entry) -> dict[str, Any]:
-    server = pool.module.roster.servers.get(name)
+def _host(pool: Pool, name: str, entry: EndpointAddress) -> dict[str, Any]:
+    server = pool.policy.endpoint_table.servers.get(name)
     return {
         "node": name,
-        "address": f"{entry.addr[0]}:{entry.addr[1]}",
-        "state": entry.listed.state,
-        "weight": entry.listed.weight,
+        "address": f"{entry.address[0]}:{entry.address[1]}",
+        "state": entry.endpoint.state,
+        "weight": entry.endpoint.weight,
         "failing": name in pool.failing,
         "outstanding": 0 if server is None else server.outstanding,
     }
--- a/sailhitch/daemon/cli.py
+++ b/sailhitch/daemon/cli.py
@@ -77,9 +77,11 @@
     run = command("run", _run, "run a gateway by FILE", "serve this admin socket, not the file's")
     run.add_argument("file", metavar="FILE")
     check = command(
-        "check", _check, "check FILE and say everything that is wrong",
+        "check",
+        _check,
+        "check FILE and say everything that is wrong",
         "also say whether the gateway with this admin socket is as FILE says",
-    )  # fmt: skip
+    )
     check.add_argument("file", metavar="FILE")
     command("state", _state, "print the live state")
     command("hosts", _hosts, "print the nodes as they are at this moment")
@@ -109,9 +111,12 @@
     lab.add_argument("kind", choices=("tier",))
     lab.add_argument("files", metavar="FILE", nargs="+", help="scenarios, as those in deploy/lab")
     lab.add_argument(
-        "--model", metavar="SEEDS", type=int, default=0,
+        "--model",
+        metavar="SEEDS",
+        type=int,
+        default=0,
         help="play each in the model too, by so many seeds, and compare; a difference exits 1",
-    )  # fmt: skip
+    )
     maintenance = command("maintenance", _maintenance, "take a node out by hand, or put it back")
     maintenance.add_argument("act", choices=("enter", "exit", "list"))
     maintenance.add_argument("node", metavar="POOL/NODE", nargs="?")
@@ -122,9 +127,10 @@
 
 def _add_wait(command: argparse.ArgumentParser) -> None:
     command.add_argument(
-        "--wait", action="store_true",
+        "--wait",
+        action="store_true",
         help="in a tier: until the change is active or withdrawn, however long that takes",
-    )  # fmt: skip
+    )
 
 
 # --- Commands
@@ -336,8 +342,14 @@
             step = read_duration(options.step)
         except ValueError as error:
             raise CommandError(f"zones: --step: {error}") from None
-    asked = {"op": "zones", "act": options.act, "zone": options.zone, "why": options.why,
-             "step": step, "dry_run": options.dry_run}  # fmt: skip
+    asked = {
+        "op": "zones",
+        "act": options.act,
+        "zone": options.zone,
+        "why": options.why,
+        "step": step,
+        "dry_run": options.dry_run,
+    }
     answer = _asked(options, None, asked)
     if options.json:
         print(json.dumps(answer))
@@ -393,7 +405,8 @@
             result = asyncio.run(play(scenario, say))
         except ScenarioError as error:
             raise CommandError(str(error)) from None
-        found, lines = result.as_json(), table(result)
+        found = result.as_json()
+        lines = table(result)
         if options.model:
             beside = compare(result, play_modelled(scenario, range(options.model)))
             found["differs"] = beside.differs
--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -8,46 +8,55 @@
 from dataclasses import dataclass
 from typing import Final
 
-from ..core.exchange import Exchange
 from ..core.pool import Pool
-from ..core.terms import Answer
+from ..core.request_context import RequestContext
+from ..core.response import Response
 from ..net.intake import OWN, READY_PATH, Head, RejectError, read_name, read_wait
-from ..settings import KEYED, SAFE
-from .routes import Asked, PathError, Route, Routes, Sticky, bare_host, choose_pool, normal_path
+from ..settings import Idempotency
+from .routes import (
+    PathError,
+    Route,
+    RouteQuery,
+    Routes,
+    Sticky,
+    bare_host,
+    choose_pool,
+    normal_path,
+)
 from .tables import Tables, effect_of
 
 _TEXT: Final = [(b"content-type", b"Content-Type", b"text/plain")]
 MOST_KEY: Final = 256  # bytes of an Idempotency-Key
 
 
-def come_back(why: bytes) -> Answer:
+def come_back(why: bytes) -> Response:
     """Turned away for what will soon be over: a repeat in a second is harmless."""
-    return Answer(503, [*_TEXT, (b"retry-after", b"Retry-After", b"1")], why)
+    return Response(503, [*_TEXT, (b"retry-after", b"Retry-After", b"1")], why)
 
 
 HELD_BACK: Final = come_back(b"a change of its route is under way\n")
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class RoutingView:
     """All that a request's reading depends on, as of one serial; replaced as a whole."""
 
     routes: Routes
     pools: Mapping[str, Pool]
     tables: Tables
-    also: Also | None = None
-    rules: int = 0
+    class_overlap: RequestClassOverlap | None = None
+    rules_revision: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Also:
+class RequestClassOverlap:
     """Rules that hold beside those of a view: what may not be repeated at will goes by both."""
 
     routes: Routes
-    effects: Mapping[str, str | None]  # as stated, by class
+    stated_effects: Mapping[str, str | None]  # as stated, by class
 
 
-Gate = Callable[[str], Answer | None]  # by effect: an answer in place of the request, or None
+Gate = Callable[[str], Response | None]  # by effect: an answer in place of the request, or None
 
 
 class RoutedIntake:
@@ -60,7 +69,7 @@
 
     own = OWN | {b"req-kind"}
 
-    view: View  # set by the first switch, before anybody is taken in
+    view: RoutingView  # set by the first switch, before anybody is taken in
     gate: Gate | None = None  # asked of each request, where there is somebody to ask
     held_back = 0  # requests that two sets of rules send to different places
 
@@ -70,15 +79,15 @@
         self._prefix = secrets.token_hex(6)  # no two processes make the same id
         self._count = itertools.count(1)
 
-    def read(self, head: Head, found: dict[bytes, bytes], exchange: Exchange) -> bool:
-        """Fill in the exchange. Raises RejectError."""
+    def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
+        """Fill in the request. Raises RejectError."""
         if head.url.partition(b"?")[0] == READY_PATH and b"req-id" not in found:
             return False
         view = self.view
         asked = self._asked(head, found, view.routes)
         route = view.routes.find(asked)
         if route is None:
-            exchange.fallback = Answer(404, _TEXT, b"no route matches\n")
+            request.fallback_response = Response(404, _TEXT, b"no route matches\n")
             return False
         key = found.get(b"idempotency-key")
         if key is not None and not 0 < len(key) <= MOST_KEY:
@@ -86,39 +95,41 @@
         if head.method in (b"GET", b"HEAD") and head.has_body():
             raise RejectError(400, "a body where the method has none")
         number, effect = view.tables.classify(route.cls, head.method, key is not None)
-        exchange.rules = view.rules
+        request.rules_revision = view.rules_revision
         refusal = None if self.gate is None else self.gate(effect)
-        if refusal is None and view.also is not None:
-            by = key if effect == KEYED and key is not None else None
+        if refusal is None and view.class_overlap is not None:
+            by = key if effect == Idempotency.KEYED and key is not None else None
             by = by or found.get(b"cookie") or found.get(b"req-id") or b""
-            if not _agree(view.also, route, asked, effect, key, by):
+            if not _agree(view.class_overlap, route, asked, effect, key, by):
                 refusal = HELD_BACK
                 self.held_back += 1
         if refusal is not None:
-            exchange.fallback = refusal
+            request.fallback_response = refusal
             return False
-        exchange.bare = head.method == b"HEAD"
-        exchange.tenant = view.tables.tenant(found.get(b"req-owner", b"").decode("latin-1"))
-        exchange.repeat = found.get(b"req-retry") == b"1"
-        self._name(exchange, found)
-        exchange.head += b"Req-Kind: %s\r\n" % route.cls.encode()
+        request.head_only = head.method == b"HEAD"
+        request.tenant = view.tables.tenant(found.get(b"req-owner", b"").decode("latin-1"))
+        request.repeat = found.get(b"req-retry") == b"1"
+        self._name(request, found)
+        request.head += b"Req-Kind: %s\r\n" % route.cls.encode()
         part = view.tables.class_part(route.cls)
         longest = part.deadline // 1000
         wait = found.get(b"req-deadline-ms")
-        exchange.wait_ms = longest if wait is None else min(read_wait(wait), longest)
-        if effect == KEYED and key is not None:
+        request.wait_ms = longest if wait is None else min(read_wait(wait), longest)
+        if effect == Idempotency.KEYED and key is not None:
             pool = self._keyed_pool(route.pools, key, part.deadline + part.remembered())
         else:
-            pool = view.pools[choose_pool(route.pools, found.get(b"cookie") or exchange.name)]
+            pool = view.pools[choose_pool(route.pools, found.get(b"cookie") or request.name)]
         if view.pools.get(pool.name) is not pool:
-            # Danger: another pool knows nothing of a first try that may have run in this one.
-            exchange.fallback = Answer(503, _TEXT, b"the pool that this key went to was removed\n")
+            # Another pool knows nothing of a first try that may have run in this one.
+            request.fallback_response = Response(
+                503, _TEXT, b"the pool that this key went to was removed\n"
+            )
             return False
-        exchange.pool = pool
-        exchange.kind = pool.settings.classes[number]
+        request.pool = pool
+        request.request_class = pool.settings.classes[number]
         return True
 
-    def _asked(self, head: Head, found: dict[bytes, bytes], routes: Routes) -> Asked:
+    def _asked(self, head: Head, found: dict[bytes, bytes], routes: Routes) -> RouteQuery:
         try:
             path = normal_path(head.url)
         except PathError as error:
@@ -129,8 +140,9 @@
                 name = low.decode("latin-1")
                 if name in routes.fields:
                     header.setdefault(name, value.decode("latin-1"))
-        cls, tenant = found.get(b"req-kind"), found.get(b"req-owner")
-        return Asked(
+        cls = found.get(b"req-kind")
+        tenant = found.get(b"req-owner")
+        return RouteQuery(
             head.method.decode("latin-1"),
             path,
             bare_host(found.get(b"host", b"").decode("latin-1")),
@@ -139,16 +151,16 @@
             None if tenant is None else tenant.decode("latin-1"),
         )
 
-    def _name(self, exchange: Exchange, found: dict[bytes, bytes]) -> None:
+    def _name(self, request: RequestContext, found: dict[bytes, bytes]) -> None:
         name = found.get(b"req-id")
         if name is not None:
-            exchange.name = read_name(name)
+            request.name = read_name(name)
             return
-        exchange.name = f"{self._prefix}-{next(self._count):x}".encode()
-        exchange.head += b"Req-Id: %s\r\n" % exchange.name
+        request.name = f"{self._prefix}-{next(self._count):x}".encode()
+        request.head += b"Req-Id: %s\r\n" % request.name
 
     def _keyed_pool(self, pools: tuple[tuple[str, float], ...], key: bytes, keep: int) -> Pool:
-        """The pool that a key went to within `keep`, else the one that the split gives it.
+        """Return the pool that a key went to within `keep`, else the one that the split gives it.
 
         For a key that has gone to a pool it is that one, also if it is gone or another has taken
         its name.
@@ -160,20 +172,27 @@
 
 
 def _agree(
-    also: Also, route: Route, asked: Asked, effect: str, key: bytes | None, by: bytes
+    also: RequestClassOverlap,
+    route: Route,
+    asked: RouteQuery,
+    effect: str,
+    key: bytes | None,
+    by: bytes,
 ) -> bool:
-    """Whether a request may go as `route` says, by the other rules too.
+    """Return whether a request may go as `route` says, by the other rules too.
 
     One that is safe by both goes as the first ones say. Any other goes only where both give it the
     same class and, by what it is chosen by, the same pool; what has no key, id or cookie is chosen
     for at random, so only a route with one and the same pool will do.
     """
     other = also.routes.find(asked)
-    if effect == SAFE:
+    if effect == Idempotency.SAFE:
         if other is None:
             return True
-        stated = also.effects.get(other.cls)
-        return effect_of(stated, asked.method.encode("latin-1"), key is not None) == SAFE
+        stated = also.stated_effects.get(other.cls)
+        return (
+            effect_of(stated, asked.method.encode("latin-1"), key is not None) == Idempotency.SAFE
+        )
     if other is None or other.cls != route.cls:
         return False
     if route.pools == other.pools:
--- a/sailhitch/daemon/page_file.py
+++ b/sailhitch/daemon/page_file.py
@@ -60,7 +60,7 @@
         self._db.close()
 
     def page(self, digest: str) -> bytes:
-        """The raw page of a digest, checked; raises KeyError, PageError or PageFileError."""
+        """Return the raw page of a digest, checked; raises KeyError, PageError or PageFileError."""
         try:
             row = self._db.execute(
                 "SELECT packed FROM pages WHERE digest = ?", (bytes.fromhex(digest),)
@@ -74,7 +74,7 @@
         return raw
 
     def roots(self) -> set[Root]:
-        """All trees that are kept; raises PageFileError."""
+        """Return all trees that are kept; raises PageFileError."""
         try:
             rows = self._db.execute("SELECT serial, digest FROM roots").fetchall()
         except sqlite3.Error as error:
@@ -120,7 +120,8 @@
         """Add pages, and count what those that are new refer to."""
         new = []
         for digest, raw in pages.items():
-            name, packed = bytes.fromhex(digest), compress(raw)
+            name = bytes.fromhex(digest)
+            packed = compress(raw)
             # One that is here is written again: it may be damaged.
             done = self._db.execute("UPDATE pages SET packed = ? WHERE digest = ?", (packed, name))
             if not done.rowcount:
@@ -158,7 +159,7 @@
             if row is None:
                 continue
             self._db.execute("DELETE FROM pages WHERE digest = ?", (name,))
-            # Danger: a page that is not what its digest says would let go of pages of others.
+            # A page that is not what its digest says would let go of pages of others.
             try:
                 raw = decompress(row[0], MAX_PAGE_BYTES)
                 verify(raw, digest)
--- a/sailhitch/daemon/plan.py
+++ b/sailhitch/daemon/plan.py
@@ -74,22 +74,26 @@
 
     def body(self) -> dict[str, Any]:
         return {
-            "format": self.format, "gateway": self.gateway, "serial": self.serial,
+            "format": self.format,
+            "gateway": self.gateway,
+            "serial": self.serial,
             "base": self.base,
-            "result": self.result, "changes": [change.as_json() for change in self.changes],
-        }  # fmt: skip
+            "result": self.result,
+            "changes": [change.as_json() for change in self.changes],
+        }
 
 
 def identity(state: State) -> str:
-    """What a plan names a state by: the root of its page tree. Costs the whole state."""
+    """Return what a plan names a state by: the root of its page tree. Costs the whole state."""
     return ROOT_PREFIX + to_tree(state).root
 
 
 def diff(old: State, new: State) -> tuple[Change, ...]:
-    """What to add, remove and alter, by kind and name."""
+    """Return what to add, remove and alter, by kind and name."""
     changes = []
     for kind in KINDS:
-        before, after = old[kind], new[kind]
+        before = old[kind]
+        after = new[kind]
         for name in differing(before, after):
             change = _change(kind, name, before.get(name), after.get(name))
             if change is not None:
@@ -113,7 +117,7 @@
 
 
 def make_plan(gateway: str, serial: int, old: State, new: State, base: str | None = None) -> Plan:
-    """The plan from the live state to another.
+    """Return the plan from the live state to another.
 
     `base` is the live state's identity, where the gateway has told it; else it is worked out.
     """
@@ -123,7 +127,7 @@
 
 
 def make_whole_plan(gateway: str, serial: int, old: State, new: State) -> Plan:
-    """A plan for a gateway of the version before, which reads no other: by whole states."""
+    """Return a plan for a gateway of the version before, which reads no other: by whole states."""
     return Plan(gateway, serial, digest(old), digest(new), diff(old, new), WHOLE_DIGESTS)
 
 
@@ -159,9 +163,13 @@
     try:
         changes = tuple(_read_change(one) for one in value["changes"])
         plan = Plan(
-            str(value["gateway"]), int(value["serial"]), str(value["base"]), str(value["result"]),
-            changes, int(value["format"]),
-        )  # fmt: skip
+            str(value["gateway"]),
+            int(value["serial"]),
+            str(value["base"]),
+            str(value["result"]),
+            changes,
+            int(value["format"]),
+        )
     except (AttributeError, KeyError, TypeError, ValueError) as error:
         raise PlanError(f"not a plan: {error!r:.100}") from None
     return plan
@@ -176,7 +184,7 @@
 
 
 def apply_changes(state: State, changes: Sequence[Change]) -> State:
-    """The state that changes lead to; raises PlanError where one does not fit.
+    """Return the state that changes lead to; raises PlanError where one does not fit.
 
     It shares with `state` what is not changed.
     """
@@ -203,7 +211,7 @@
 def check_base(
     plan: Plan, gateway: str, serial: int, state: State, base: str | None = None
 ) -> State:
-    """The state that a plan leads to from the live one; raises PlanError or MovedError.
+    """Return the state that a plan leads to from the live one; raises PlanError or MovedError.
 
     `base` is the live state's identity, where it is at hand; else it is worked out.
     """
--- a/sailhitch/daemon/routes.py
+++ b/sailhitch/daemon/routes.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RouteQuery:
     """A request as far as routes look at it. `path` is normal (`normal_path`), names lower case."""
 
     method: str
@@ -106,17 +106,21 @@
 
 
 def _rank(match: Match) -> tuple[int, int, bool, bool, int, bool]:
-    """How specific: compared as a whole, more is more so."""
+    """Return how specific: compared as a whole, more is more so."""
     host = match.host
     exact = 0 if host is None else len(host) if host.startswith("*.") else 1 << 20
     return (
-        exact, len(_segments(match.path_prefix)), match.tenant is not None,
-        match.cls is not None, len(match.header), bool(match.methods),
-    )  # fmt: skip
+        exact,
+        len(_segments(match.path_prefix)),
+        match.tenant is not None,
+        match.cls is not None,
+        len(match.header),
+        bool(match.methods),
+    )
 
 
 def _apart(one: Match, other: Match) -> bool:
-    """Whether no request can match both, as far as host and path do not say so."""
+    """Return whether no request can match both, as far as host and path do not say so."""
     if one.methods and other.methods and not one.methods & other.methods:
         return True
     if one.tenant != other.tenant and None not in (one.tenant, other.tenant):
@@ -137,8 +141,12 @@
     for route in routes:
         match = route.match
         key = (
-            match.host, _segments(match.path_prefix), _rank(match), match.tenant, match.cls,
-        )  # fmt: skip
+            match.host,
+            _segments(match.path_prefix),
+            _rank(match),
+            match.tenant,
+            match.cls,
+        )
         name, value = match.header[0] if match.header else ("", "")
         place = places.setdefault(key, {})
         for other, values in place.items():
@@ -173,7 +181,7 @@
             key = ("any", "")
         self.by.setdefault(key, []).append((order, route))
 
-    def find(self, asked: Asked) -> Route | None:
+    def find(self, asked: RouteQuery) -> Route | None:
         found: tuple[int, Route] | None = None
         for key in self._keys(asked):
             for entry in self.by.get(key, ()):
@@ -184,7 +192,7 @@
                     break
         return None if found is None else found[1]
 
-    def _keys(self, asked: Asked) -> Iterator[tuple[str, str]]:
+    def _keys(self, asked: RouteQuery) -> Iterator[tuple[str, str]]:
         if asked.tenant is not None:
             yield "tenant", asked.tenant
         if asked.cls is not None:
@@ -196,7 +204,7 @@
         yield "any", ""
 
 
-def _fits(match: Match, asked: Asked) -> bool:
+def _fits(match: Match, asked: RouteQuery) -> bool:
     return (
         (not match.methods or asked.method in match.methods)
         and (match.tenant is None or match.tenant == asked.tenant)
@@ -216,8 +224,8 @@
             at = self._places.setdefault(match.host, {})
             at.setdefault(_segments(match.path_prefix), _Place()).add(i, route)
 
-    def find(self, asked: Asked) -> Route | None:
-        """The route that wins, or None where none matches."""
+    def find(self, asked: RouteQuery) -> Route | None:
+        """Return the route that wins, or None where none matches."""
         for host in self._hosts(asked.host):
             places = self._places.get(host)
             if places is None:
@@ -230,7 +238,7 @@
         return None
 
     def _hosts(self, host: str) -> Iterator[str | None]:
-        """The patterns that a host matches, most specific first."""
+        """Return the patterns that a host matches, most specific first."""
         if host and len(self._places) > (None in self._places):
             yield host
             labels = host.split(".")[-MOST_LABELS:]
@@ -240,7 +248,7 @@
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """All prefixes of whole segments, longest first, without a slash at their end."""
+    """Return all prefixes of whole segments, longest first, without a slash at their end."""
     path = path.rstrip("/")
     while True:
         yield path
@@ -250,7 +258,7 @@
 
 
 def bare_host(value: str) -> str:
-    """A Host field without its port, in lower case."""
+    """Return a Host field without its port, in lower case."""
     host = value.strip().lower()
     if host.startswith("["):
         return host.partition("]")[0] + "]"
@@ -261,7 +269,7 @@
 
 
 def choose_pool(pools: Sequence[tuple[str, float]], key: bytes) -> str:
-    """The pool of a request with this key, each by its weight.
+    """Return the pool of a request with this key, each by its weight.
 
     Weighted rendezvous hashing: a key moves only from a pool whose part has shrunk to one whose
     part has grown, and as few do as must. Raises ValueError if no weight is above 0.
@@ -284,7 +292,7 @@
     """Which pool a key went to, for as long as its repeats may come; bounded.
 
     Guards against a client's repeat of a keyed request after its split has changed: the other pool
-    knows nothing of the first try, and the effect would happen twice. Danger: what is forgotten, by
+    knows nothing of the first try, and the effect would happen twice. What is forgotten, by
     a restart or for want of room, goes by the split as it is then.
     """
 
@@ -296,7 +304,7 @@
         return len(self._known)
 
     def get(self, key: bytes, now: int) -> T | None:
-        """The pool that this key went to, if that still counts at `now` (microseconds)."""
+        """Return the pool that this key went to, if that still counts at `now` (microseconds)."""
         known = self._known.get(key)
         return known[0] if known is not None and now < known[1] else None
 
--- a/sailhitch/daemon/rules.py
+++ b/sailhitch/daemon/rules.py
@@ -31,7 +31,7 @@
 def contradictions(
     old: State, new: State, changed: Mapping[str, Collection[str]] | None = None
 ) -> list[str]:
-    """What of two states contradicts, a line each; empty where they merely differ.
+    """Return what of two states contradicts, a line each; empty where they merely differ.
 
     `changed` has the names of all objects that differ, by kind, and may have others; None: they are
     found by comparing. An object that is the same in both contradicts nothing, whatever else
@@ -40,13 +40,15 @@
     if changed is None:
         changed = differences(old, new)
     return [
-        *_nodes(old, new, changed), *_classes(old, new, changed), *_routes(old, new, changed),
+        *_nodes(old, new, changed),
+        *_classes(old, new, changed),
+        *_routes(old, new, changed),
         *_tenants(old, new, changed),
-    ]  # fmt: skip
+    ]
 
 
 def differences(old: State, new: State) -> dict[str, list[str]]:
-    """The names of the objects that differ between two states, by kind."""
+    """Return the names of the objects that differ between two states, by kind."""
     return {kind: differing(old[kind], new[kind]) for kind in KINDS}
 
 
@@ -61,7 +63,8 @@
 
 
 def _same_node(old: State, new: State, key: str, by_zone: bool) -> bool:
-    a, b = old["nodes"].get(key), new["nodes"].get(key)
+    a = old["nodes"].get(key)
+    b = new["nodes"].get(key)
     if a is None or b is None:
         return a is b
     same = a["address"] == b["address"] and a["cell"] == b["cell"]
@@ -69,7 +72,7 @@
 
 
 def _by_zone(*states: State) -> bool:
-    """Whether the zone of a node tells which keys it remembers."""
+    """Return whether the zone of a node tells which keys it remembers."""
     return any(cls["dedup"] == "zone" for state in states for cls in state["classes"].values())
 
 
@@ -80,13 +83,15 @@
 
 def _classes(old: State, new: State, changed: Mapping[str, Collection[str]]) -> Iterator[str]:
     for name in sorted(changed["classes"]):
-        a, b = old["classes"].get(name), new["classes"].get(name)
+        a = old["classes"].get(name)
+        b = new["classes"].get(name)
         if a is None or b is None:
             continue  # no route that holds in both leads to it: a request of it is one that differs
         for field, x, y in (
-            ("effect", a["effect"], b["effect"]), ("dedup", a["dedup"], b["dedup"]),
+            ("effect", a["effect"], b["effect"]),
+            ("dedup", a["dedup"], b["dedup"]),
             ("window", _window(a), _window(b)),
-        ):  # fmt: skip
+        ):
             if x != y and (field == "effect" or _may_be_keyed(a) or _may_be_keyed(b)):
                 yield f"classes {name}.{field}: {x} or {y}"
 
@@ -114,7 +119,8 @@
 
 def _tenants(old: State, new: State, changed: Mapping[str, Collection[str]]) -> Iterator[str]:
     for name in sorted(changed["tenants"]):
-        a, b = old["tenants"].get(name), new["tenants"].get(name)
+        a = old["tenants"].get(name)
+        b = new["tenants"].get(name)
         if a != b:
             yield f"tenants {name}: the limit"
 
@@ -123,7 +129,7 @@
 
 
 def meet(old: State, new: State) -> State:
-    """What both states allow, routes aside: those are `old`'s, and met for each request.
+    """Return what both states allow, routes aside: those are `old`'s, and met for each request.
 
     What does not differ is shared with `old`.
     """
--- a/sailhitch/daemon/schema.py
+++ b/sailhitch/daemon/schema.py
@@ -28,7 +28,7 @@
 )
 from pydantic_core import ErrorDetails
 
-from ..core.terms import read_address
+from ..core.endpoints import parse_host_port
 from .routes import Match, Route, tied
 
 MAX_FILE: Final = 64 << 20  # bytes; ten thousand nodes take one
@@ -52,9 +52,11 @@
 
 def read_duration(value: Any) -> int:
     """Microseconds of a text such as "2.5s" or "250ms"."""
-    found = re.fullmatch(r"(\d{1,9}(?:\.\d{1,6})?)\s*(us|ms|s|m|h)", value.strip()) if isinstance(
-        value, str
-    ) else None  # fmt: skip
+    found = (
+        re.fullmatch(r"(\d{1,9}(?:\.\d{1,6})?)\s*(us|ms|s|m|h)", value.strip())
+        if isinstance(value, str)
+        else None
+    )
     if found is None:
         raise ValueError('not a duration such as "250ms", "2.5s" or "1m"')
     time = round(float(found[1]) * UNITS[found[2]])
@@ -70,7 +72,7 @@
 
 
 def _address(value: str) -> str:
-    address = read_address(value)
+    address = parse_host_port(value)
     if address is None:
         raise ValueError('not an address such as "127.0.0.1:8080"')
     host, port = address
@@ -98,7 +100,7 @@
     return value
 
 
-def say_duration(time: int) -> str:
+def format_duration(time: int) -> str:
     """Microseconds as the file would have them, in the largest unit that takes it whole."""
     for unit in ("s", "ms", "us"):
         if time % UNITS[unit] == 0 or unit == "us":
@@ -106,7 +108,7 @@
     raise AssertionError
 
 
-Duration = Annotated[int, BeforeValidator(read_duration), PlainSerializer(say_duration)]
+Duration = Annotated[int, BeforeValidator(read_duration), PlainSerializer(format_duration)]
 Name = Annotated[str, AfterValidator(_name)]
 Listen = Annotated[str, AfterValidator(_address)]
 Weight = Annotated[float, Field(gt=0, le=1e6, allow_inf_nan=False)]
@@ -164,7 +166,7 @@
     window: Duration | None = None
 
     def remembered(self) -> int:
-        """How long nodes remember a key, in microseconds."""
+        """Return how long nodes remember a key, in microseconds."""
         return self.deadline if self.window is None else self.window
 
 
@@ -307,7 +309,7 @@
 
 
 def _all_said(value: dict[str, Any], errors: list[ErrorDetails]) -> list[str]:
-    """All that is wrong: what is out of form, and what else contradicts itself beside that.
+    """Return all that is wrong: what is out of form, and what else contradicts itself beside that.
 
     Fields out of form are replaced by ones that are in it, so that the rest can be looked at, and
     nothing is said of them a second time.
@@ -322,7 +324,7 @@
         return problems  # too far out of form to say more
     bad = tuple(_where(_loc(one)) for one in errors)
     others = (line for line in _contradictions(made) if not line.startswith(bad))
-    # Danger: who refers to what has lost its name here is not to blame.
+    # Who refers to what has lost its name here is not to blame.
     lost = any(one["loc"][-1] in ("name", "id") for one in errors)
     return problems + [line for line in others if not (lost and " is called " in line)]
 
@@ -357,7 +359,7 @@
 
 
 def _loc(error: ErrorDetails) -> list[int | str]:
-    """Where in the file an error is; pydantic marks keys of its own."""
+    """Return where in the file an error is; pydantic marks keys of its own."""
     return [part for part in error["loc"] if part != "[key]"]
 
 
@@ -370,17 +372,31 @@
 
 # Values in form for fields that can't be left out; no two are the same.
 _IN_FORM: Final[dict[str, Callable[[int], Any]]] = {
-    "version": lambda i: VERSION, "gateway": lambda i: {"name": f"x{i}"},
-    "name": lambda i: f"out-of-form-{i}", "id": lambda i: f"out-of-form-{i}",
-    "address": lambda i: f"127.255.255.{i % 250}:{1 + i // 250}", "aim": lambda i: "1us",
-    "deadline": lambda i: "24h", "share": lambda i: 0.5, "class": lambda i: f"out-of-form-{i}",
-    "pools": lambda i: {f"out-of-form-{i}": 1.0}, "key_file": lambda i: "",
-}  # fmt: skip
+    "version": lambda i: VERSION,
+    "gateway": lambda i: {"name": f"x{i}"},
+    "name": lambda i: f"out-of-form-{i}",
+    "id": lambda i: f"out-of-form-{i}",
+    "address": lambda i: f"127.255.255.{i % 250}:{1 + i // 250}",
+    "aim": lambda i: "1us",
+    "deadline": lambda i: "24h",
+    "share": lambda i: 0.5,
+    "class": lambda i: f"out-of-form-{i}",
+    "pools": lambda i: {f"out-of-form-{i}": 1.0},
+    "key_file": lambda i: "",
+}
 _PARTS: Final[dict[str, type[_Part]]] = {
-    "gateway": GatewayPart, "listeners": ListenerPart, "classes": ClassPart,
-    "tenants": TenantPart, "pools": PoolPart, "nodes": NodePart, "routes": RoutePart,
-    "match": MatchPart, "tier": TierPart, "zones": ZonesPart, "members": TierMemberPart,
-}  # fmt: skip
+    "gateway": GatewayPart,
+    "listeners": ListenerPart,
+    "classes": ClassPart,
+    "tenants": TenantPart,
+    "pools": PoolPart,
+    "nodes": NodePart,
+    "routes": RoutePart,
+    "match": MatchPart,
+    "tier": TierPart,
+    "zones": ZonesPart,
+    "members": TierMemberPart,
+}
 
 
 def _known_keys(loc: list[int | str]) -> list[str]:
@@ -444,8 +460,9 @@
     least = made.gateway.cold_time * 3 // 2  # by then all gateways treat its nodes as warm
     if made.zones is not None and made.zones.step is not None and made.zones.step < least:
         yield (
-            f"zones.step: {say_duration(made.zones.step)} is less than {say_duration(least)}, one "
-            "and a half times gateway.cold_time: nodes of a step would not be warm at its end"
+            f"zones.step: {format_duration(made.zones.step)} is less than "
+            f"{format_duration(least)}, one and a half times gateway.cold_time: nodes of a step "
+            "would not be warm at its end"
         )
 
 
@@ -468,8 +485,8 @@
         )
     if tier.lease is not None and not SHORTEST_LEASE <= tier.lease <= tier.agree_within // 2:
         yield (
-            f"tier.lease: {say_duration(tier.lease)} is not between "
-            f"{say_duration(SHORTEST_LEASE)} and half of agree_within"
+            f"tier.lease: {format_duration(tier.lease)} is not between "
+            f"{format_duration(SHORTEST_LEASE)} and half of agree_within"
         )
 
 
@@ -489,7 +506,7 @@
         if sum(route.pools.values()) <= 0:
             yield f"{here}.pools: no pool has a weight above 0"
     number = {route.name: i for i, route in enumerate(made.routes)}
-    for one, other in tied([as_route(route) for route in made.routes]):
+    for one, other in tied([to_route(route) for route in made.routes]):
         yield (
             f"routes[{number[other.name]}].match: a request can match it and "
             f"routes[{number[one.name]}] ({one.name!r}) equally well; make one more specific"
@@ -501,8 +518,8 @@
         yield f"{where}: no {kind} is called {name!r}{_nearest(name, known)}"
 
 
-def as_route(part: RoutePart) -> Route:
-    """A route in the terms of the lookup."""
+def to_route(part: RoutePart) -> Route:
+    """Return a route in the terms of the lookup."""
     match = part.match
     return Route(
         part.name,
--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -9,11 +9,11 @@
 import asyncio
 from typing import Any, Protocol
 
-from .live import Decided, Live
 from .plan import ROOT_PREFIX, Plan, check_base, identity, load_plan
 from .schema import OperatorFile
 from .state import State, banned, from_file, with_bans
-from .store import Applied, Record, StoreError
+from .state_applier import StateApplier, StateChange
+from .store import AppliedState, HistoryRecord, StoreError
 
 
 class StillPendingError(Exception):
@@ -22,38 +22,39 @@
     def __init__(self, serial: int, waiting_for: list[str]) -> None:
         names = ", ".join(waiting_for) or "nobody; it is about to be"
         super().__init__(f"serial {serial} is decided and not active yet; it waits for {names}")
-        self.serial, self.waiting_for = serial, waiting_for
+        self.serial = serial
+        self.waiting_for = waiting_for
 
 
-class Source(Protocol):
+class StateSource(Protocol):
     """Where decided states come from."""
 
     @property
     def owner(self) -> str:
         """Whom a plan is made for."""
 
-    def base(self) -> Applied:
-        """The decided state that the next plan is made against."""
+    def base(self) -> AppliedState:
+        """Return the decided state that the next plan is made against."""
 
     def identity(self, state: State) -> str:
         """What a plan names the base's state by; in a thread, as it may cost the whole state."""
 
-    async def start(self, made: OperatorFile) -> Applied:
+    async def start(self, made: OperatorFile) -> AppliedState:
         """Bring the switch to the state that holds; raises StoreError or ApplyError."""
 
-    def history(self) -> list[Record]:
-        """What held, oldest first, the one that holds last."""
+    def history(self) -> list[HistoryRecord]:
+        """Return what held, oldest first, the one that holds last."""
 
-    def at(self, serial: int) -> Applied:
-        """A state that held; raises StoreError."""
+    def at(self, serial: int) -> AppliedState:
+        """Return a state that held; raises StoreError."""
 
-    async def apply_plan(self, text: str, by: str) -> Applied:
+    async def apply_plan(self, text: str, by: str) -> AppliedState:
         """Do exactly what a plan says; raises PlanError, MovedError or ApplyError."""
 
-    async def apply_file(self, made: OperatorFile, by: str) -> Applied:
+    async def apply_file(self, made: OperatorFile, by: str) -> AppliedState:
         """Go to what a file asks for; raises ApplyError."""
 
-    async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> Applied:
+    async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> AppliedState:
         """Take a node (`pool/id`) out by hand, or (None) put it back; raises as `apply_plan`."""
 
 
@@ -64,87 +65,91 @@
         self._last: tuple[State, str] | None = None
 
     def of(self, state: State) -> str:
-        """A state's identity; costs the whole state where it is not the one of last time."""
+        """Return a state's identity; costs the whole state where it is not the one of last time."""
         last = self._last
         if last is None or last[0] is not state:
             last = self._last = (state, identity(state))
         return last[1]
 
 
-class Own:
+class LocalStateSource:
     """The source of a daemon that decides alone."""
 
-    def __init__(self, live: Live) -> None:
-        self.live = live
+    def __init__(self, live: StateApplier) -> None:
+        self.state_applier = live
         self._deciding = asyncio.Lock()
         self._identities = Identities()
 
     @property
     def owner(self) -> str:
-        return self.live.gateway.name
+        return self.state_applier.gateway.name
 
-    def base(self) -> Applied:
-        return self.live.applied
+    def base(self) -> AppliedState:
+        return self.state_applier.applied
 
     def identity(self, state: State) -> str:
-        store = self.live.store
+        store = self.state_applier.store
         root = None if store is None else store.root_of(state)
         return self._identities.of(state) if root is None else ROOT_PREFIX + root
 
-    async def start(self, made: OperatorFile) -> Applied:
+    async def start(self, made: OperatorFile) -> AppliedState:
         """Take up the state that held last, or the file's at the very first start."""
-        live = self.live
+        live = self.state_applier
         async with self._deciding:
             last = None if live.store is None else live.store.last()
             if last is None:
                 state = from_file(made)
                 born = dict.fromkeys(state["nodes"], 0)
-                return await live.change(Decided(state, "first start", 1, born))
+                return await live.change(StateChange(state, "first start", 1, born))
             await live.restore(last)
         return last
 
-    def history(self) -> list[Record]:
-        live = self.live
+    def history(self) -> list[HistoryRecord]:
+        live = self.state_applier
         if live.store is None:
-            return [one.record() for one in live.past]
+            return [one.record() for one in live.history]
         return live.store.history()
 
-    def at(self, serial: int) -> Applied:
-        return find(self.live, serial)
+    def at(self, serial: int) -> AppliedState:
+        return find(self.state_applier, serial)
 
-    async def apply_plan(self, text: str, by: str) -> Applied:
+    async def apply_plan(self, text: str, by: str) -> AppliedState:
         async with self._deciding:
             plan, state = await asyncio.to_thread(self._read_plan, text)
-            return await self._go(state, by) if plan.changes else self.live.applied
+            return await self._apply(state, by) if plan.changes else self.state_applier.applied
 
     def _read_plan(self, text: str) -> tuple[Plan, State]:
         plan = load_plan(text)
-        live = self.live.applied
+        live = self.state_applier.applied
         return plan, check_base(
             plan, self.owner, live.serial, live.state, self.identity(live.state)
         )
 
-    async def apply_file(self, made: OperatorFile, by: str) -> Applied:
+    async def apply_file(self, made: OperatorFile, by: str) -> AppliedState:
         async with self._deciding:
-            return await self._go(with_bans(from_file(made), self.live.applied.state), by)
+            return await self._apply(
+                with_bans(from_file(made), self.state_applier.applied.state), by
+            )
 
-    async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> Applied:
+    async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> AppliedState:
         async with self._deciding:
-            return await self._go(banned(self.live.applied.state, node, ban), by)
+            return await self._apply(banned(self.state_applier.applied.state, node, ban), by)
 
-    async def _go(self, state: State, by: str) -> Applied:
-        if state == self.live.applied.state:
-            return self.live.applied
-        return await self.live.change(Decided(state, by, self.live.applied.serial + 1))
+    async def _apply(self, state: State, by: str) -> AppliedState:
+        if state == self.state_applier.applied.state:
+            return self.state_applier.applied
+        return await self.state_applier.change(
+            StateChange(state, by, self.state_applier.applied.serial + 1)
+        )
 
 
-def find(live: Live, serial: int) -> Applied:
-    """A state that held, by its serial; raises StoreError."""
+def find(live: StateApplier, serial: int) -> AppliedState:
+    """Return a state that held, by its serial; raises StoreError."""
     if serial == live.applied.serial:
         return live.applied
     if live.store is not None:
         return live.store.read(serial)
-    for one in live.past:
+    for one in live.history:
         if one.serial == serial:
             return one
     raise StoreError(f"serial {serial}: not known; `sailhitch history` shows what is")
--- a/sailhitch/daemon/state.py
+++ b/sailhitch/daemon/state.py
@@ -24,7 +24,7 @@
 
 
 def from_file(made: OperatorFile) -> State:
-    """The state that a checked file asks for; what is fixed for the process is not in it."""
+    """Return the state that a checked file asks for; what is fixed for the process is not in it."""
     value = made.model_dump(mode="json", by_alias=True)
     state: dict[str, dict[str, dict[str, Any]]] = {kind: {} for kind in KINDS}
     for kind in ("listeners", "classes", "tenants", "routes"):
@@ -39,7 +39,7 @@
 
 
 def to_file(state: State, gateway: Mapping[str, Any]) -> OperatorFile:
-    """The checked file that asks for a state, with this gateway part. Raises FileError.
+    """Return the checked file that asks for a state, with this gateway part. Raises FileError.
 
     A plan that has been edited, or a state from disk, is held to the same rules as a file.
     """
@@ -58,7 +58,7 @@
 
 
 def with_bans(state: State, live: State) -> State:
-    """A state with another's bans: a file says nothing of them, and undoes none."""
+    """Return a state with another's bans: a file says nothing of them, and undoes none."""
     return {**state, "bans": live["bans"]}
 
 
@@ -73,7 +73,7 @@
 
 
 def unshared(old: Mapping[str, Any], new: Mapping[str, Any]) -> Iterator[str]:
-    """The names for which two mappings do not have the same object, or one has none."""
+    """Return the names for which two mappings do not have the same object, or one has none."""
     if all(map(operator.eq, old, new)):
         # One was copied from the other, perhaps with names added: no look-up of each is needed.
         yield from compress(new, map(operator.is_not, old.values(), new.values()))
@@ -85,7 +85,7 @@
 
 
 def differing(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[str]:
-    """The names whose values differ between two mappings, sorted.
+    """Return the names whose values differ between two mappings, sorted.
 
     Values that both share (the same object) are not compared.
     """
--- a/sailhitch/daemon/state_tree.py
+++ b/sailhitch/daemon/state_tree.py
@@ -41,7 +41,7 @@
 
 
 def to_tree(state: Tables, kinds: Kinds = STATE_KINDS) -> Tree:
-    """The whole tree of a state, with all of its pages."""
+    """Return the whole tree of a state, with all of its pages."""
     return build(
         {
             key_of(kind, name): canonical(value)
@@ -54,7 +54,7 @@
 def update_tree(
     source: PageSource, base_root: str, base: Tables, state: Tables, kinds: Kinds = STATE_KINDS
 ) -> Tree:
-    """The tree of a state that was made from `base`, with the pages that `base_root` lacks.
+    """Return the tree of a state that was made from `base`, with the pages that `base_root` lacks.
 
     `base` must be the state of `base_root`. Raises KeyError or PageError from the source.
     """
@@ -82,7 +82,7 @@
 
 
 def state_from(source: PageSource, root: str, kinds: Kinds = STATE_KINDS) -> Tables:
-    """The whole state of a root.
+    """Return the whole state of a root.
 
     Raises StateTreeError for an entry that is of no state, KeyError or PageError from the source.
     """
@@ -96,7 +96,7 @@
 def changed_state(
     base: Tables, base_root: str, source: PageSource, root: str, kinds: Kinds = STATE_KINDS
 ) -> Tables:
-    """The state of a root, from the one of another: what is the same is shared with `base`.
+    """Return the state of a root, from the one of another: what is the same is shared with `base`.
 
     Raises as `state_from`; `source` needs those pages of both that are not in the other.
     """
--- a/sailhitch/daemon/store.py
+++ b/sailhitch/daemon/store.py
@@ -38,13 +38,13 @@
 
 FORMAT: Final = 2
 WHOLE_STATE: Final = 1  # the format of the versions before, with the state in the file
-KEPT: Final = 50  # states that `plan --to` can go back to
-BORN_KINDS: Final[Kinds] = {"born": int}
+MAX_STATES: Final = 50  # states that `plan --to` can go back to
+NEW_SINCE_KINDS: Final[Kinds] = {"born": int}
 _FILE = re.compile(r"state-(\d{8,12})\.json")
 Step = Callable[[str], None]
 
 
-def unwatched(step: str) -> None:
+def ignore_step(step: str) -> None:
     """No test is watching."""
 
 
@@ -53,29 +53,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class HistoryRecord:
     """What `history` shows of a state that holds or held."""
 
     serial: int
-    when: int  # microseconds of the time of day
-    by: str
+    applied_at: int  # microseconds of the time of day
+    applied_by: str
     summary: str
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedState:
     """A state that holds or held."""
 
     serial: int
-    when: int  # microseconds of the time of day
-    by: str
+    applied_at: int  # microseconds of the time of day
+    applied_by: str
     state: State
     summary: str = ""
-    born: Mapping[str, int] = field(default_factory=dict)  # since when a node is new; 0: long ago
+    new_since: Mapping[str, int] = field(
+        default_factory=dict
+    )  # since when a node is new; 0: long ago
 
-    def record(self) -> Record:
+    def record(self) -> HistoryRecord:
         """It without its state."""
-        return Record(self.serial, self.when, self.by, self.summary)
+        return HistoryRecord(self.serial, self.applied_at, self.applied_by, self.summary)
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +85,7 @@
     """A state in memory whose pages are on disk: the next one is written by its difference."""
 
     state: State
-    born: Mapping[str, int]
+    new_since: Mapping[str, int]
     root: str
     born_root: str
 
@@ -104,7 +106,8 @@
 
     def __init__(self, path: Path, gateway: str) -> None:
         """Open or create it; raises StoreError."""
-        self.path, self.gateway = path, gateway
+        self.path = path
+        self.gateway = gateway
         self._latest: _StoredState | None = None
         self._prepared: _Prepared | None = None
         try:
@@ -136,14 +139,14 @@
         return sorted(int(one[1]) for one in found if one)
 
     def root_of(self, state: State) -> str | None:
-        """The root of the state's tree, where this is the one written or read last."""
+        """Return the root of the state's tree, where this is the one written or read last."""
         latest = self._latest
         return latest.root if latest is not None and latest.state is state else None
 
-    def last(self) -> Applied | None:
-        """The state that holds, or None before the first; raises StoreError.
+    def last(self) -> AppliedState | None:
+        """Return the state that holds, or None before the first; raises StoreError.
 
-        Danger: falling back to the one before a damaged one would bring back nodes that were taken
+        Falling back to the one before a damaged one would bring back nodes that were taken
         out for a reason, with nobody told. Whoever wants that removes the file.
         """
         for name in os.listdir(self.path):
@@ -157,18 +160,22 @@
         self._latest = latest
         return applied
 
-    def read(self, serial: int) -> Applied:
-        """A state by its serial; raises StoreError."""
+    def read(self, serial: int) -> AppliedState:
+        """Return a state by its serial; raises StoreError."""
         return self._load(serial)[0]
 
-    def _load(self, serial: int) -> tuple[Applied, _StoredState | None]:
+    def _load(self, serial: int) -> tuple[AppliedState, _StoredState | None]:
         """A state, and as the next one is written against it (not format 1); raises StoreError."""
-        path, value = self._file(serial), self._manifest(serial)
+        path = self._file(serial)
+        value = self._manifest(serial)
         if value["format"] == WHOLE_STATE:
             value["state"].setdefault("bans", {})  # written before there were any
-            state, born, latest = value["state"], value["born"], None
+            state = value["state"]
+            born = value["born"]
+            latest = None
         else:
-            root, born_root = value["root"], value["born_root"]
+            root = value["root"]
+            born_root = value["born_root"]
             try:
                 state, born = self._read_trees(root, born_root)
             except KeyError as error:
@@ -180,20 +187,23 @@
             except PageFileError as error:
                 raise StoreError(str(error)) from None
             latest = _StoredState(state, born, root, born_root)
-        return Applied(serial, value["when"], value["by"], state, value["summary"], born), latest
+        return AppliedState(
+            serial, value["when"], value["by"], state, value["summary"], born
+        ), latest
 
     def _read_trees(self, root: str, born_root: str) -> tuple[State, Mapping[str, int]]:
-        """A state and `born`, by their difference from the latest state."""
-        pages, latest = self.pages, self._latest
+        """Return a state and `born`, by their difference from the latest state."""
+        pages = self.pages
+        latest = self._latest
         if latest is None:
-            return state_from(pages, root), state_from(pages, born_root, BORN_KINDS)["born"]
+            return state_from(pages, root), state_from(pages, born_root, NEW_SINCE_KINDS)["born"]
         state = changed_state(latest.state, latest.root, pages, root)
-        before = {"born": latest.born}
-        born = changed_state(before, latest.born_root, pages, born_root, BORN_KINDS)
+        before = {"born": latest.new_since}
+        born = changed_state(before, latest.born_root, pages, born_root, NEW_SINCE_KINDS)
         return state, born["born"]
 
     def _manifest(self, serial: int) -> dict[str, Any]:
-        """What a state's file says; raises StoreError."""
+        """Return what a state's file says; raises StoreError."""
         path = self._file(serial)
         try:
             value = json.loads(path.read_bytes())
@@ -217,13 +227,13 @@
         before = [s for s in self.serials() if s < serial]
         return f"remove it to go on from serial {before[-1]}" if before else "remove it"
 
-    def history(self) -> list[Record]:
+    def history(self) -> list[HistoryRecord]:
         """Of all states whose files can be read, oldest first."""
         found = []
         for serial in self.serials():
             with contextlib.suppress(StoreError):
                 value = self._manifest(serial)
-                found.append(Record(serial, value["when"], value["by"], value["summary"]))
+                found.append(HistoryRecord(serial, value["when"], value["by"], value["summary"]))
         return found
 
     def _file(self, serial: int) -> Path:
@@ -231,7 +241,7 @@
 
     # --- Writing
 
-    def prepare(self, applied: Applied, step: Step) -> Path:
+    def prepare(self, applied: AppliedState, step: Step) -> Path:
         """Keep a state's pages, write its manifest under another name, and sync them.
 
         Raises StoreError, with nothing left.
@@ -250,27 +260,33 @@
         except StoreError:
             self._discard(added)
             raise
-        latest = _StoredState(applied.state, applied.born, trees[0].root, trees[1].root)
+        latest = _StoredState(applied.state, applied.new_since, trees[0].root, trees[1].root)
         self._prepared = _Prepared(latest, added)
         return path
 
-    def _trees(self, applied: Applied) -> tuple[Tree, Tree]:
-        """The trees of a state and of `born`, by their difference from the latest state."""
-        born, latest = {"born": applied.born}, self._latest
+    def _trees(self, applied: AppliedState) -> tuple[Tree, Tree]:
+        """Return the trees of a state and of `born`, by their difference from the latest state."""
+        born = {"born": applied.new_since}
+        latest = self._latest
         if latest is None:
-            return to_tree(applied.state), to_tree(born, BORN_KINDS)
-        before = {"born": latest.born}
+            return to_tree(applied.state), to_tree(born, NEW_SINCE_KINDS)
+        before = {"born": latest.new_since}
         return (
             update_tree(self.pages, latest.root, latest.state, applied.state),
-            update_tree(self.pages, latest.born_root, before, born, BORN_KINDS),
+            update_tree(self.pages, latest.born_root, before, born, NEW_SINCE_KINDS),
         )
 
-    def _write_manifest(self, applied: Applied, trees: tuple[Tree, Tree], step: Step) -> Path:
+    def _write_manifest(self, applied: AppliedState, trees: tuple[Tree, Tree], step: Step) -> Path:
         value = {
-            "format": FORMAT, "gateway": self.gateway, "serial": applied.serial,
-            "when": applied.when, "by": applied.by, "summary": applied.summary,
-            "root": trees[0].root, "born_root": trees[1].root,
-        }  # fmt: skip
+            "format": FORMAT,
+            "gateway": self.gateway,
+            "serial": applied.serial,
+            "when": applied.applied_at,
+            "by": applied.applied_by,
+            "summary": applied.summary,
+            "root": trees[0].root,
+            "born_root": trees[1].root,
+        }
         data = json.dumps({**value, "digest": digest(value)}, separators=(",", ":")).encode()
         path = self.path / f".state-{applied.serial:08d}.json.tmp"
         try:
@@ -291,7 +307,8 @@
 
     def commit(self, path: Path, serial: int, step: Step) -> None:
         """From here on that state holds; raises StoreError, and then the old one does."""
-        prepared, self._prepared = self._prepared, None
+        prepared = self._prepared
+        self._prepared = None
         assert prepared is not None
         try:
             os.replace(path, self._file(serial))
@@ -302,12 +319,12 @@
             raise StoreError(f"{path}: {error.strerror}") from None
         self._latest = latest = prepared.state
         step("renamed")
-        # Danger: from here on nothing may look like a failure, or the process would go on under
+        # From here on nothing may look like a failure, or the process would go on under
         # the old state and start under the new one.
         with contextlib.suppress(OSError):
             self._sync_folder()
         with contextlib.suppress(OSError):
-            for old in self.serials()[:-KEPT]:
+            for old in self.serials()[:-MAX_STATES]:
                 self._file(old).unlink()
         step("manifests pruned")
         with contextlib.suppress(PageFileError, OSError):
