--- a/sailhitch/daemon/tables.py
+++ b/sailhitch/daemon/tables.py
@@ -8,11 +8,26 @@
 
 from typing import Final
 
-from ..settings import KEYED, SAFE, UNSAFE, Limits, RequestClass, Rules, Settings, Tenant
+from ..settings import (
+    Idempotency,
+    Limits,
+    RequestClass,
+    Rules,
+    Settings,
+    Tenant,
+)
 from .schema import ClassPart, GatewayPart, OperatorFile
 
-EFFECTS: Final = (SAFE, KEYED, UNSAFE)  # of each class there is one of each, in this order
-_STATED: Final = {"safe": SAFE, "keyed": KEYED, "unsafe": UNSAFE}
+EFFECTS: Final = (
+    Idempotency.SAFE,
+    Idempotency.KEYED,
+    Idempotency.UNSAFE,
+)  # of each class there is one of each, in this order
+_STATED: Final = {
+    "safe": Idempotency.SAFE,
+    "keyed": Idempotency.KEYED,
+    "unsafe": Idempotency.UNSAFE,
+}
 ANSWER_SLACK: Final = 20_000
 FALL_MULTIPLE: Final = 3.0
 FALL_TIME: Final = 2_000_000
@@ -57,19 +72,19 @@
             self._shares[tenant.name] = tenant.share
 
     def settings(self, gateway: GatewayPart) -> Settings:
-        """What every pool's module is told."""
+        """Return what every pool's module is told."""
         classes = tuple(
             _request_class(part, effect) for part in self._parts.values() for effect in EFFECTS
         )
         alone = 0 if gateway.gateways == 1 else -1
         return Settings(
-            me=alone if gateway.number is None else gateway.number,
-            gateways=gateway.gateways,
+            gateway_index=alone if gateway.number is None else gateway.number,
+            gateway_count=gateway.gateways,
             zone=self.zones.of(gateway.zone),
             tick=1000,
             classes=classes,
             tenants=self._quotas(gateway.rate),
-            over_share_worth=0.5,
+            over_quota_weight=0.5,
             limits=Limits(
                 max_attempts=gateway.max_attempts,
                 may_duplicate=False,
@@ -82,14 +97,14 @@
             rules=Rules(
                 answer_slack=ANSWER_SLACK,
                 drain_grace=gateway.drain_grace,
-                cold_share=gateway.cold_share,
-                cold_time=gateway.cold_time,
-                fall_multiple=FALL_MULTIPLE,
-                fall_time=FALL_TIME,
-                ask_within=0,
+                slow_start_share=gateway.cold_share,
+                slow_start_time=gateway.cold_time,
+                overload_multiple=FALL_MULTIPLE,
+                overload_time=FALL_TIME,
+                watch_within=0,
             ),
-            must_ask=False,
-            warm_keys=False,
+            needs_watch=False,
+            has_key_affinity=False,
             cross_zone_price=0.0,
         )
 
@@ -106,7 +121,7 @@
         return self._parts[name]
 
     def tenant(self, name: str) -> int:
-        """A tenant's number; one that nobody named has none of those in use."""
+        """Return a tenant's number; one that nobody named has none of those in use."""
         known = self._tenants.known(name)
         return len(self._tenants) if known is None else known
 
@@ -121,24 +136,26 @@
         return len(EFFECTS) * self._classes.of(name) + EFFECTS.index(effect), effect
 
 
-def effect_of(stated: str | None, method: bytes, keyed: bool) -> str:
+def effect_of(stated: str | None, method: bytes, keyed: bool) -> Idempotency:
     """What a request may be repeated as, by its class's stated effect, its method and key."""
     if stated is None:
-        return SAFE if method in SAFE_METHODS else KEYED if keyed else UNSAFE
+        if method in SAFE_METHODS:
+            return Idempotency.SAFE
+        return Idempotency.KEYED if keyed else Idempotency.UNSAFE
     effect = _STATED[stated]
-    return UNSAFE if effect == KEYED and not keyed else effect
+    return Idempotency.UNSAFE if effect == Idempotency.KEYED and not keyed else effect
 
 
-def _request_class(part: ClassPart, effect: str) -> RequestClass:
+def _request_class(part: ClassPart, effect: Idempotency) -> RequestClass:
     return RequestClass(
         name=f"{part.name}:{effect}",
-        worth=part.worth,
-        aim=part.aim,
+        priority_weight=part.worth,
+        latency_objective=part.aim,
         deadline=part.deadline,
-        late_worth=part.late_worth,
-        effect=effect,
-        group="all" if part.dedup == "pool" else part.dedup,
-        window=part.remembered(),
+        late_weight=part.late_worth,
+        idempotency=effect,
+        idempotency_scope="all" if part.dedup == "pool" else part.dedup,
+        idempotency_window=part.remembered(),
         stream=False,
-        aim_stretch=0.0,
+        objective_per_work=0.0,
     )
--- a/sailhitch/daemon/tier_link.py
+++ b/sailhitch/daemon/tier_link.py
@@ -20,18 +20,27 @@
 
 import msgspec
 
-from ..core.terms import Address
+from ..core.endpoints import Address
 from ..tier.content_store import ContentStore
 from ..tier.disk import Disk, DiskError
-from ..tier.effects import Act, Acting, Done, Effect, Keep, Send, Tell
-from ..tier.member import CONTENT, KNOWN, Founding, Member, MemberStatus, TierConfig
-from ..tier.messages import Decided as HeadDecided
+from ..tier.effects import (
+    AppliedVersions,
+    ApplyVersions,
+    Effect,
+    JobCompleted,
+    LogEvent,
+    Persist,
+    Send,
+)
+from ..tier.member import CHOSEN_KEY, CONTENT, BootstrapVersion, Member, MemberStatus, TierConfig
+from ..tier.messages import ChosenState as HeadDecided
 from ..tier.messages import Message
 from ..tier.wire import Keys, Wire
-from .places import address_of
+from .endpoint_registry import address_of
 
-BEAT: Final = 0.1  # s
-HELD_UP: Final = 40_000  # us by which a beat may be late before datagrams are read ahead of it
+HEARTBEAT_INTERVAL: Final = 0.1  # s
+# Us by which a beat may be late before datagrams are read ahead of it.
+STALLED_AFTER: Final = 40_000
 READ_FIRST: Final = 0.001  # s that the loop gets for that
 LATE: Final = 5.0  # s between two lines about datagrams that were refused
 WRITE_RETRY: Final = 0.1  # s until a write that failed is tried again; doubles with each failure...
@@ -47,50 +56,60 @@
     """The link can't be had; the text says why."""
 
 
-class Link(asyncio.DatagramProtocol):
+class TierLink(asyncio.DatagramProtocol):
     """Runs a member's core."""
 
     def __init__(
-        self, terms: TierConfig, addresses: Mapping[str, Address], keys: Keys, folder: Path,
-        act: Callable[[Acting], None], say: Callable[[str], None],
-    ) -> None:  # fmt: skip
+        self,
+        terms: TierConfig,
+        addresses: Mapping[str, Address],
+        keys: Keys,
+        folder: Path,
+        act: Callable[[AppliedVersions], None],
+        say: Callable[[str], None],
+    ) -> None:
         """Raises DiskError."""
-        self.terms, self.addresses, self.act, self.say = terms, addresses, act, say
+        self.terms = terms
+        self.addresses = addresses
+        self.on_apply = act
+        self.log = say
         self.boot = secrets.randbits(48)
         self.wire = Wire(keys, terms.name, self.boot)
         self.disk = Disk(folder)
         self.kept = self.disk.load()
         self.member: Member | None = None
-        self.mute = ""  # why it sends nothing in the tier: the last failure of its disk
+        self.disk_is_failing = ""  # why it sends nothing in the tier: the last failure of its disk
         self.sent_bytes = self.sent = 0
         self._places: dict[str, Address] = {}  # addresses by their text in the roster
         self._effects: deque[Effect] = deque()
         self._writing: asyncio.Task[None] | None = None
-        self._waiters: dict[int, asyncio.Future[Done]] = {}
+        self._waiters: dict[int, asyncio.Future[JobCompleted]] = {}
         self._transport: asyncio.DatagramTransport | None = None
-        self._beat: asyncio.TimerHandle | None = None
+        self._heartbeat_handle: asyncio.TimerHandle | None = None
         self._beat_due = 0  # by `steady`
         self.unsent: dict[str, int] = {}  # datagrams that the system refused to send, by why
         self._told_refused: dict[str, int] = {}
         self._refused_at = 0.0
-        self.beaten: Callable[[], None] = lambda: None  # called after each beat
+        self.on_heartbeat: Callable[[], None] = lambda: None  # called after each beat
 
     @property
-    def knows(self) -> bool:
+    def has_persisted_state(self) -> bool:
         """Whether this member has known a head before, on this disk."""
-        return KNOWN in self.kept
+        return CHOSEN_KEY in self.kept
 
-    def kept_posture(self) -> bytes | None:
-        """The posture that this member last knew, on this disk."""
-        if not self.knows:
+    def persisted_traffic_policy(self) -> bytes | None:
+        """Return the posture that this member last knew, on this disk."""
+        if not self.has_persisted_state:
             return None
-        version = msgspec.msgpack.decode(self.kept[KNOWN], type=HeadDecided).head.posture
+        version = msgspec.msgpack.decode(
+            self.kept[CHOSEN_KEY], type=HeadDecided
+        ).state.traffic_policy
         if version is None or CONTENT + version.digest not in self.kept:
             return None
         packed = self.kept[CONTENT + version.digest]
         return ContentStore({version.digest: packed}).read(version.digest)
 
-    async def start(self, founding: Founding | None) -> None:
+    async def start(self, founding: BootstrapVersion | None) -> None:
         """Take part; raises LinkError."""
         loop = asyncio.get_running_loop()
         here = self.addresses[self.terms.name]
@@ -113,24 +132,28 @@
 
     def close(self) -> None:
         """Leave off at once, as a process that is killed."""
-        if self._beat is not None:
-            self._beat.cancel()
+        if self._heartbeat_handle is not None:
+            self._heartbeat_handle.cancel()
         if self._transport is not None:
             self._transport.close()
         if self._writing is None:
             self.disk.close()
 
-    def standing(self) -> MemberStatus:
-        """Whether this process may act on what contradicts, at this moment."""
-        return MemberStatus.HEARING if self.member is None else self.member.standing(steady())
+    def member_status(self) -> MemberStatus:
+        """Return whether this process may act on what contradicts, at this moment."""
+        return (
+            MemberStatus.READING_REGISTER
+            if self.member is None
+            else self.member.member_status(steady())
+        )
 
-    async def done(self, ask: Callable[[Member], int | None]) -> Done | None:
+    async def run_job(self, ask: Callable[[Member], int | None]) -> JobCompleted | None:
         """Have the core do a job, and wait for its end; None: it can't now."""
         assert self.member is not None
         job = ask(self.member)
         if job is None:
             return None
-        future: asyncio.Future[Done] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[JobCompleted] = asyncio.get_running_loop().create_future()
         self._waiters[job] = future
         self._pump()
         try:
@@ -138,16 +161,16 @@
         finally:
             self._waiters.pop(job, None)
 
-    def acted(self, turn: int) -> None:
+    def confirm_applied(self, turn: int) -> None:
         """The switch to that turn's rules is done."""
         if self.member is not None:
-            self.member.acted(turn, steady())
+            self.member.confirm_applied(turn, steady())
             self._pump()
 
-    def not_acted(self, turn: int, why: str) -> None:
+    def report_apply_failure(self, turn: int, why: str) -> None:
         """...or can't be done."""
         if self.member is not None:
-            self.member.not_acted(turn, why)
+            self.member.report_apply_failure(turn, why)
 
     # --- The socket
 
@@ -159,7 +182,7 @@
         # Whoever has the key may say so from anywhere; answers go to where file or roster says.
         if envelope is None or self.member is None or self._address(envelope.sender) is None:
             return
-        self.member.heard(envelope.sender, envelope.message, steady())
+        self.member.on_message(envelope.sender, envelope.message, steady())
         self._pump()
 
     def error_received(self, exc: Exception) -> None:
@@ -168,8 +191,8 @@
         self.unsent[why] = self.unsent.get(why, 0) + 1
 
     def _address(self, name: str) -> Address | None:
-        """Where a member is; what the tier has agreed on goes before the file."""
-        place = None if self.member is None else self.member.roster.places.get(name)
+        """Return where a member is; what the tier has agreed on goes before the file."""
+        place = None if self.member is None else self.member.configuration.addresses.get(name)
         if place is None:
             return self.addresses.get(name)
         address = self._places.get(place)
@@ -188,57 +211,61 @@
 
     # --- The beat
 
-    def _on_beat(self) -> None:
+    def _on_heartbeat_timer(self) -> None:
         """Let time pass for the core; what came while the loop was held up is read before that.
 
-        Danger: the loop runs timers first. Members would be judged by answers that lie unread.
+        The loop runs timers first. Members would be judged by answers that lie unread.
         """
-        if steady() - self._beat_due <= HELD_UP:
+        if steady() - self._beat_due <= STALLED_AFTER:
             self._tick()
             return
-        self._beat = asyncio.get_running_loop().call_later(READ_FIRST, self._tick)
+        self._heartbeat_handle = asyncio.get_running_loop().call_later(READ_FIRST, self._tick)
 
     def _tick(self) -> None:
         assert self.member is not None
-        self._beat_due = steady() + int(BEAT * 1e6)
-        self._beat = asyncio.get_running_loop().call_later(BEAT, self._on_beat)
-        self.member.tick(steady())
+        self._beat_due = steady() + int(HEARTBEAT_INTERVAL * 1e6)
+        self._heartbeat_handle = asyncio.get_running_loop().call_later(
+            HEARTBEAT_INTERVAL, self._on_heartbeat_timer
+        )
+        self.member.on_tick(steady())
         self._pump()
-        self.beaten()
+        self.on_heartbeat()
         self._say_refused()
 
     def _say_refused(self) -> None:
-        now, counts = time.monotonic(), {**self.wire.refused, **self.unsent}
+        now = time.monotonic()
+        counts = {**self.wire.refused, **self.unsent}
         if counts != self._told_refused and now - self._refused_at >= LATE:
-            self._refused_at, self._told_refused = now, counts
+            self._refused_at = now
+            self._told_refused = counts
             told = " ".join(f"{why}={count}" for why, count in sorted(counts.items()))
-            self.say(f"tier: datagrams refused, by this member or (E...) by the system: {told}")
+            self.log(f"tier: datagrams refused, by this member or (E...) by the system: {told}")
 
     # --- Effects
 
     def _pump(self) -> None:
         """Have happen what the core has asked for, up to the next thing that needs the disk."""
         assert self.member is not None
-        self._effects.extend(self.member.take())
-        if self.mute:
+        self._effects.extend(self.member.take_effects())
+        if self.disk_is_failing:
             # They count as lost: many would be old by the time the disk can be written.
             self._effects = deque(one for one in self._effects if not isinstance(one, Send))
         while self._effects and self._writing is None:
             effect = self._effects.popleft()
-            if isinstance(effect, Keep):
+            if isinstance(effect, Persist):
                 items = dict(effect.items)
-                while self._effects and isinstance(self._effects[0], Keep):
+                while self._effects and isinstance(self._effects[0], Persist):
                     more = self._effects.popleft()
-                    assert isinstance(more, Keep)
+                    assert isinstance(more, Persist)
                     items.update(more.items)
                 self._writing = asyncio.get_running_loop().create_task(self._write(items))
             else:
-                self._happen(effect)
+                self._execute(effect)
 
     async def _write(self, items: dict[str, bytes | None]) -> None:
         """Have these on disk, however often that fails; then go on with what waits for it.
 
-        Danger: the core counts its own vote before it is synced. What it goes on to send, act by or
+        The core counts its own vote before it is synced. What it goes on to send, act by or
         tell an operator rests on that, and is true only once the sync was done.
         """
         pause = WRITE_RETRY
@@ -258,28 +285,28 @@
         try:
             await asyncio.to_thread(self.disk.write, items)
         except DiskError as error:
-            if not self.mute:
-                self.say(f"tier: silent while its disk can't be written: {error}")
-            self.mute = str(error)
+            if not self.disk_is_failing:
+                self.log(f"tier: silent while its disk can't be written: {error}")
+            self.disk_is_failing = str(error)
             return False
-        if self.mute:
-            self.say("tier: its disk is written again")
-        self.mute = ""
+        if self.disk_is_failing:
+            self.log("tier: its disk is written again")
+        self.disk_is_failing = ""
         return True
 
     def _closing(self) -> bool:
         """Return whether the link is closed."""
         return self._transport is not None and self._transport.is_closing()
 
-    def _happen(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         if isinstance(effect, Send):
             self._send(effect.to, effect.message)
-        elif isinstance(effect, Act):
-            self.act(effect.acting)
-        elif isinstance(effect, Done):
+        elif isinstance(effect, ApplyVersions):
+            self.on_apply(effect.versions)
+        elif isinstance(effect, JobCompleted):
             future = self._waiters.get(effect.job)
             if future is not None and not future.done():
                 future.set_result(effect)
-        elif isinstance(effect, Tell):
+        elif isinstance(effect, LogEvent):
             fields = " ".join(f"{name}={value}" for name, value in effect.fields.items())
-            self.say(f"tier: {effect.event} {fields}".rstrip())
+            self.log(f"tier: {effect.event} {fields}".rstrip())
--- a/sailhitch/daemon/version_states.py
+++ b/sailhitch/daemon/version_states.py
@@ -21,10 +21,10 @@
     """Where a tier's contents are; both raise KeyError."""
 
     def read(self, digest: str) -> bytes:
-        """A whole content."""
+        """Return a whole content."""
 
     def page(self, digest: str) -> bytes:
-        """A raw page of a tree."""
+        """Return a raw page of a tree."""
 
 
 class VersionStates:
@@ -44,7 +44,7 @@
         self._applied_pages = pages
 
     def read(self, contents: Contents, digest: str) -> State:
-        """A version's state, without listeners.
+        """Return a version's state, without listeners.
 
         Raises KeyError or PageError from the contents, and StateTreeError or ValueError for a
         content that is no state.
@@ -102,7 +102,8 @@
     """Pages of one source, or of another where that has not got them."""
 
     def __init__(self, first: PageSource, second: PageSource | None) -> None:
-        self._first, self._second = first, second
+        self._first = first
+        self._second = second
 
     def page(self, digest: str) -> bytes:
         try:
--- a/sailhitch/front/groups.py
+++ b/sailhitch/front/groups.py
@@ -1,6 +1,6 @@
-"""Who holds slots together: sources and tenants, what they have brought, and their shares.
+"""Groups of connections: sources and tenants, their requests, and their shares.
 
-Bounded memory: a group that holds nothing is forgotten when there are too many, longest unseen
+Memory is bounded: a group without slots is evicted when there are too many, the longest unseen
 first. All times are microseconds.
 """
 
@@ -11,22 +11,31 @@
 
 MOST_GROUPS: Final = 2048
 PRIOR: Final = 8.0  # slots that a group of no record is taken to have used well
-OFFENDER: Final = 0.25  # a group of less standing than this is one that has misbehaved
-LEAST_SHARE: Final = 0.5  # of an even share, which is anybody's however little it brings
+VIOLATOR_STANDING: Final = 0.25  # a group of less standing than this is one that has misbehaved
+MIN_SHARE: Final = 0.5  # of an even share, which is anybody's however little it brings
 
 
 class Group:
     """A source or a tenant. `standing` (0 to 1) and `quota` are as of the last refresh."""
 
-    __slots__ = ("brought", "held", "idle", "name", "quota", "standing", "unproven", "wasted")
+    __slots__ = (
+        "idle",
+        "name",
+        "quota",
+        "request_count",
+        "slots",
+        "standing",
+        "unproven",
+        "wasted_slots",
+    )
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.held = 0  # connections
+        self.slots = 0  # connections
         self.unproven = 0  # of them, those that have not brought a whole request yet
         self.idle = 0  # of them, those that have and wait with none open
-        self.brought = 0.0  # requests, of late
-        self.wasted = 0.0  # slots that ended in misuse, of late
+        self.request_count = 0.0  # requests, of late
+        self.wasted_slots = 0.0  # slots that ended in misuse, of late
         self.standing = 1.0
         self.quota = 1.0  # of what there is of a scarce thing, this part at least
 
@@ -34,11 +43,11 @@
         """Work out the standing: a few bad ones among many good do not count, all bad do.
 
         Guards against sources that come back after each close, by what they did and not by how
-        they look. Danger: many honest clients may share one address (a front, a mobile carrier).
+        they look. Many honest clients may share one address (a front, a mobile carrier).
         Their requests outweigh what a few spoil.
         """
-        good = self.brought + PRIOR
-        self.standing = good / (good + self.wasted)
+        good = self.request_count + PRIOR
+        self.standing = good / (good + self.wasted_slots)
 
 
 class Groups:
@@ -49,7 +58,7 @@
         self.known: OrderedDict[str, Group] = OrderedDict()
 
     def get(self, name: str) -> Group:
-        """The group of this name, made if need be; the least lately seen idle one may go for it."""
+        """Return the group of this name; a new one may evict the least recently seen idle one."""
         group = self.known.get(name)
         if group is not None:
             self.known.move_to_end(name)
@@ -61,24 +70,24 @@
 
     def _forget_one(self) -> None:
         for name, group in self.known.items():
-            if not group.held:
+            if not group.slots:
                 del self.known[name]
                 return
         # All hold slots: as many as there are descriptors, which bounds this table too.
 
     def refresh(self, keep: float) -> None:
         """Judge all groups, share out by what each brings, and let old deeds count less."""
-        active = [g for g in self.known.values() if g.held or g.brought > 0.5]
-        total = sum(g.brought for g in active)
-        even = LEAST_SHARE / max(1, len(active))
+        active = [g for g in self.known.values() if g.slots or g.request_count > 0.5]
+        total = sum(g.request_count for g in active)
+        even = MIN_SHARE / max(1, len(active))
         for group in active:
             group.judge()
-            part = group.brought / total if total > 0.5 else 1.0 / len(active)
+            part = group.request_count / total if total > 0.5 else 1.0 / len(active)
             group.quota = max(part, even)
         for name, group in list(self.known.items()):
-            group.brought *= keep
-            group.wasted *= keep
-            if not group.held and group.brought < 0.05 and group.wasted < 0.05:
+            group.request_count *= keep
+            group.wasted_slots *= keep
+            if not group.slots and group.request_count < 0.05 and group.wasted_slots < 0.05:
                 del self.known[name]
 
 
--- a/sailhitch/front/survival.py
+++ b/sailhitch/front/survival.py
@@ -45,19 +45,19 @@
 
 
 def fade(elapsed: int) -> float:
-    """How much of what was counted still counts after so long."""
+    """Return how much of what was counted still counts after so long."""
     return math.pow(FORGET, elapsed / REFRESH)
 
 
 def octave(age: int) -> int:
-    """The octave of an age: 0 under 2^10 us, then one for each doubling."""
+    """Return the octave of an age: 0 under 2^10 us, then one for each doubling."""
     if age <= 0:
         return 0
     return min(OCTAVES - 1, (age >> SHIFT).bit_length())
 
 
 def gap_kind(gap: int) -> Kind:
-    """The kind of a connection that comes back after `gap` on the whole."""
+    """Return the kind of a connection that comes back after `gap` on the whole."""
     return GAPS[min(5, max(0, ((gap >> SHIFT).bit_length() - 3) // 2))]
 
 
@@ -72,19 +72,19 @@
     """A life table for each kind. `worth[kind][octave]` is current as of the last `refresh`."""
 
     def __init__(self) -> None:
-        self.asked = [[0.0] * OCTAVES for _ in range(KINDS)]
-        self.lost = [[0.0] * OCTAVES for _ in range(KINDS)]
+        self.requests = [[0.0] * OCTAVES for _ in range(KINDS)]
+        self.closes = [[0.0] * OCTAVES for _ in range(KINDS)]
         self.horizon = 1_000_000
-        self.worth = [[0.0] * OCTAVES for _ in range(KINDS)]
+        self.expected_requests = [[0.0] * OCTAVES for _ in range(KINDS)]
         self.refresh((), 1.0, 0)
 
-    def brought(self, kind: int, age: int) -> None:
-        """A wait ended with what was waited for."""
-        self.asked[kind][octave(age)] += 1.0
+    def on_request(self, kind: int, age: int) -> None:
+        """Count a wait that ended with a request."""
+        self.requests[kind][octave(age)] += 1.0
 
-    def closed(self, kind: int, age: int) -> None:
-        """A wait ended without: the peer or this side closed. What would have come is unknown."""
-        self.lost[kind][octave(age)] += 1.0
+    def on_closed(self, kind: int, age: int) -> None:
+        """Count a wait that ended with a close, by either side; a request might still have come."""
+        self.closes[kind][octave(age)] += 1.0
 
     def refresh(self, waiting: Iterable[tuple[int, int]], keep: float, horizon: int) -> None:
         """Work out the worth of every kind at every age.
@@ -100,15 +100,16 @@
         for kind, age in waiting:
             held[kind][octave(age)] += 1
         for kind in range(KINDS):
-            asked, lost = self.asked[kind], self.lost[kind]
-            self.worth[kind] = _worth(asked, lost, held[kind], 1.0 / self.horizon)
+            asked = self.requests[kind]
+            lost = self.closes[kind]
+            self.expected_requests[kind] = _worth(asked, lost, held[kind], 1.0 / self.horizon)
             if keep < 1.0:
-                self.asked[kind] = [count * keep for count in asked]
-                self.lost[kind] = [count * keep for count in lost]
+                self.requests[kind] = [count * keep for count in asked]
+                self.closes[kind] = [count * keep for count in lost]
 
     def latest(self, kind: int, share: float, absent: int) -> int:
-        """The age by which `share` of the waits that ended well had ended; `absent` if few did."""
-        asked = self.asked[kind]
+        """Return by which age `share` of the waits with a request ended; `absent` if few did."""
+        asked = self.requests[kind]
         total = sum(asked)
         if total < 10.0:
             return absent
--- a/sailhitch/handover/files.py
+++ b/sailhitch/handover/files.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Final
 
-from .legacy import HandoverError, Legacy, pack, unpack
+from .snapshot import HandoverError, ProcessSnapshot, decode_snapshot, encode_snapshot
 
 MOST: Final = 4 << 20
 
@@ -21,37 +21,37 @@
         os.close(descriptor)
 
 
-class Places:
+class HandoverFiles:
     """Where a gateway's processes find one another."""
 
     def __init__(self, folder: str, name: str) -> None:
         safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in name)[:40]
         self.folder = Path(folder)
         self.socket = self.folder / f"sailhitch-{safe}.sock"
-        self.bans = self.folder / f"sailhitch-{safe}.bans"
+        self.maintenance_file = self.folder / f"sailhitch-{safe}.bans"
 
-    def keep(self, legacy: Legacy) -> None:
+    def write_maintenance(self, legacy: ProcessSnapshot) -> None:
         """Keep bans, whole or as they were, also through a crash of the machine; raises OSError."""
-        fresh = self.bans.with_suffix(f".{os.getpid()}")
+        fresh = self.maintenance_file.with_suffix(f".{os.getpid()}")
         try:
             with fresh.open("wb") as file:
-                file.write(pack(legacy))
+                file.write(encode_snapshot(legacy))
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(fresh, self.bans)
+            os.replace(fresh, self.maintenance_file)
             _sync_folder(self.folder)
         except OSError:
             with contextlib.suppress(OSError):
                 fresh.unlink()
             raise
 
-    def kept(self) -> Legacy | None:
-        """What was kept, None if nothing; raises HandoverError or OSError."""
+    def read_maintenance(self) -> ProcessSnapshot | None:
+        """Return what was kept, None if nothing; raises HandoverError or OSError."""
         try:
-            with self.bans.open("rb") as file:
+            with self.maintenance_file.open("rb") as file:
                 data = file.read(MOST + 1)
         except FileNotFoundError:
             return None
         if len(data) > MOST:
             raise HandoverError("too long")
-        return unpack(data)
+        return decode_snapshot(data)
--- a/sailhitch/handover/link.py
+++ b/sailhitch/handover/link.py
@@ -26,7 +26,9 @@
 
     def __init__(self, sock: socket.socket, on_frame: OnFrame, on_end: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.sock, self.on_frame, self.on_end = sock, on_frame, on_end
+        self.sock = sock
+        self.on_frame = on_frame
+        self.on_end = on_end
         self.closed = False
         self._out: deque[tuple[bytes, int]] = deque()  # with a descriptor of ours, or -1
         sock.setblocking(False)
@@ -43,7 +45,7 @@
             self._write()
 
     def waits(self) -> bool:
-        """Whether frames have not gone out yet."""
+        """Return whether frames have not gone out yet."""
         return bool(self._out)
 
     def _write(self) -> None:
@@ -73,7 +75,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionResetError:
-                # Danger: an end that is closed with frames unread on it says so before what it had
+                # An end that is closed with frames unread on it says so before what it had
                 # sent, connections among it, can be read (unix(7)). It says so once.
                 continue
             except OSError:
@@ -119,8 +121,8 @@
     return socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
 
 
-def reach(path: Path) -> socket.socket | None:
-    """A socket to the process that listens there; None if none does.
+def connect(path: Path) -> socket.socket | None:
+    """Return a socket to the process that listens there; None if none does.
 
     Raises OSError where the system is out of resources for it, or that process for its queue.
     """
@@ -139,7 +141,7 @@
 def listen(path: Path) -> socket.socket:
     """Listen there from now on, in place of who did; raises OSError.
 
-    Danger: a name that is taken away before its successor stands leaves a moment in which a third
+    A name that is taken away before its successor stands leaves a moment in which a third
     process finds nobody. So the new one is made beside it and moved over it.
     """
     sock = _socket()
--- a/sailhitch/handover/passed_connections.py
+++ b/sailhitch/handover/passed_connections.py
@@ -59,7 +59,7 @@
         self._descriptor = _open_process(sock)
 
     def has_ended(self) -> bool:
-        """Whether it has surely ended; waits for ENDED_WITHIN at most."""
+        """Return whether it has surely ended; waits for ENDED_WITHIN at most."""
         if self._descriptor is None:
             return False
         poll = select.poll()
--- a/sailhitch/handover/shares.py
+++ b/sailhitch/handover/shares.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from ..core.terms import Bounds
+from ..core.resource_limits import ResourceLimits
 
 LEAST: Final = 4  # one part in so many of the descriptors is any process's own
 MARGIN: Final = 16
@@ -22,31 +22,34 @@
 class Share:
     """One process's part, by what it sees itself."""
 
-    before: bool = False  # a predecessor lives...
-    before_drains: bool = False  # ...and takes nobody in any more
-    after: bool = False  # a successor lives
-    after_ready: bool = False  # ...and takes clients in
+    has_predecessor: bool = False  # a predecessor lives...
+    predecessor_drains: bool = False  # ...and takes nobody in any more
+    has_successor: bool = False  # a successor lives
+    successor_is_ready: bool = False  # ...and takes clients in
 
     def processes(self) -> int:
-        """How many share."""
-        return 1 + self.before + self.after
+        """Return how many share."""
+        return 1 + self.has_predecessor + self.has_successor
 
-    def bounds(self, whole: Bounds, others: int) -> Bounds:
-        """What this process may use of what the gateway may, the others holding so many
-        descriptors."""
+    def limits(self, whole: ResourceLimits, others: int) -> ResourceLimits:
+        """Return what this process may use of what the gateway may, the others holding so many
+        descriptors.
+        """
         count = self.processes()
         if count == 1:
             return whole
-        left = whole.sockets - others - MARGIN
+        left = whole.descriptors - others - MARGIN
         return replace(
             whole,
             memory_mb=whole.memory_mb // count,
-            sockets=max(whole.sockets // LEAST, left),
+            descriptors=max(whole.descriptors // LEAST, left),
             # Fronts deal out connections to the gateway, whichever process takes them.
-            seats=whole.seats_dealt(),
+            request_slots=whole.request_slot_count(),
         )
 
     def intake(self) -> float:
-        """The part of the gateway's clients that comes here."""
-        others = (self.before and not self.before_drains) + (self.after and self.after_ready)
+        """Return the part of the gateway's clients that comes here."""
+        others = (self.has_predecessor and not self.predecessor_drains) + (
+            self.has_successor and self.successor_is_ready
+        )
         return 1.0 / (1 + others)
--- a/sailhitch/handover/takeover.py
+++ b/sailhitch/handover/takeover.py
@@ -15,151 +15,160 @@
 
 from ..core.interfaces import Connection
 from ..core.process import AFTERWARDS, STEP
-from ..core.terms import Bounds
+from ..core.resource_limits import ResourceLimits
 from ..net.listener import Listener
 from ..net.platform import Platform
 from ..net.system_errors import retry_shortage
-from . import legacy as told
-from .ban_keeper import BanKeeper
-from .files import Places
-from .legacy import Ban, HandoverError, Legacy, Pieces
-from .link import Link, listen, reach
+from . import snapshot as told
+from .files import HandoverFiles
+from .link import Link, connect, listen
+from .maintenance_writer import MaintenanceWriter
 from .passed_connections import PassedConnections, PeerProcess
 from .shares import Share
+from .snapshot import HandoverError, MaintenanceMark, ProcessSnapshot, SnapshotAssembler
 
 INHERIT: Final = 2.0  # s that a predecessor may take to tell what it knows
 REPORT: Final = 0.1  # s between two words of how many descriptors are held
 
 
-class Succession:
+class Takeover:
     """This process's place between the one before and the one after it."""
 
-    def __init__(self, platform: Platform, listener: Listener, places: Places) -> None:
-        self.platform, self.listener, self.places = platform, listener, places
-        self.core, self.pool = platform.core, platform.pool
+    def __init__(self, platform: Platform, listener: Listener, places: HandoverFiles) -> None:
+        self.platform = platform
+        self.listener = listener
+        self.files = places
+        self.core = platform.core
+        self.pool = platform.pool
         self.log = self.core.logger
         self.share = Share()
-        self.before: Link | None = None
-        self.after: Link | None = None
+        self.predecessor: Link | None = None
+        self.successor: Link | None = None
         self.inherited = False
         self.passed = self.taken = 0  # connections, for the log
         self._unconfirmed = PassedConnections()
         self._after_process: PeerProcess | None = None
         self._after_confirms = False
-        self.others: dict[Link, int] = {}  # descriptors that they hold, by their last word
-        self._keeper = BanKeeper(
-            self.core.loop, places, lambda: told.bans_of(self.pool.maintenance), self.log
+        # Descriptors that they hold, by their last word.
+        self.descriptors_elsewhere: dict[Link, int] = {}
+        self._keeper = MaintenanceWriter(
+            self.core.loop,
+            places,
+            lambda: told.maintenance_snapshot(self.pool.maintenance),
+            self.log,
         )
-        self._pieces = Pieces()
+        self._pieces = SnapshotAssembler()
         self._heard = asyncio.Event()
         self._sock: socket.socket | None = None
         self._report: asyncio.TimerHandle | None = None
-        platform.fit = self._fit
+        platform.apply_share = self._apply_share
 
     # --- At the start
 
     async def inherit(self) -> None:
         """Take what a predecessor leaves, or what is kept of bans where none answers."""
-        sock = await self._reach_before()
+        sock = await self._connect_to_predecessor()
         if sock is not None:
-            self.before = Link(sock, self._from_before, self._before_ended)
-            self.share.before = True
-            self.before.send(bytes((told.HELLO, told.FORM, told.CONFIRMS)))
+            self.predecessor = Link(sock, self._on_predecessor_frame, self._on_predecessor_ended)
+            self.share.has_predecessor = True
+            self.predecessor.send(bytes((told.HELLO, told.FORMAT_VERSION, told.CONFIRMS)))
             try:
                 async with asyncio.timeout(INHERIT):
                     await self._heard.wait()
             except TimeoutError:
-                self.log.say("handover: the process before is there and tells nothing")
+                self.log.write("handover: the process before is there and tells nothing")
         if not self.inherited:
-            self._take_kept()
+            self._restore_from_file()
         self._settle()
 
-    async def _reach_before(self) -> socket.socket | None:
+    async def _connect_to_predecessor(self) -> socket.socket | None:
         """Return a socket to the process before, if there is one.
 
-        Danger: taken for absent because of a moment's shortage, it would pass nothing on, and go on
+        Taken for absent because of a moment's shortage, it would pass nothing on, and go on
         serving beside this one.
         """
 
         async def once() -> socket.socket | None:
-            return reach(self.places.socket)
+            return connect(self.files.socket)
 
         try:
             return await retry_shortage(once)
         except OSError as error:
-            self.log.say(f"handover: {self.places.socket} can't be reached: {error}")
+            self.log.write(f"handover: {self.files.socket} can't be reached: {error}")
             return None
 
-    def _take_kept(self) -> None:
+    def _restore_from_file(self) -> None:
         try:
-            kept = self.places.kept()
+            kept = self.files.read_maintenance()
         except (HandoverError, OSError) as error:
-            self.log.say(f"handover: the bans that were kept can't be read: {error}")
+            self.log.write(f"handover: the bans that were kept can't be read: {error}")
             return
         if kept is not None:
-            self._take(kept)
+            self._restore(kept)
 
-    def _take(self, legacy: Legacy) -> None:
-        told.take_bans(legacy, self.pool.maintenance)
-        roster = told.roster_of(legacy)
+    def _restore(self, legacy: ProcessSnapshot) -> None:
+        told.restore_maintenance(legacy, self.pool.maintenance)
+        roster = told.endpoint_update_from(legacy)
         if roster is not None:
             self.platform.inherit(roster)
-            if legacy.knowledge is not None:
-                self.pool.adopt(legacy.knowledge)
+            if legacy.policy is not None:
+                self.pool.restore_snapshot(legacy.policy)
         else:
-            self.pool.retell(list(legacy.bans) + list(legacy.returned))
+            self.pool.republish(list(legacy.bans) + list(legacy.completed_bans))
         bans = ", ".join(legacy.bans) or "none"
-        self.log.say(f"handover: {len(legacy.hosts)} hosts, out for maintenance: {bans:.300}")
+        self.log.write(f"handover: {len(legacy.endpoints)} hosts, out for maintenance: {bans:.300}")
 
     def open(self) -> None:
         """Be there for a successor from now on."""
         try:
-            self._sock = listen(self.places.socket)
+            self._sock = listen(self.files.socket)
         except OSError as error:
-            self.log.say(f"handover: no successor can ask: {self.places.socket}: {error}")
+            self.log.write(f"handover: no successor can ask: {self.files.socket}: {error}")
             return
         self.core.loop.add_reader(self._sock, self._accept)
 
     def ready(self) -> None:
         """This process serves from now on."""
-        if self.before is not None:
-            self.before.send(bytes((told.READY,)))
+        if self.predecessor is not None:
+            self.predecessor.send(bytes((told.READY,)))
 
     # --- The process before
 
-    def _from_before(self, kind: int, payload: bytes, descriptors: list[int]) -> None:
+    def _on_predecessor_frame(self, kind: int, payload: bytes, descriptors: list[int]) -> None:
         if kind == told.CLIENT:
             for descriptor in descriptors:
                 self.taken += 1
                 self.listener.adopt(descriptor)
-                if self.before is not None:
-                    self.before.send(bytes((told.TAKEN,)))
+                if self.predecessor is not None:
+                    self.predecessor.send(bytes((told.CLIENT_TAKEN,)))
             return
         for descriptor in descriptors:
             os.close(descriptor)
         try:
             if kind == told.STATE:
                 self._pieces.add(payload)
-            elif kind == told.WHOLE:
-                self._take(told.by_clock_of(self._pieces.whole(), self.core.epoch))
-                self._keeper.keep()  # the process before may end without having been able to
+            elif kind == told.STATE_END:
+                self._restore(told.translate_clock(self._pieces.finish(), self.core.epoch))
+                self._keeper.write()  # the process before may end without having been able to
                 self.inherited = True
                 self._heard.set()
             elif kind == told.DRAINING:
-                self.share.before_drains = True
+                self.share.predecessor_drains = True
                 self._settle()
-            elif self.before is not None:
-                self._from_either(self.before, kind, payload)
+            elif self.predecessor is not None:
+                self._from_either(self.predecessor, kind, payload)
         except HandoverError as error:
-            self.log.say(f"handover: {error}; going on without")
+            self.log.write(f"handover: {error}; going on without")
             self._heard.set()
 
-    def _before_ended(self) -> None:
-        self.log.say(f"handover: the process before has ended; {self.taken} connections taken over")
-        if self.before is not None:
-            self.others.pop(self.before, None)
-        self.before = None
-        self.share.before = False
+    def _on_predecessor_ended(self) -> None:
+        self.log.write(
+            f"handover: the process before has ended; {self.taken} connections taken over"
+        )
+        if self.predecessor is not None:
+            self.descriptors_elsewhere.pop(self.predecessor, None)
+        self.predecessor = None
+        self.share.has_predecessor = False
         self._heard.set()
         self._settle()
 
@@ -171,64 +180,69 @@
             sock, _ = self._sock.accept()
         except OSError:
             return
-        if self.after is not None:
-            # Danger: of two that would follow only one may; the later one is who is waited for.
-            self.after.close()
-        self.after = Link(sock, self._from_after, self._after_ended)
-        self._after_process, self._after_confirms = PeerProcess(sock), False
-        self.share.after, self.share.after_ready = True, False
+        if self.successor is not None:
+            # Of two that would follow only one may; the later one is who is waited for.
+            self.successor.close()
+        self.successor = Link(sock, self._on_successor_frame, self._on_successor_ended)
+        self._after_process = PeerProcess(sock)
+        self._after_confirms = False
+        self.share.has_successor = True
+        self.share.successor_is_ready = False
         self._settle()
 
-    def _from_after(self, kind: int, payload: bytes, descriptors: list[int]) -> None:
+    def _on_successor_frame(self, kind: int, payload: bytes, descriptors: list[int]) -> None:
         for descriptor in descriptors:
             os.close(descriptor)
-        assert self.after is not None
-        if kind == told.TAKEN:
+        assert self.successor is not None
+        if kind == told.CLIENT_TAKEN:
             self._unconfirmed.taken()
         elif kind == told.HELLO:
             self._after_confirms = payload[1:2] == bytes((told.CONFIRMS,))
-            for frame in told.frames(told.pack(self._legacy())):
-                self.after.send(frame)
-            self.log.say("handover: a process that would follow has been told what is known")
+            for frame in told.frames(told.encode_snapshot(self._snapshot())):
+                self.successor.send(frame)
+            self.log.write("handover: a process that would follow has been told what is known")
         elif kind == told.READY:
-            self.share.after_ready = True
+            self.share.successor_is_ready = True
             self._settle()
         else:
             try:
-                self._from_either(self.after, kind, payload)
+                self._from_either(self.successor, kind, payload)
             except HandoverError as error:
-                self.log.say(f"handover: from the process after: {error}")
+                self.log.write(f"handover: from the process after: {error}")
 
-    def _legacy(self) -> Legacy:
+    def _snapshot(self) -> ProcessSnapshot:
         return msgspec.structs.replace(
-            told.bans_of(self.pool.maintenance),
-            version=self.platform.discovery.version,
-            hosts=list(self.pool.listed.values()),
-            knowledge=self.pool.knowledge(),
-            epoch=self.core.epoch,
+            told.maintenance_snapshot(self.pool.maintenance),
+            list_version=self.platform.discovery.version,
+            endpoints=told.snapshot_endpoints(self.pool.endpoints.values()),
+            policy=self.pool.take_snapshot(),
+            clock_epoch=self.core.epoch,
         )
 
-    def _after_ended(self) -> None:
-        self.log.say("handover: the process that would follow has ended")
-        if self.after is not None:
-            self.others.pop(self.after, None)
-        self.after = None
+    def _on_successor_ended(self) -> None:
+        self.log.write("handover: the process that would follow has ended")
+        if self.successor is not None:
+            self.descriptors_elsewhere.pop(self.successor, None)
+        self.successor = None
         self._take_back()
-        self.share.after = self.share.after_ready = False
+        self.share.has_successor = self.share.successor_is_ready = False
         self._settle()
 
     def _take_back(self) -> None:
         """Go on with connections that a process that has ended did not take.
 
-        Danger: one that lives and has only left the link may have taken them, and two would read
+        One that lives and has only left the link may have taken them, and two would read
         from one connection.
         """
-        process, self._after_process = self._after_process, None
+        process = self._after_process
+        self._after_process = None
         if process is None:
             return
         if len(self._unconfirmed) and process.has_ended():
             descriptors = self._unconfirmed.take_back()
-            self.log.say(f"handover: {len(descriptors)} connections were not taken, and go on here")
+            self.log.write(
+                f"handover: {len(descriptors)} connections were not taken, and go on here"
+            )
             for descriptor in descriptors:
                 self.listener.adopt(descriptor)
         self._unconfirmed.close()
@@ -237,52 +251,54 @@
     # --- Both
 
     def _links(self) -> list[Link]:
-        return [link for link in (self.before, self.after) if link is not None]
+        return [link for link in (self.predecessor, self.successor) if link is not None]
 
     def _from_either(self, link: Link, kind: int, payload: bytes) -> None:
-        if kind == told.BAN:
-            ban = told.read_ban(payload)
-            self.pool.maintenance.saw((ban.host,))
+        if kind == told.MAINTENANCE:
+            ban = told.read_maintenance_mark(payload)
+            self.pool.maintenance.add_names((ban.host,))
             self._act(ban, link)
-        elif kind == told.HOLDS and len(payload) == 4:
-            self.others[link] = int.from_bytes(payload, "big")
+        elif kind == told.DESCRIPTORS_HELD and len(payload) == 4:
+            self.descriptors_elsewhere[link] = int.from_bytes(payload, "big")
             self._settle()
 
-    def said(self, host: str, out: bool) -> None:
+    def mark_changed(self, host: str, out: bool) -> None:
         """Staff have said this here."""
-        self._act(Ban(host, out, self.core.clock()), None)
+        self._act(MaintenanceMark(host, out, self.core.clock()), None)
 
-    def _act(self, ban: Ban, source: Link | None) -> None:
-        self.pool.by_hand(ban.host, ban.out)
-        self._keeper.keep()
+    def _act(self, ban: MaintenanceMark, source: Link | None) -> None:
+        self.pool.set_maintenance(ban.host, ban.in_maintenance)
+        self._keeper.write()
         for link in self._links():
             if link is not source:
-                link.send(told.ban_frame(ban))
+                link.send(told.maintenance_frame(ban))
 
-    def _fit(self, whole: Bounds) -> Bounds:
-        return self.share.bounds(whole, sum(self.others.values()))
+    def _apply_share(self, whole: ResourceLimits) -> ResourceLimits:
+        return self.share.limits(whole, sum(self.descriptors_elsewhere.values()))
 
     def _settle(self) -> None:
         """Go by this process's share as it is now."""
         self.platform.resize()
-        self.pool.share(self.share.intake())
+        self.pool.set_share(self.share.intake())
         if self.share.processes() > 1 and self._report is None:
-            self._say_held()
+            self._report_descriptors()
 
-    def _say_held(self) -> None:
+    def _report_descriptors(self) -> None:
         self._report = None
-        held = self.core.admission.held + self.core.upstream()
+        held = self.core.admission.held + self.core.upstream_descriptors()
         for link in self._links():
-            beyond = sum(count for other, count in self.others.items() if other is not link)
-            link.send(bytes((told.HOLDS,)) + (held + beyond).to_bytes(4, "big"))
+            beyond = sum(
+                count for other, count in self.descriptors_elsewhere.items() if other is not link
+            )
+            link.send(bytes((told.DESCRIPTORS_HELD,)) + (held + beyond).to_bytes(4, "big"))
         if self.share.processes() > 1:
-            self._report = self.core.loop.call_later(REPORT, self._say_held)
+            self._report = self.core.loop.call_later(REPORT, self._report_descriptors)
 
     # --- At the end
 
     def can_pass_on(self) -> bool:
-        """Whether a successor takes clients in."""
-        return self.after is not None and self.share.after_ready
+        """Return whether a successor takes clients in."""
+        return self.successor is not None and self.share.successor_is_ready
 
     async def pass_on(self) -> None:
         """SIGTERM with a successor: give it each connection as it falls idle.
@@ -292,29 +308,29 @@
         """
         core = self.core
         core.drain()
-        assert self.after is not None
-        self.after.send(bytes((told.DRAINING,)))
-        self.listener.leave_to_others()
-        core.passing = self._pass
+        assert self.successor is not None
+        self.successor.send(bytes((told.DRAINING,)))
+        self.listener.stop_accepting()
+        core.pass_on_connection = self._pass
         last = core.drain_until + AFTERWARDS
         while self.can_pass_on() and core.clock() < last and self._owing():
             await asyncio.sleep(STEP)
-        core.passing = None
-        self.log.say(f"handover: {self.passed} connections passed on")
+        core.pass_on_connection = None
+        self.log.write(f"handover: {self.passed} connections passed on")
 
     def _owing(self) -> bool:
         """Pass on who is idle; whether anybody is left, or half-way in or out.
 
-        Danger: while the process before lives, its connections may be on their way here, and end
+        While the process before lives, its connections may be on their way here, and end
         with a link that is closed on them.
         """
         left = [client for client in list(self.core.clients) if not self._pass(client)]
-        waits = self.after is not None and self.after.waits()
-        waits = waits or self.before is not None or len(self._unconfirmed) > 0
+        waits = self.successor is not None and self.successor.waits()
+        waits = waits or self.predecessor is not None or len(self._unconfirmed) > 0
         return waits or bool(self.core.arriving) or any(not c.is_closed() for c in left)
 
     def _pass(self, client: Connection) -> bool:
-        if self.after is None or not self.can_pass_on():
+        if self.successor is None or not self.can_pass_on():
             return False
         descriptor = client.detach()
         if descriptor is None:
@@ -322,7 +338,7 @@
         self.passed += 1
         if self._after_confirms:
             self._unconfirmed.keep(descriptor)
-        self.after.send(bytes((told.CLIENT,)), descriptor)
+        self.successor.send(bytes((told.CLIENT,)), descriptor)
         return True
 
     def close(self) -> None:
--- a/sailhitch/lab/crowd.py
+++ b/sailhitch/lab/crowd.py
@@ -17,7 +17,11 @@
 
 from .message import platform
 
-SERVED, REFUSED, FAILED, NO_SEAT, LOST = "served", "refused", "failed", "no seat", "lost"
+SERVED = "served"
+REFUSED = "refused"
+FAILED = "failed"
+NO_SEAT = "no seat"
+LOST = "lost"
 READY: Final = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 _names = itertools.count()
 
@@ -31,12 +35,14 @@
         self.retry_after: list[float] = []
 
     def end(self, name: str, what: str) -> None:
+        """Count how a request ended."""
         self.ends[what] += 1
         if what in (SERVED, REFUSED, FAILED):
             self.answers[name] += 1
 
     @property
     def asked(self) -> int:
+        """Return the number of requests sent."""
         return sum(self.ends.values())
 
     @property
@@ -62,9 +68,11 @@
         self._done: asyncio.Future[tuple[int, dict[str, str], bytes]] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
+        """Read bytes of a response."""
         self._data += data
         head, gap, body = self._data.partition(b"\r\n\r\n")
         if not gap:
@@ -76,22 +84,26 @@
             return
         self._data = body[size:]
         self.keep = fields.get("connection", "").lower() != "close"
-        done, self._done = self._done, None
+        done = self._done
+        self._done = None
         if done is None:
             self.early += head
         elif not done.done():
             done.set_result((int(first.split(" ")[1]), fields, body[:size]))
 
     def eof_received(self) -> None:
+        """Close when the gateway has closed its side."""
         self.connection_lost(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the open request as lost."""
         self.gone.set()
         if self._done is not None and not self._done.done():
             self._done.set_exception(ConnectionResetError("closed by the gateway"))
 
     @property
     def open(self) -> bool:
+        """Return whether the connection is open."""
         return self.keep and not self.gone.is_set()
 
     async def ask(self, data: bytes, patience: float) -> tuple[int, dict[str, str], bytes]:
@@ -105,6 +117,7 @@
             return await self._done
 
     def close(self) -> None:
+        """Close the connection at once."""
         self.gone.set()
         if self.transport is not None:
             self.transport.abort()
@@ -127,7 +140,10 @@
     """
 
     def __init__(self, addr: str, seats: int, kind: str, wait_ms: int = 3000) -> None:
-        self.addr, self.seats, self.kind, self.wait_ms = addr, seats, kind, wait_ms
+        self.addr = addr
+        self.seats = seats
+        self.kind = kind
+        self.wait_ms = wait_ms
         self.idle: list[Line] = []
         self.open: set[Line] = set()
         self.dialled = 0
@@ -175,9 +191,15 @@
             self.open.discard(line)
 
     def _finish(
-        self, tally: Tally, name: str, line: Line, status: int, fields: dict[str, str],
-        got: bytes, hold: bool,
-    ) -> Line | None:  # fmt: skip
+        self,
+        tally: Tally,
+        name: str,
+        line: Line,
+        status: int,
+        fields: dict[str, str],
+        got: bytes,
+        hold: bool,
+    ) -> Line | None:
         mine = got.split(b" ")[0] == name.encode()
         if status == 200 and mine:
             tally.end(name, SERVED)
@@ -238,11 +260,11 @@
     # --- Honest clients
 
     async def honest(self, front: Front, tally: Tally, rate: float, count: int, **how: Any) -> None:
-        """Requests that come one by one through the front and let go of their connections."""
+        """Send requests one by one through the front, each on a connection that it releases."""
         await self.steady(rate, count, lambda: front.ask(tally, **how))
 
     async def returner(self, front: Front, tally: Tally, gap: float, times: int) -> None:
-        """Keeps its own connection and asks again after `gap`; makes a new one if need be."""
+        """Send a request every `gap` on a connection of its own, reconnecting if need be."""
         line: Line | None = None
         for _ in range(times):
             name = f"r{next(_names):x}"
@@ -276,7 +298,7 @@
         await self.steady(rate, count, lambda: self._misuse("silent", _nothing, source))
 
     async def come_back(self, source: str = "", first: bytes = b"") -> None:
-        """Connects anew as soon as it is closed, and says nothing or the same again."""
+        """Reconnect as soon as it is closed, and send nothing or the same again."""
 
         async def say(line: Line) -> None:
             assert line.transport is not None
@@ -287,7 +309,7 @@
             await asyncio.sleep(0)
 
     async def trickle(self, data: bytes, gap: float, source: str = "") -> None:
-        """Sends a byte at a time."""
+        """Send a byte at a time."""
 
         async def say(line: Line) -> None:
             assert line.transport is not None
--- a/sailhitch/lab/demo.py
+++ b/sailhitch/lab/demo.py
@@ -60,7 +60,7 @@
 
 
 async def _start_nodes(made: OperatorFile) -> dict[str, Node]:
-    """A stand-in at each address of the file; a pool's nodes share what they remember."""
+    """Return a stand-in at each address of the file; a pool's nodes share what they remember."""
     nodes: dict[str, Node] = {}
     for pool in made.pools:
         memory = Memory()
@@ -81,9 +81,15 @@
     # From a checkout the package is found by where this process was started, which that one is not.
     env = os.environ | {"PYTHONPATH": str(Path(__file__).resolve().parents[2])}
     program = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "sailhitch.daemon.cli", "run", str(file), cwd=folder, env=env,
+        sys.executable,
+        "-m",
+        "sailhitch.daemon.cli",
+        "run",
+        str(file),
+        cwd=folder,
+        env=env,
         stderr=asyncio.subprocess.PIPE if options.json else None,
-    )  # fmt: skip
+    )
     try:
         socket = Path(folder) / (made.gateway.admin or "g1.sock")
         await _answers(program, socket)
--- a/sailhitch/lab/judge.py
+++ b/sailhitch/lab/judge.py
@@ -12,8 +12,8 @@
 from typing import Any, Final, Protocol
 
 from ..daemon.schema import read_duration
-from ..zones.posture import in_use
 from ..zones.rollout import FIRST, following
+from ..zones.traffic_policy import active_node_count
 from .load import LOST, REFUSED, SERVED, Load
 from .node import Effect, Node, doubled
 from .scenario import Scenario, StepPart
@@ -47,17 +47,25 @@
     late: float = 0.0  # how long a contradiction lasted, by the nodes' logs
 
     def as_json(self) -> dict[str, Any]:
+        """Return the result as plain values."""
         return {
-            "name": self.scenario.name, "broken": self.broken, "requests": self.ends,
-            "longest_gap": self.gap, "contradiction": self.late,
+            "name": self.scenario.name,
+            "broken": self.broken,
+            "requests": self.ends,
+            "longest_gap": self.gap,
+            "contradiction": self.late,
             "commands": [
                 {
-                    "do": one.step.do, "by": one.by, "node": one.step.node, "end": one.end,
-                    "took": round(one.ended - one.asked, 3), "text": one.text,
+                    "do": one.step.do,
+                    "by": one.by,
+                    "node": one.step.node,
+                    "end": one.end,
+                    "took": round(one.ended - one.asked, 3),
+                    "text": one.text,
                 }
                 for one in self.told
             ],
-        }  # fmt: skip
+        }
 
 
 class Watched(Protocol):
@@ -116,22 +124,24 @@
             self._paced(told)
 
     def _paced(self, told: Told) -> None:
-        """A way back uses no more nodes than its steps have had time for."""
-        scenario, zone = self.result.scenario, told.step.node
+        """Check that a recovery uses no more nodes than its steps had time for."""
+        scenario = self.result.scenario
+        zone = told.step.node
         here = [name for name in self.nodes if scenario.zone_of(name) == zone]
         over = self._until(told, lambda one: one.do in ("leave", "return") and one.node == zone)
         first = sorted(
             min((e.at for e in self.nodes[name].log if told.asked < e.at < over), default=math.inf)
             for name in here
         )
-        share, began = FIRST, told.asked
+        share = FIRST
+        began = told.asked
         while share < 1:
             began += read_duration(scenario.step) / 1e6
             early = sum(at < began for at in first)
-            if early > in_use(share, len(here)):
+            if early > active_node_count(share, len(here)):
                 self.result.broken.append(
                     f"{early} nodes of {zone} got something within {began - told.asked:.2f} s of "
-                    f"its return, where {in_use(share, len(here))} were due"
+                    f"its return, where {active_node_count(share, len(here))} were due"
                 )
                 return
             share = following(share)
@@ -145,9 +155,10 @@
     ) -> None:
         for name in names:
             late = [
-                effect for effect in self.nodes[name].log
+                effect
+                for effect in self.nodes[name].log
                 if told.ended < effect.at < over and counts(effect)
-            ]  # fmt: skip
+            ]
             self.result.late = max([self.result.late, *(e.at - told.ended for e in late)])
             wrong = [effect for effect in late if effect.at > told.ended + ALLOWED]
             if wrong:
@@ -170,7 +181,8 @@
         """Of commands begun together at several gateways, one may win."""
         for step in self.result.scenario.steps:
             ends = [one.end for one in self.result.told if one.step is step]
-            what, won = f"{step.do} {step.node}", sum(e in ("active", "pending") for e in ends)
+            what = f"{step.do} {step.node}"
+            won = sum(e in ("active", "pending") for e in ends)
             if len(ends) > 1 and not step.ends and won != 1:
                 self.result.broken.append(f"{what}: {won} of {len(ends)} won: {ends}")
 
@@ -181,15 +193,17 @@
         if up and load.ends[SERVED] / up < least and not self.gateways[name].down[1:]:
             result.broken.append(f"{name} served {load.ends[SERVED]} of {up}, below {least:g}")
         times = sorted(
-            effect.at for node in self.nodes.values() for effect in node.log
+            effect.at
+            for node in self.nodes.values()
+            for effect in node.log
             if effect.name.startswith(f"{name}-".encode()) and not effect.safe
-        )  # fmt: skip
+        )
         points = [began, *times, ended]
         result.gap[name] = max(b - a for a, b in itertools.pairwise(points))
 
 
 def table(result: Result) -> list[str]:
-    """What a play came to, for people."""
+    """Return what a play came to, for people."""
     lines = [f"{'command':<24} {'end':<8} {'took':>7}"]
     for told in result.told:
         what = f"{told.step.do} {told.step.node} at {told.by}"
--- a/sailhitch/lab/load.py
+++ b/sailhitch/lab/load.py
@@ -13,7 +13,10 @@
 from .crowd import Line, dial
 from .message import build
 
-SERVED, REFUSED, FAILED, LOST = "served", "refused", "failed", "lost"
+SERVED = "served"
+REFUSED = "refused"
+FAILED = "failed"
+LOST = "lost"
 CUT: Final = "cut"  # no answer, as the connection could not be had or broke
 PATIENCE: Final = 15.0  # s until a request counts as lost; gateways answer long before
 
@@ -44,11 +47,19 @@
     """
 
     def __init__(
-        self, addr: str, clients: int = 8, kinds: Sequence[Kind] = MIX, pause: float = 0.0,
-        seed: int = 1, prefix: str = "c",
-    ) -> None:  # fmt: skip
+        self,
+        addr: str,
+        clients: int = 8,
+        kinds: Sequence[Kind] = MIX,
+        pause: float = 0.0,
+        seed: int = 1,
+        prefix: str = "c",
+    ) -> None:
         self.prefix = prefix  # of the ids of its requests
-        self.addr, self.clients, self.kinds, self.pause = addr, clients, kinds, pause
+        self.addr = addr
+        self.clients = clients
+        self.kinds = kinds
+        self.pause = pause
         self.random = random.Random(seed)
         self.ends: Counter[str] = Counter()
         self.answers: Counter[str] = Counter()
@@ -75,6 +86,7 @@
 
     @property
     def asked(self) -> int:
+        """Return the number of requests sent."""
         return sum(self.ends.values())
 
     def quantile(self, part: float, since: float = 0.0) -> float:
--- a/sailhitch/lab/message.py
+++ b/sailhitch/lab/message.py
@@ -10,7 +10,7 @@
 def build(
     method: str, path: str, fields: Iterable[tuple[str, object]] = (), body: bytes = b""
 ) -> bytes:
-    """A request with these fields; with a length where there is a body or the method wants one."""
+    """Return a request; it has a length if there is a body or the method wants one."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}"]
     lines += [f"{name}: {value}" for name, value in fields]
     if body or method == "POST":
@@ -21,10 +21,12 @@
 def platform(
     name: str, kind: str, wait_ms: int, body: bytes | None = None, owner: str = "", key: str = ""
 ) -> bytes:
-    """A request as the platform's protocol has it; of a safe class where it has no body."""
+    """Return a request of the platform's protocol; of a safe class if it has no body."""
     fields: list[tuple[str, object]] = [
-        ("Req-Id", name), ("Req-Kind", kind), ("Req-Deadline-Ms", wait_ms)
-    ]  # fmt: skip
+        ("Req-Id", name),
+        ("Req-Kind", kind),
+        ("Req-Deadline-Ms", wait_ms),
+    ]
     if owner:
         fields.append(("Req-Owner", owner))
     if key:
--- a/sailhitch/lab/modelled.py
+++ b/sailhitch/lab/modelled.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from ..daemon.link import BEAT
 from ..daemon.schema import read_duration
-from ..daemon.tiered import ASKED, LEAVING
+from ..daemon.tier_link import HEARTBEAT_INTERVAL
+from ..daemon.tier_source import DECISION_TIMEOUT, LEAVE_TIMEOUT
+from ..model.invariants import InvariantViolationError
 from ..model.tier import TierProcess, World
-from ..model.truth import BrokenError
-from ..tier.effects import End
+from ..tier.effects import ProposalResult
 from ..tier.member import Member, MemberStatus
 from ..tier.messages import Version
-from ..zones.posture import PostureError
+from ..zones.traffic_policy import TrafficPolicyError
 from .judge import Result, Told
 from .scenario import Scenario, StepPart
 from .tier import COMMANDS, ZONES
@@ -62,14 +62,23 @@
         self.within = read_duration(scenario.agree_within)
         # All nodes may be sent to, and payouts go to the first pool.
         self.world = World(
-            seed, scenario.gateways, scenario.voters, lease, beat=int(BEAT * S),
-            late=scenario.late, first=range(self.nodes + 1), acts=self.nodes + 2,
-            zones=self._zones(), step=read_duration(scenario.step), act=scenario.mode == "act",
-        )  # fmt: skip
+            seed,
+            scenario.gateways,
+            scenario.voters,
+            lease,
+            beat=int(HEARTBEAT_INTERVAL * S),
+            late=scenario.late,
+            first=range(self.nodes + 1),
+            acts=self.nodes + 2,
+            zones=self._zones(),
+            step=read_duration(scenario.step),
+            act=scenario.mode == "act",
+        )
         self.commands: list[_Command] = []
 
     def _zones(self) -> dict[str, str]:
-        zone_of, nodes = self.scenario.zone_of, range(self.nodes)
+        zone_of = self.scenario.zone_of
+        nodes = range(self.nodes)
         return {str(i): zone_of(f"n{i + 1}") for i in nodes} if self.scenario.zones else {}
 
     def play(self) -> ModelPlay:
@@ -77,7 +86,7 @@
         play = ModelPlay()
         try:
             self._play()
-        except BrokenError as error:
+        except InvariantViolationError as error:
             play.broken = str(error)
         for one in self.commands:
             told = Told(
@@ -107,7 +116,7 @@
         limit = self.world.kernel.now + PATIENCE
         while not good():
             if self.world.kernel.now >= limit:
-                raise BrokenError(f"4: not within {PATIENCE // S} s: {what}")
+                raise InvariantViolationError(f"4: not within {PATIENCE // S} s: {what}")
             self._go_on(self.world.kernel.now + STEP)
 
     # --- Conditions
@@ -121,37 +130,38 @@
         process = self.world.processes[name]
         if process.member is None or not process.up:
             return False
-        return process.member.standing(process.clock()) is MemberStatus.IN
+        return process.member.member_status(process.clock()) is MemberStatus.ACTIVE
 
     def _agree(self, names: Sequence[str]) -> bool:
         running = [name for name in names if self.world.processes[name].up]
-        heads = [self._member(name).known for name in running]
-        turns = {0 if known is None else known.head.turn for known in heads}
-        settled = all(known is not None and known.head.pending is None for known in heads)
-        acted = all(self._member(name).confirmed in turns for name in running)
+        heads = [self._member(name).chosen for name in running]
+        turns = {0 if known is None else known.state.revision for known in heads}
+        settled = all(known is not None and known.state.pending is None for known in heads)
+        acted = all(self._member(name).confirmed_revision in turns for name in running)
         voters = [voter for name in running if (voter := self._member(name).voter) is not None]
-        good = settled and acted and len(turns) == 1 and all(voter.votes for voter in voters)
+        good = settled and acted and len(turns) == 1 and all(voter.is_voting for voter in voters)
         return good and all(self._is_in(name) for name in running)
 
     def _all_go_along(self, member: Member, turn: int) -> bool:
-        return member.confirmed >= turn and not member.lagging()
+        return member.confirmed_revision >= turn and not member.members_behind()
 
     def _is_back(self, step: StepPart) -> bool:
         controllers = [self.world.processes[name].controller for name in step.who]
         return all(
-            controller is not None and step.node not in controller.posture.zones
+            controller is not None and step.node not in controller.traffic_policy.zones
             for controller in controllers
         )
 
     def _is_left(self, step: StepPart) -> bool:
         controllers = [self.world.processes[name].controller for name in step.who]
-        orders = [None if h is None else h.posture.zones.get(step.node) for h in controllers]
+        orders = [None if h is None else h.traffic_policy.zones.get(step.node) for h in controllers]
         return all(order is not None and not order.share for order in orders)
 
     # --- Steps
 
     def _do(self, step: StepPart) -> None:
-        network, names = self.world.network, step.who or list(self.world.names)
+        network = self.world.network
+        names = step.who or list(self.world.names)
         if step.do in COMMANDS:
             for name in step.who:
                 self._ask(step, self.world.processes[name])
@@ -162,7 +172,8 @@
         elif step.do == "dead":
             self._until(
                 lambda: all(
-                    set(step.to) <= set(self._member(name).prober.dead()) for name in step.who
+                    set(step.to) <= set(self._member(name).prober.dead_members())
+                    for name in step.who
                 ),
                 f"{', '.join(step.to)} told dead",
             )
@@ -172,7 +183,7 @@
             began = self.world.kernel.now
             self._until(lambda: self._is_left(step), f"{step.node} is left")
             if self.world.kernel.now - began > step.value * S:
-                raise BrokenError(f"6: {step.node} is left too late")
+                raise InvariantViolationError(f"6: {step.node} is left too late")
         elif step.do in ("freeze", "thaw"):
             frozen = self.world.frozen
             (frozen.add if step.do == "freeze" else frozen.discard)(step.node)
@@ -189,7 +200,8 @@
                 self._fault(step, self.world.processes[name])
 
     def _cut(self, step: StepPart) -> None:
-        cuts, names = self.world.network.cuts, self.world.names
+        cuts = self.world.network.cuts
+        names = self.world.names
         links = {(a, b) for a in step.who for b in step.to or names}
         if step.do == "cut":
             cuts |= links
@@ -208,7 +220,7 @@
             process.kill()
         elif step.do == "stop":
             process.ask(Member.leave)
-            self._go_on(self.world.kernel.now + int(LEAVING * S))
+            self._go_on(self.world.kernel.now + int(LEAVE_TIMEOUT * S))
             process.kill()
         elif step.do == "start":
             disk.full = False
@@ -226,7 +238,7 @@
     # --- Commands
 
     def _ask(self, step: StepPart, process: TierProcess) -> None:
-        one = _Command(step, process, self.world.kernel.now, process.life)
+        one = _Command(step, process, self.world.kernel.now, process.incarnation)
         self.commands.append(one)
         member = process.member
         if not process.up or process.paused or member is None or process.view is None:
@@ -235,17 +247,19 @@
         name = step.to[0] if step.do == "join" else step.node
         if step.do in ("gone", "join"):
             gone = step.do == "gone"
-            why = member.why_not_gone(name, self.within, process.clock()) if gone else (
-                member.why_not_admitted(name)
-            )  # fmt: skip
+            why = (
+                member.why_not_evictable(name, self.within, process.clock())
+                if gone
+                else (member.why_not_admitted(name))
+            )
             if why:
                 self._end(one, "refused")
                 return
-            one.job = process.ask(lambda m: m.put_out(name) if gone else m.admit(name, "h:1"))
+            one.job = process.ask(lambda m: m.evict(name) if gone else m.admit(name, "h:1"))
         elif step.do in ZONES:
             one.job = self._ask_zones(step, process)
         elif step.do == "withdraw":
-            pending = None if member.known is None else member.known.head.pending
+            pending = None if member.chosen is None else member.chosen.state.pending
             one.job = None if pending is None else process.ask(lambda m: m.withdraw(pending.serial))
         elif self._is_in(process.name):
             base = process.view.active
@@ -265,13 +279,14 @@
         if not self._is_in(process.name):
             return None
         try:
-            posture = controller.asked(step.do, step.node, "lab", "model", None)
-        except PostureError:
+            posture = controller.operator_request(step.do, step.node, "lab", "model", None)
+        except TrafficPolicyError:
             return None
         return process.pose_zones(posture)
 
     def _wanted(self, step: StepPart, old: frozenset[int]) -> tuple[frozenset[int], int]:
-        here, spare = self.nodes, self.nodes + 1
+        here = self.nodes
+        spare = self.nodes + 1
         if step.do == "reroute":
             return (old - {here, spare}) | {spare if step.value else here}, 0
         if step.do == "weigh":
@@ -286,8 +301,9 @@
                 self._follow(one)
 
     def _follow(self, one: _Command) -> None:
-        now, process = self.world.kernel.now, one.process
-        if not process.up or process.life != one.life:
+        now = self.world.kernel.now
+        process = one.process
+        if not process.up or process.incarnation != one.life:
             self._end(one, "refused")  # whoever asked lost his connection
             return
         assert one.job is not None
@@ -301,29 +317,34 @@
             return
         done = process.ended.get(one.job)
         if done is None:
-            if now - one.asked >= ASKED * S:
+            if now - one.asked >= DECISION_TIMEOUT * S:
                 self._end(one, "refused")
         elif one.step.do in ZONES:
-            if done.end is not End.ACTIVE:
+            if done.result is not ProposalResult.ACTIVE:
                 self._end(one, "refused")
-            elif process.member is not None and self._all_go_along(process.member, done.head.turn):
+            elif process.member is not None and self._all_go_along(
+                process.member, done.state.revision
+            ):
                 self._end(one, "active")
             elif now - one.asked >= self.within:
                 self._end(one, "pending")
         elif one.step.do in ("withdraw", "gone", "join"):
-            self._end(one, "active" if done.end is End.ACTIVE else "refused")
+            self._end(one, "active" if done.result is ProposalResult.ACTIVE else "refused")
         elif one.version is not None:  # there was nothing to change, if that was the latest
-            head = done.head
+            head = done.state
             same = head.active.serial == one.version.serial and head.pending is None
             self._end(one, "active" if same else "stale")
-        elif done.end in (End.STALE, End.BUSY):
+        elif done.result in (ProposalResult.STALE, ProposalResult.BUSY):
             self._end(one, "stale")
         else:
-            one.version = done.head.active if done.end is End.ACTIVE else done.head.pending
+            one.version = (
+                done.state.active if done.result is ProposalResult.ACTIVE else done.state.pending
+            )
             one.since = now
 
     def _end(self, one: _Command, end: str) -> None:
-        one.end, one.ended = end, self.world.kernel.now
+        one.end = end
+        one.ended = self.world.kernel.now
 
 
 @dataclass
@@ -335,7 +356,7 @@
 
 
 def play_modelled(scenario: Scenario, seeds: Sequence[int]) -> list[ModelPlay]:
-    """The scenario in the model, once by each seed."""
+    """Return the scenario in the model, once by each seed."""
     return [Player(scenario, seed).play() for seed in seeds]
 
 
--- a/sailhitch/lab/node.py
+++ b/sailhitch/lab/node.py
@@ -53,14 +53,17 @@
     """What a dedup group remembers: keys whose effect has happened, for a while."""
 
     def __init__(self, window: float = 60.0, most: int = 100_000) -> None:
-        self.window, self.most = window, most
+        self.window = window
+        self.most = most
         self._known: OrderedDict[bytes, float] = OrderedDict()
 
     def knows(self, key: bytes, now: float) -> bool:
+        """Return whether a key is remembered at this time."""
         at = self._known.get(key)
         return at is not None and now - at < self.window
 
     def note(self, key: bytes, now: float) -> None:
+        """Remember a key from this time on."""
         self._known[key] = now
         if len(self._known) > self.most:
             self._known.popitem(last=False)
@@ -76,24 +79,41 @@
     """
 
     def __init__(
-        self, delay: float = 0.0, size: int = 32, *, workers: int = 0, cold: float = 0.0,
-        cold_share: float = 0.3, breaks_at: int = 0, breaks_after: float = 0.05,
-        memory: Memory | None = None, reports: bool = False, slow: float = 1.0,
-        script: Script | None = None, compares: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        delay: float = 0.0,
+        size: int = 32,
+        *,
+        workers: int = 0,
+        cold: float = 0.0,
+        cold_share: float = 0.3,
+        breaks_at: int = 0,
+        breaks_after: float = 0.05,
+        memory: Memory | None = None,
+        reports: bool = False,
+        slow: float = 1.0,
+        script: Script | None = None,
+        compares: bool = False,
+    ) -> None:
         self.compares = compares  # turns away what was sent under older rules than it has seen
         self.newest = 0  # active version of the tier that it has seen
         self.outdated: list[tuple[bytes, float]] = []  # what it turned away for that, and when
-        self.delay, self.size, self.workers = delay, size, workers
-        self.cold, self.cold_share, self.breaks_at = cold, cold_share, breaks_at
+        self.delay = delay
+        self.size = size
+        self.workers = workers
+        self.cold = cold
+        self.cold_share = cold_share
+        self.breaks_at = breaks_at
         self.breaks_after = breaks_after
-        self.memory, self.reports, self.slow, self.script = memory, reports, slow, script
+        self.memory = memory
+        self.reports = reports
+        self.slow = slow
+        self.script = script
         self.effects: Counter[bytes] = Counter()  # by request id
         self.log: list[Effect] = []
         self.connections = 0
         self.seen = 0  # requests
         self.peak = 0  # of requests held at a time
-        self.fell = False
+        self.overloaded_at = False
         self.started = self.drained_at = 0.0
         self.late: list[tuple[bytes, float]] = []  # what came after a drain, and how long after
         self.addr = ""
@@ -129,14 +149,14 @@
         self.drained_at = asyncio.get_running_loop().time()
 
     def restart(self) -> None:
-        """It has started anew: cold, and wanted."""
+        """Restart it: it is warming up."""
         self.drained_at = 0.0
         self.started = asyncio.get_running_loop().time()
 
     # --- One request
 
     def take(self, connection: _Connection, name: bytes, key: bytes) -> None:
-        """A request has come whole."""
+        """Handle a complete request."""
         now = asyncio.get_running_loop().time()
         self.seen += 1
         if self.drained_at:
@@ -153,7 +173,7 @@
             self._enqueue(lambda: self._work(connection, name, key, fault))
 
     def _is_outdated(self, version: bytes) -> bool:
-        """Whether it was sent under rules that do not hold any more.
+        """Return whether it was sent under rules that do not hold any more.
 
         `Tier-Version: 7, 8`: serial 7 is active, and it is allowed by serial 8 too.
         """
@@ -167,7 +187,7 @@
         self._held += 1
         self.peak = max(self.peak, self._held)
         self._strain()
-        if self.fell:
+        if self.overloaded_at:
             return
         if self.workers and self._working >= self.workers:
             self._queue.append(work)
@@ -191,7 +211,7 @@
         elif not self._over_since:
             self._over_since = now
         elif now - self._over_since > self.breaks_after:
-            self.fell = True
+            self.overloaded_at = True
 
     def _speed(self, age: float) -> float:
         if age >= self.cold:
@@ -230,8 +250,10 @@
         load = b""
         if self.reports:
             load = b"Srv-Load: queue=%d, inflight=%d, mean_ms=%.3f\r\n" % (
-                len(self._queue), self._held, self.delay * 1000,
-            )  # fmt: skip
+                len(self._queue),
+                self._held,
+                self.delay * 1000,
+            )
         whole = b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (load, len(body), body)
         return whole[: len(whole) - len(body) // 2] if fault == Fault.HALF else whole
 
--- a/sailhitch/lab/ports.py
+++ b/sailhitch/lab/ports.py
@@ -11,11 +11,11 @@
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """A port that is free at this moment, and that the system gives to nobody by itself.
+    """Return a port that is free now, and that the system assigns to nobody by itself.
 
     Raises OSError where there is none.
 
-    Danger: one out of the range that it does give away may be another relay's before the daemon
+    One out of the range that it does give away may be another relay's before the daemon
     that it is meant for has started.
     """
     for _ in range(1000):
--- a/sailhitch/lab/relay.py
+++ b/sailhitch/lab/relay.py
@@ -7,14 +7,15 @@
 from collections import deque
 from typing import Any
 
-from ..core.terms import Address
+from ..core.endpoints import Address
 
 
 class Relay(asyncio.DatagramProtocol):
     """A link in one direction: what comes in at its port goes on to `to`, or does not."""
 
     def __init__(self, to: Address, seed: int) -> None:
-        self.to, self.random = to, random.Random(seed)
+        self.to = to
+        self.random = random.Random(seed)
         self.loss = self.doubled = self.delay = 0.0  # parts, and seconds
         self.garbled = self.replayed = 0.0  # parts: with a bit turned; with an older one behind it
         self.cut = False
@@ -29,14 +30,17 @@
         await loop.create_datagram_endpoint(lambda: self, local_addr=("127.0.0.1", 0))
 
     def stop(self) -> None:
+        """Close the relay."""
         if self._transport is not None:
             self._transport.close()
 
     def connection_made(self, transport: Any) -> None:
+        """Take over the socket."""
         self._transport = transport
         self.port = transport.get_extra_info("sockname")[1]
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Pass a datagram on, with the faults that are set."""
         if self.cut or self.random.random() < self.loss:
             self.dropped += 1
             return
--- a/sailhitch/lab/scenario.py
+++ b/sailhitch/lab/scenario.py
@@ -31,11 +31,42 @@
 
     at: Annotated[float, Field(ge=0, le=600)]
     do: Literal[
-        "ban", "unban", "drop", "weigh", "withdraw", "gone", "pause", "wake", "kill", "start",
-        "stop", "cut", "heal", "loss", "delay", "double", "garble", "replay", "copy_disk",
-        "old_disk", "lost_disk", "full_disk", "await", "agree", "dead", "join", "reroute",
-        "leave", "return", "hold", "release", "back", "left", "freeze", "thaw",
-    ]  # fmt: skip
+        "ban",
+        "unban",
+        "drop",
+        "weigh",
+        "withdraw",
+        "gone",
+        "pause",
+        "wake",
+        "kill",
+        "start",
+        "stop",
+        "cut",
+        "heal",
+        "loss",
+        "delay",
+        "double",
+        "garble",
+        "replay",
+        "copy_disk",
+        "old_disk",
+        "lost_disk",
+        "full_disk",
+        "await",
+        "agree",
+        "dead",
+        "join",
+        "reroute",
+        "leave",
+        "return",
+        "hold",
+        "release",
+        "back",
+        "left",
+        "freeze",
+        "thaw",
+    ]
     who: list[str] = []  # gateways
     # Of a cut: whom they are not heard by any more; nobody named: everybody. Of `join`: who joins.
     to: list[str] = []
@@ -68,11 +99,11 @@
     steps: list[StepPart] = []
 
     def names(self) -> list[str]:
-        """The gateways."""
+        """Return the gateways."""
         return [f"g{i + 1}" for i in range(self.gateways)]
 
     def zone_of(self, name: str) -> str:
-        """The zone of a gateway or node; none where there are none."""
+        """Return the zone of a gateway or node; none where there are none."""
         count = self.gateways if name.startswith("g") else self.nodes
         return f"z{(int(name[1:]) - 1) * self.zones // count + 1}" if self.zones else ""
 
--- a/sailhitch/lab/tier.py
+++ b/sailhitch/lab/tier.py
@@ -35,13 +35,24 @@
 START: Final = 20.0  # s for daemons to find each other
 # Steps that set what all links do, and by which of a relay's rates.
 LINKS: Final = {
-    "loss": "loss", "delay": "delay", "double": "doubled", "garble": "garbled",
+    "loss": "loss",
+    "delay": "delay",
+    "double": "doubled",
+    "garble": "garbled",
     "replay": "replayed",
-}  # fmt: skip
+}
 ZONES: Final = ("leave", "return", "hold", "release")  # commands about zones
 COMMANDS: Final = (
-    "ban", "unban", "drop", "weigh", "withdraw", "gone", "join", "reroute", *ZONES,
-)  # fmt: skip
+    "ban",
+    "unban",
+    "drop",
+    "weigh",
+    "withdraw",
+    "gone",
+    "join",
+    "reroute",
+    *ZONES,
+)
 Say = Callable[[str], None]
 
 
@@ -49,9 +60,12 @@
     """A daemon as a process of its own."""
 
     def __init__(self, name: str, folder: Path, value: Mapping[str, Any], port: int) -> None:
-        self.name, self.folder, self.value = name, folder, dict(value)
+        self.name = name
+        self.folder = folder
+        self.value = dict(value)
         self.addr = f"127.0.0.1:{port}"
-        self.admin, self.log = folder / "admin.sock", folder / "log"
+        self.admin = folder / "admin.sock"
+        self.log = folder / "log"
         self.program: asyncio.subprocess.Process | None = None
         self.down: list[tuple[float, float]] = []  # when it was not to be expected to serve
         self.restarted = False
@@ -63,16 +77,23 @@
         file.write_text(toml_text(self.value))
         with open(self.log, "ab") as log:
             self.program = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "sailhitch.daemon.cli", "run", str(file),
-                stderr=log, stdout=log, cwd=Path(__file__).resolve().parents[2],
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "sailhitch.daemon.cli",
+                "run",
+                str(file),
+                stderr=log,
+                stdout=log,
+                cwd=Path(__file__).resolve().parents[2],
+            )
 
     def send(self, number: int) -> None:
+        """Send a signal to the process."""
         if self.program is not None and self.runs():
             self.program.send_signal(number)
 
     def runs(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Return whether it was started and has not ended."""
         return self.program is not None and self.program.returncode is None
 
     async def end(self, number: int = signal.SIGKILL) -> None:
@@ -83,11 +104,11 @@
             await self.program.wait()
 
     def out(self, now: float) -> None:
-        """From now on nothing is expected of it."""
+        """Record that nothing is expected of it from now on."""
         self._down_since = now if self._down_since is None else self._down_since
 
     def back(self, now: float) -> None:
-        """It serves again."""
+        """Record that it serves again."""
         if self._down_since is not None:
             self.down.append((self._down_since, now))
             self._down_since = None
@@ -97,7 +118,7 @@
         return await asyncio.to_thread(ask, self.admin, request, patience)
 
     async def status(self) -> dict[str, Any]:
-        """What `tier status` says; empty where it does not answer."""
+        """Return what `tier status` says; empty where it does not answer."""
         try:
             return await self.ask({"op": "tier", "act": "status"}, 1.0)
         except AdminError:
@@ -108,7 +129,9 @@
     """All the processes of a scenario."""
 
     def __init__(self, scenario: Scenario, folder: Path, say: Say) -> None:
-        self.scenario, self.folder, self.say = scenario, folder, say
+        self.scenario = scenario
+        self.folder = folder
+        self.say = say
         self.names = scenario.names()
         self.nodes = {f"n{i + 1}": Node(0.002) for i in range(scenario.nodes)}
         self.gateways: dict[str, Gateway] = {}
@@ -122,9 +145,11 @@
 
     async def start(self) -> None:
         """Start everything, and wait until all members are in."""
-        scenario, memory = self.scenario, Memory()
+        scenario = self.scenario
+        memory = Memory()
         for node in self.nodes.values():
-            node.memory, node.compares = memory, scenario.compares
+            node.memory = memory
+            node.compares = scenario.compares
             await node.start()
         ports = {name: free_port(socket.SOCK_DGRAM) for name in self.names}
         for i, a in enumerate(self.names):
@@ -136,7 +161,8 @@
         keys = self.folder / "keys"
         keys.write_text(f"1 {secrets.token_hex(32)}\n")
         for name in self.names:
-            folder, port = self.folder / name, free_port()
+            folder = self.folder / name
+            port = free_port()
             folder.mkdir()
             value = self._file(name, ports, port, keys, folder)
             parse_value(value)  # a wrong file is better found here than in three logs
@@ -151,16 +177,19 @@
     def _file(
         self, name: str, ports: Mapping[str, int], port: int, keys: Path, folder: Path
     ) -> dict[str, Any]:
-        """A member's operator file; others are reached by the relays of its own links."""
+        """Return a member's operator file; others are reached by the relays of its own links."""
         at = {
             b: ports[b] if b == name else self.relays[name, b].port
-            for b in self.names if b == name or b not in self.scenario.late
-        }  # fmt: skip
+            for b in self.names
+            if b == name or b not in self.scenario.late
+        }
         tier: dict[str, Any] = {
-            "name": "lab", "key_file": str(keys), "agree_within": self.scenario.agree_within,
+            "name": "lab",
+            "key_file": str(keys),
+            "agree_within": self.scenario.agree_within,
             "members": [{"name": n, "address": f"127.0.0.1:{port}"} for n, port in at.items()],
             "voters": self.names[: self.scenario.voters],
-        }  # fmt: skip
+        }
         if self.scenario.lease is not None:
             tier["lease"] = self.scenario.lease
         scenario = self.scenario
@@ -176,27 +205,45 @@
         return {
             "version": 1,
             "gateway": {
-                "name": name, "state_dir": str(folder / "state"),
-                "admin": str(folder / "admin.sock"), "memory_mb": 64,
-                "cold_time": scenario.cold_time, "zone": scenario.zone_of(name),
+                "name": name,
+                "state_dir": str(folder / "state"),
+                "admin": str(folder / "admin.sock"),
+                "memory_mb": 64,
+                "cold_time": scenario.cold_time,
+                "zone": scenario.zone_of(name),
             },
-            "tier": tier, **({"zones": zones} if scenario.zones else {}),
+            "tier": tier,
+            **({"zones": zones} if scenario.zones else {}),
             "listeners": [{"name": "web", "address": f"127.0.0.1:{port}"}],
             "classes": [
                 {"name": "page", "aim": "1s", "deadline": "2s"},
                 {"name": "payout", "effect": "unsafe", "aim": "1s", "deadline": "2s"},
-                {"name": "filing", "effect": "keyed", "aim": "1s", "deadline": "2s",
-                 "dedup": "pool", "window": "60s"},
+                {
+                    "name": "filing",
+                    "effect": "keyed",
+                    "aim": "1s",
+                    "deadline": "2s",
+                    "dedup": "pool",
+                    "window": "60s",
+                },
             ],
             "pools": pools,
             "routes": [
-                {"name": "payouts", "match": {"path_prefix": "/payouts"}, "class": "payout",
-                 "pools": {"claims": 1.0}},
-                {"name": "filings", "match": {"path_prefix": "/claims", "methods": ["POST"]},
-                 "class": "filing", "pools": {"claims": 1.0}},
+                {
+                    "name": "payouts",
+                    "match": {"path_prefix": "/payouts"},
+                    "class": "payout",
+                    "pools": {"claims": 1.0},
+                },
+                {
+                    "name": "filings",
+                    "match": {"path_prefix": "/claims", "methods": ["POST"]},
+                    "class": "filing",
+                    "pools": {"claims": 1.0},
+                },
                 {"name": "rest", "class": "page", "pools": {"claims": 1.0}},
             ],
-        }  # fmt: skip
+        }
 
     async def _all_in(self) -> bool:
         running = [one for one in self.gateways.values() if one.runs()]
@@ -204,7 +251,7 @@
         return all(one.get("standing") == "in" for one in said)
 
     async def _zone(self, step: StepPart) -> list[dict[str, Any]]:
-        """What each of those named says of a zone."""
+        """Return what each of those named says of a zone."""
         asked = (self.gateways[name].ask({"op": "zones", "act": "status"}) for name in step.who)
         return [one["zones"][step.node] for one in await asyncio.gather(*asked)]
 
@@ -226,9 +273,11 @@
         said = await asyncio.gather(*(one.status() for one in running))
         turns = {one.get("turn") for one in said}
         good = all(
-            one.get("standing") == "in" and one["pending"] is None
-            and one["voter"] in (None, "voting") for one in said
-        )  # fmt: skip
+            one.get("standing") == "in"
+            and one["pending"] is None
+            and one["voter"] in (None, "voting")
+            for one in said
+        )
         confirmed = all(
             member["confirmed"] == one["turn"]
             for one in said
@@ -283,7 +332,8 @@
 
     async def ask_steadily(self, gateway: Gateway) -> None:
         """Have clients of its own ask a gateway from now on."""
-        seed, name = self.scenario.seed + self.names.index(gateway.name), gateway.name
+        seed = self.scenario.seed + self.names.index(gateway.name)
+        name = gateway.name
         load = Load(gateway.addr, self.scenario.clients, MIX, 0.02, seed, f"{name}-")
         self.loads[name] = await load.__aenter__()
 
@@ -378,7 +428,8 @@
         """Have the tier look for one elsewhere: a newcomer, or another machine under its name."""
         answer: dict[str, Any] = {}
         for name in step.to:
-            port, one = free_port(socket.SOCK_DGRAM), self.gateways[name]
+            port = free_port(socket.SOCK_DGRAM)
+            one = self.gateways[name]
             for member in one.value["tier"]["members"]:
                 if member["name"] == name:
                     member["address"] = f"127.0.0.1:{port}"
@@ -399,7 +450,8 @@
         if step.do == "join":
             return await self._join(step, gateway)
         live = await gateway.ask({"op": "state"})
-        nodes, key = dict(live["state"]["nodes"]), f"claims/{step.node}"
+        nodes = dict(live["state"]["nodes"])
+        key = f"claims/{step.node}"
         routes = dict(live["state"]["routes"])
         if step.do == "reroute":
             pool = "spare" if step.value else "claims"
--- a/sailhitch/model/contents.py
+++ b/sailhitch/model/contents.py
@@ -13,7 +13,8 @@
 from ..tier.content_store import CONTENT, PAGE, root_of
 
 LEAF_SIZE = 64  # bytes: a few entries a leaf, so that a tree of a few entries has several pages
-ACTS, WEIGHT = "acts", Key("weight", "weight")
+ACTS = "acts"
+WEIGHT = Key("weight", "weight")
 CONSTANT = {Key("constant", f"entry{i}"): b"%d" % i for i in range(12)}
 
 
@@ -21,11 +22,12 @@
     """Makes the trees of versions. `constant` are the entries that are the same in each."""
 
     def __init__(self, constant: Mapping[Key, bytes], leaf_size: int) -> None:
-        self._constant, self._leaf_size = constant, leaf_size
+        self._constant = constant
+        self._leaf_size = leaf_size
         self._trees: dict[tuple[frozenset[int], int], Tree] = {}
 
     def tree(self, allow: frozenset[int], weight: int) -> Tree:
-        """The tree of a version that permits these acts, with all of its pages."""
+        """Return the tree of a version that permits these acts, with all of its pages."""
         tree = self._trees.get((allow, weight))
         if tree is None:
             entries = {**self._constant, **_entries(allow, weight)}
@@ -53,7 +55,7 @@
 
 
 def is_on_disk(disk: Mapping[str, bytes], digest: str) -> bool:
-    """Whether a content is on a disk, a tree with each of its pages."""
+    """Return whether a content is on a disk, a tree with each of its pages."""
     root = root_of(digest)
     if root is None:
         return CONTENT + digest in disk
--- a/sailhitch/model/explore.py
+++ b/sailhitch/model/explore.py
@@ -24,14 +24,23 @@
 
 import msgspec
 
-from ..tier.effects import End
-from ..tier.line import Change, Step
-from ..tier.messages import Accept, Accepted, Ballot, Head, Message, Prepare, Promise, Version
-from ..tier.register import Acceptor, Mode, Phase, Round, Vote
+from ..tier.effects import ProposalResult
+from ..tier.messages import (
+    Accept,
+    Accepted,
+    Ballot,
+    Message,
+    Prepare,
+    Promise,
+    RegisterState,
+    Version,
+)
+from ..tier.register import Acceptor, Phase, Round, Vote, VoterMode
+from ..tier.transitions import StateChange, Transition
 
 VOTERS: Final = ("v1", "v2", "v3")
 PROPOSERS: Final = ("p", "q")
-FIRST: Final = Head(1, 1, 1, Version(1, 0, "a", "", "", 0, "first"), None, "r")
+FIRST: Final = RegisterState(1, 1, 1, Version(1, 0, "a", "", "", 0, "first"), None, "r")
 FOUNDED: Final = Ballot(1, "v1", 0)
 T = TypeVar("T")
 
@@ -40,18 +49,23 @@
     """Two changes made from one version both took effect."""
 
 
-def change_of(name: str) -> Change:
-    """A change made from the first version, that says whether it won."""
+def change_of(name: str) -> StateChange:
+    """Return a change made from the first version, that says whether it won."""
 
-    def change(now: Head | None) -> Step | None:
+    def change(now: RegisterState | None) -> Transition | None:
         if now is None:
             return None
-        if now.active.change == name:
-            return Step(now, End.ACTIVE)
+        if now.active.change_id == name:
+            return Transition(now, ProposalResult.ACTIVE)
         if now.active.serial != FIRST.active.serial:
-            return Step(now, End.STALE)
-        version = Version(now.last + 1, now.active.serial, name, name, "", 0, name)
-        return Step(Head(now.turn + 1, now.last + 1, now.floor, version, None, "r"), End.ACTIVE)
+            return Transition(now, ProposalResult.STALE)
+        version = Version(now.last_serial + 1, now.active.serial, name, name, "", 0, name)
+        return Transition(
+            RegisterState(
+                now.revision + 1, now.last_serial + 1, now.required_revision, version, None, "r"
+            ),
+            ProposalResult.ACTIVE,
+        )
 
     return change
 
@@ -114,8 +128,10 @@
 
         `ballots` a proposer, `crashes` and `doubles` in all.
         """
-        found, first = Explored(), self._first(ballots, crashes, doubles)
-        seen, stack = {first}, [first]
+        found = Explored()
+        first = self._first(ballots, crashes, doubles)
+        seen = {first}
+        stack = [first]
         while stack:
             at = stack.pop()
             found.states += 1
@@ -141,17 +157,17 @@
 
     def _acceptor(self, name: str, vote: Vote | None) -> Acceptor:
         made = self.voter(name, VOTERS, vote)
-        made.mode = Mode.VOTING
+        made.mode = VoterMode.VOTING
         return made
 
     def _check(self, at: _World, found: Explored) -> None:
         ended = [self._rounds.values[r] for r in at.rounds if r >= 0]
-        ended = [one for one in ended if one.phase is Phase.DECIDED]
-        ends = [one.step.end for one in ended if one.step is not None]
-        heads = [one.decided.head for one in ended if one.decided is not None]
-        torn = any(a.turn == b.turn and a != b for a in heads for b in heads)
-        if torn or ends.count(End.ACTIVE) > 1:
-            raise BrokenLineError(f"both won: {[one.decided for one in ended]}")
+        ended = [one for one in ended if one.phase is Phase.CHOSEN]
+        ends = [one.transition.result for one in ended if one.transition is not None]
+        heads = [one.chosen.state for one in ended if one.chosen is not None]
+        torn = any(a.revision == b.revision and a != b for a in heads for b in heads)
+        if torn or ends.count(ProposalResult.ACTIVE) > 1:
+            raise BrokenLineError(f"both won: {[one.chosen for one in ended]}")
         if len(ends) == len(PROPOSERS):
             found.ends.add(tuple(end.value for end in ends))
 
@@ -160,13 +176,14 @@
     def _nexts(self, at: _World) -> Iterator[_World]:
         """Each world that may come next."""
         for i, name in enumerate(PROPOSERS):
-            done = at.rounds[i] >= 0 and self._rounds.values[at.rounds[i]].decided is not None
+            done = at.rounds[i] >= 0 and self._rounds.values[at.rounds[i]].chosen is not None
             if at.left[i] and not done:
                 number, said = self._begin(name, at.left[i])
                 yield at._replace(
-                    rounds=_put(at.rounds, i, number), left=_put(at.left, i, at.left[i] - 1),
+                    rounds=_put(at.rounds, i, number),
+                    left=_put(at.left, i, at.left[i] - 1),
                     under_way=at.under_way | set(said),
-                )  # fmt: skip
+                )
         for message in at.under_way:
             for after in self._arrive(at, message):
                 yield after._replace(under_way=after.under_way - {message})
@@ -177,7 +194,7 @@
                 yield at._replace(votes=_put(at.votes, i, at.synced[i]), crashes=at.crashes - 1)
 
     def _begin(self, name: str, left: int) -> tuple[int, tuple[int, ...]]:
-        """A proposer starts its next ballot; those of the two lie between each other."""
+        """Return a proposer starts its next ballot; those of the two lie between each other."""
         found = self._begun.get((name, left))
         if found is None:
             ballot = Ballot(100 - 2 * left + PROPOSERS.index(name), name, 0)
@@ -187,7 +204,7 @@
 
     def _number(self, one: Round) -> int:
         accepted = [(v, sorted(known)) for v, known in sorted(one._accepted.items())]
-        key = (one.ballot, one.phase.value, one.step, list(one._promises.items()), accepted)
+        key = (one.ballot, one.phase.value, one.transition, list(one._promises.items()), accepted)
         return self._rounds.number(key, one)
 
     def _say(self, name: str, at: Round, only: tuple[str, ...] = VOTERS) -> tuple[int, ...]:
@@ -200,9 +217,10 @@
         return tuple(self._messages.number(one, one) for one in said)
 
     def _arrive(self, at: _World, message: int) -> Iterator[_World]:
-        """A request reaches its voter, and the answer its proposer, or nobody."""
+        """Return a request reaches its voter, and the answer its proposer, or nobody."""
         sender, to, _ = self._messages.values[message]
-        i, k = VOTERS.index(to), PROPOSERS.index(sender)
+        i = VOTERS.index(to)
+        k = PROPOSERS.index(sender)
         vote, answer = self._vote(at.votes[i], message)
         synced = _put(at.synced, i, vote) if self.syncs else at.synced
         after = at._replace(votes=_put(at.votes, i, vote), synced=synced)
@@ -238,9 +256,9 @@
             at = _copied(self._rounds.values[number])
             before = at.phase
             if isinstance(said, Promise):
-                at.promised(sender, said)
+                at.on_promise(sender, said)
             elif isinstance(said, Accepted):
-                at.accepted(sender, said)
+                at.on_accepted(sender, said)
             said_now: tuple[int, ...] = ()
             if at.phase is Phase.ACCEPT and isinstance(said, Promise):
                 # To a voter whose promise comes late it is said alone; again to the others, as the
--- a/sailhitch/model/kernel.py
+++ b/sailhitch/model/kernel.py
@@ -18,7 +18,9 @@
     """A clock in microseconds, and what happens by it."""
 
     def __init__(self, seed: int) -> None:
-        self.seed, self.now, self.events = seed, 0, 0
+        self.seed = seed
+        self.now = 0
+        self.events = 0
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
         self._streams: dict[str, np.random.Generator] = {}
--- a/sailhitch/model/network.py
+++ b/sailhitch/model/network.py
@@ -14,9 +14,11 @@
     """Rates are of all links alike; cuts are of a link in one direction. Times in microseconds."""
 
     def __init__(self, kernel: Kernel, deliver: Deliver) -> None:
-        self.kernel, self.deliver = kernel, deliver
+        self.kernel = kernel
+        self.deliver = deliver
         self.loss = self.doubled = 0.0
-        self.delay, self.jitter = 300, 500
+        self.delay = 300
+        self.jitter = 500
         self.cuts: set[tuple[str, str]] = set()
         self.sent = self.arrived = 0
         self._rng = kernel.stream("network")
--- a/sailhitch/model/process.py
+++ b/sailhitch/model/process.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..tier.effects import Act, Done, Effect, Keep, Send, Tell
+from ..tier.effects import ApplyVersions, Effect, JobCompleted, LogEvent, Persist, Send
 from .kernel import Kernel
 
 SYNC = (200, 6_000)  # us that a sync takes, at least and at most
@@ -45,10 +45,12 @@
     """A process's outside: up, paused or down."""
 
     def __init__(self, kernel: Kernel, name: str, rate: float) -> None:
-        self.kernel, self.name, self.rate = kernel, name, rate
+        self.kernel = kernel
+        self.name = name
+        self.rate = rate
         self.disk = Disk()
-        self.up = self.paused = self.mute = False
-        self.life = 0  # how often it was started
+        self.up = self.paused = self.disk_is_failing = False
+        self.incarnation = 0  # how often it was started
         self._offset = int(kernel.stream(f"clock {name}").integers(1, 1 << 40))
         self._effects: deque[Effect] = deque()
         self._busy = False
@@ -61,10 +63,10 @@
 
     def guarded(self, work: Callable[[], None]) -> Callable[[], None]:
         """`work` as this life would do it: not after its end, and after a pause once it is over."""
-        life = self.life
+        life = self.incarnation
 
         def run() -> None:
-            if not self.up or self.life != life:
+            if not self.up or self.incarnation != life:
                 return
             if self.paused:
                 self._waiting.append(run)
@@ -75,14 +77,16 @@
 
     def begin(self) -> None:
         """The process starts; what it held in memory is gone."""
-        self.up, self.paused, self.mute = True, False, False
-        self.life += 1
+        self.up = True
+        self.paused = False
+        self.disk_is_failing = False
+        self.incarnation += 1
         self._effects.clear()
         self._waiting.clear()
         self._busy = False
 
     def kill(self) -> None:
-        """kill -9."""
+        """Kill -9."""
         self.up = False
 
     def pause(self) -> None:
@@ -94,7 +98,8 @@
         if not (self.up and self.paused):
             return
         self.paused = False
-        waiting, self._waiting = self._waiting, []
+        waiting = self._waiting
+        self._waiting = []
         for work in waiting:
             work()
 
@@ -102,30 +107,32 @@
 
     def take(self, effects: list[Effect]) -> None:
         """Have these happen, in their order; while the disk fails, messages are lost."""
-        self._effects.extend(e for e in effects if not (self.mute and isinstance(e, Send)))
+        self._effects.extend(
+            e for e in effects if not (self.disk_is_failing and isinstance(e, Send))
+        )
         self._go_on()
 
     def _go_on(self) -> None:
         while self._effects and not self._busy:
             effect = self._effects.popleft()
-            if isinstance(effect, Keep):
+            if isinstance(effect, Persist):
                 self._busy = True
                 delay = int(self._rng.integers(*SYNC))
-                self.kernel.after(delay, self._synced, self.life, effect, self.disk.now)
+                self.kernel.after(delay, self._synced, self.incarnation, effect, self.disk.now)
             else:
                 self.happen(effect)
 
-    def _synced(self, life: int, keep: Keep, medium: dict[str, bytes]) -> None:
+    def _synced(self, life: int, keep: Persist, medium: dict[str, bytes]) -> None:
         # What was under way to a disk does not come to be on the one that is in its place now.
-        if self.life != life or self.disk.now is not medium:
+        if self.incarnation != life or self.disk.now is not medium:
             return
         if not self.up:
             # Killed during the sync: it may have come to its end all the same.
             if self._rng.random() < 0.5 and not self.disk.full:
                 self.written(keep)
             return
-        self.mute = self.disk.full
-        if self.mute:
+        self.disk_is_failing = self.disk.full
+        if self.disk_is_failing:
             # Nothing that rests on it may be said; messages count as lost meanwhile.
             self._effects = deque(one for one in self._effects if not isinstance(one, Send))
             self.kernel.after(WRITE_RETRY, self._synced, life, keep, medium)
@@ -137,10 +144,10 @@
         self._busy = False
         self._go_on()
 
-    def written(self, keep: Keep) -> None:
+    def written(self, keep: Persist) -> None:
         """A sync has come to its end."""
         self.disk.write(keep.items)
 
-    def happen(self, effect: Send | Act | Done | Tell) -> Any:
+    def happen(self, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> Any:
         """Something happens that needs no disk."""
         raise NotImplementedError
--- a/sailhitch/net/backoff.py
+++ b/sailhitch/net/backoff.py
@@ -19,7 +19,8 @@
     """One caller's pauses."""
 
     def __init__(self, first: float, most: float, seed: int) -> None:
-        self.first, self.most = first, most
+        self.first = first
+        self.most = most
         self._random = random.Random(seed)
         self._last = first
 
@@ -32,10 +33,10 @@
         self.most = min(max(self.most, 2.0 * callers / rate), most)
 
     def pause(self) -> float:
-        """How long to wait after one more failure."""
+        """Return how long to wait after one more failure."""
         self._last = min(self.most, self._random.uniform(self.first, GROWTH * self._last))
         return self._last
 
     def reset(self) -> None:
-        """A call has come through."""
+        """Start again from the shortest pause, after a call that succeeded."""
         self._last = self.first
--- a/sailhitch/net/client_connection.py
+++ b/sailhitch/net/client_connection.py
@@ -13,10 +13,10 @@
 
 import httptools
 
-from ..core.exchange import Exchange
 from ..core.interfaces import ResponseSource
 from ..core.invariants import Violation
-from ..core.terms import Field
+from ..core.request_context import RequestContext
+from ..core.response import HeaderField
 from ..core.throughput_watchdog import ThroughputWatchdog
 from ..front import ConnectionSlot, Reason
 from .socket_poll import has_event
@@ -41,7 +41,6 @@
         "content_length",
         "core",
         "discarding_body",
-        "exchange",
         "fields",
         "head_received",
         "incoming",
@@ -54,6 +53,7 @@
         "read_watchdog",
         "received",
         "received_since_sweep",
+        "request",
         "response_chunked",
         "response_source",
         "send_watchdog",
@@ -63,16 +63,16 @@
         "unsent",
         "upgrade",
         "url",
-    )  # fmt: skip
+    )
 
     def __init__(self, listener: Listener, sock: socket.socket, slot: ConnectionSlot) -> None:
         self.listener, self.core, self.sock, self.slot = listener, listener.core, sock, slot
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.phase = IDLE
-        self.exchange: Exchange | None = None  # dispatched and not answered
-        self.pipelined: deque[Exchange] = deque()  # read whole ahead of their turn
-        self.incoming: Exchange | None = None  # being read
+        self.request: RequestContext | None = None  # dispatched and not answered
+        self.pipelined: deque[RequestContext] = deque()  # read whole ahead of their turn
+        self.incoming: RequestContext | None = None  # being read
         self.discarding_body = False  # answered early: the rest of the body is read and dropped
         self.received_since_sweep = False
         # Of the client that sends a streamed body, and of the one that reads a streamed response.
@@ -86,14 +86,16 @@
 
     def _reset_request(self) -> None:
         """Clear what was read of a request's head and body."""
-        self.url, self.head_received, self.received = b"", 0, 0
-        self.fields: list[Field] = []
+        self.url = b""
+        self.head_received = 0
+        self.received = 0
+        self.fields: list[HeaderField] = []
         self.content_length: int | None = None
         self.chunked = self.upgrade = False
 
     # --- What subclasses do
 
-    def let_go(self, reason: Reason) -> bool:
+    def close_unless_unread(self, reason: Reason) -> bool:
         """Close to free a descriptor; return False if a request is here, unread."""
         raise NotImplementedError
 
@@ -104,26 +106,29 @@
     # --- Opening and closing
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over an accepted connection."""
         self.transport = cast(asyncio.Transport, transport)
         # With no buffer allowed, `resume_writing` tells when the last byte has gone out.
         self.transport.set_write_buffer_limits(high=0)
         self.core.arriving.discard(self)
         self.core.clients[self] = None
-        self.slot.holder = self
+        self.slot.owner = self
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Release the connection's slot, requests and descriptor."""
         self.transport = None
         self.parser = None  # breaks a reference cycle
-        self.slot.holder = None
+        self.slot.owner = None
         self.core.clients.pop(self, None)
-        self.core.admission.closed(self.slot, self.core.clock())
-        if exc is None and self.exchange is not None and not self.exchange.closed:
+        self.core.admission.on_closed(self.slot, self.core.clock())
+        if exc is None and self.request is not None and not self.request.closed:
             # A client's end comes with `eof_received` or an error: this side has closed.
-            self.core.invariants.found(Violation.CLOSED_OWING, self.exchange)
+            self.core.invariants.record(Violation.CLOSED_OWING, self.request)
         self._account_unsent(0)
         self._drop_requests()
 
     def eof_received(self) -> None:
+        """Treat a half-closed connection as closed."""
         # A half-closed connection counts as closed; the transport closes itself after this.
         self._drop_requests()
 
@@ -192,13 +197,13 @@
         self.phase = CLOSING
         transport = self.transport
         unsent = transport.get_write_buffer_size() if transport is not None else 0
-        self.core.admission.closing(self.slot, self.core.clock(), reason, unsent)
+        self.core.admission.on_closing(self.slot, self.core.clock(), reason, unsent)
 
     # --- State
 
     def is_idle(self) -> bool:
         """Return whether no request is being read, waits or is open."""
-        return self.phase == IDLE and self.exchange is None and not self.pipelined
+        return self.phase == IDLE and self.request is None and not self.pipelined
 
     def has_body(self) -> bool:
         """Return whether the request being read has a body; valid once its head is complete."""
@@ -211,7 +216,7 @@
             transport.is_closing() and not transport.get_write_buffer_size()
         )
 
-    def owes(self) -> bool:
+    def has_unanswered_request(self) -> bool:
         """Return whether the client may still get a response, or bytes already written."""
         if self.transport is None:
             return False
@@ -230,13 +235,15 @@
 
     def _drop_requests(self) -> None:
         """Cancel the open request, and drop those that are queued or being read."""
-        exchange, self.exchange = self.exchange, None
-        source, self.response_source, self.read_watchdog = self.response_source, None, None
-        if exchange is not None:
-            exchange.client = None
-            self.core.client_gone(exchange)
+        request, self.request = self.request, None
+        source = self.response_source
+        self.response_source = None
+        self.read_watchdog = None
+        if request is not None:
+            request.client = None
+            self.core.client_disconnected(request)
         if source is not None:
-            source.unwanted()
+            source.cancelled()
         self._drop_undispatched()
 
     def _drop_undispatched(self) -> None:
@@ -266,14 +273,14 @@
 
     # --- Flow control of a streamed request body
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Pause reading the body; a `Source`."""
         if self.transport is not None and not self.discarding_body:
             self.transport.pause_reading()
             if self.send_watchdog is not None:
                 self.send_watchdog.stop(self.core.clock())
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Resume reading the body; a `Source`."""
         if self.transport is not None and not self.transport.is_closing():
             if self.incoming is not None and not self.discarding_body and self.left():
--- a/sailhitch/net/config.py
+++ b/sailhitch/net/config.py
@@ -8,19 +8,31 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from ..core.terms import Address, Bounds, Entry, Reach, Roster, idle_life, read_address
-from ..interface import DRAINING, GONE, READY, Listed
+from ..core.connection_settings import ConnectionSettings, idle_lifetime
+from ..core.endpoints import Address, EndpointAddress, EndpointUpdate, parse_host_port
+from ..core.resource_limits import ResourceLimits
+from ..policy_interface import (
+    Endpoint,
+    EndpointState,
+)
 from ..settings import Settings, SettingsError, parse_settings
 from .shape import Shape, bad_figures, misfits, shape_of
 
-STATES: Final = {"active": READY, "leaving": DRAINING, "left": GONE}
+STATES: Final = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
 # The settings and the load header do not name a report's values alike; both names are known. With
 # each stands what one of its unit is in the module's: times are microseconds there.
 REPORT_NAMES: Final = {
-    "queue": ("queue", 1.0), "depth": ("queue", 1.0),
-    "inflight": ("inflight", 1.0), "concurrent": ("inflight", 1.0),
-    "latency_ms": ("service", 1000.0), "mean_ms": ("service", 1000.0),
-}  # fmt: skip
+    "queue": ("queue", 1.0),
+    "depth": ("queue", 1.0),
+    "inflight": ("inflight", 1.0),
+    "concurrent": ("inflight", 1.0),
+    "latency_ms": ("service", 1000.0),
+    "mean_ms": ("service", 1000.0),
+}
 
 
 class ConfigError(ValueError):
@@ -32,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wire:
+class PlatformNames:
     """What of the settings concerns the sockets side only. Times are microseconds."""
 
     zones: Mapping[str, int]
@@ -40,8 +52,8 @@
     classes: Mapping[bytes, int]
     tenants: Mapping[bytes, int]
     connect_timeout: int
-    conn_idle: int
-    max_open: int
+    idle_timeout: int
+    max_requests: int
     longest_deadline: int
 
 
@@ -55,43 +67,46 @@
     seed: int
     cores: float
     memory_mb: int
-    sockets: int
-    known: Roster
+    descriptors: int
+    known_endpoints: EndpointUpdate
     settings: Settings
-    wire: Wire
+    names: PlatformNames
     operator: Address | None = None  # where the operators call
     held_socket: int | None = None  # a descriptor on which clients' connections come, held for us
     shape: Shape = ""  # of the file, which the next one must have too
 
-    def bounds(self) -> Bounds:
-        """What the process may use."""
+    def limits(self) -> ResourceLimits:
+        """Return what the process may use."""
         limits = self.settings.limits
-        return Bounds(
+        return ResourceLimits(
             memory_mb=self.memory_mb,
-            sockets=self.sockets,
-            max_open=self.wire.max_open,
-            longest_deadline=self.wire.longest_deadline,
-            retry_most=limits.max_retry_after if limits.retry_after else 0,
+            descriptors=self.descriptors,
+            max_requests=self.names.max_requests,
+            longest_deadline=self.names.longest_deadline,
+            max_retry_after=limits.max_retry_after if limits.retry_after else 0,
         )
 
-    def reach(self) -> Reach:
-        """How hosts are reached: a connection is kept for less than the host keeps it."""
-        return Reach(self.wire.connect_timeout, idle_life(self.wire.conn_idle))
+    def connection_settings(self) -> ConnectionSettings:
+        """Return how hosts are reached: a connection is kept for less than the host keeps it."""
+        return ConnectionSettings(
+            self.names.connect_timeout, idle_lifetime(self.names.idle_timeout)
+        )
 
 
 def parse_address(field: str, text: Any) -> Address:
     """`host:port` with a numeric IPv4 host, as there is no DNS."""
-    address = read_address(text) if isinstance(text, str) else None
+    address = parse_host_port(text) if isinstance(text, str) else None
     if address is None:
         raise ConfigError(f"{field}: not an address like 10.0.0.1:3000: {str(text)[:80]!r}")
     return address
 
 
-def parse_entry(value: Any, wire: Wire) -> Entry:
+def parse_entry(value: Any, wire: PlatformNames) -> EndpointAddress:
     """One entry of discovery's list; raises EntryError."""
     if not isinstance(value, dict):
         raise EntryError("not an object")
-    name, state = value.get("id"), value.get("state")
+    name = value.get("id")
+    state = value.get("state")
     if not isinstance(name, str) or not name or len(name) > 200:
         raise EntryError("id: not a short text")
     if not isinstance(state, str) or state not in STATES:
@@ -100,19 +115,20 @@
     for key, absent in (("weight", 1.0), ("cell", 0), ("started_ms", 0)):
         number = value.get(key, absent)
         number = absent if number is None else number
-        # Danger: JSON as Python reads it also knows NaN and Infinity.
+        # JSON as Python reads it also knows NaN and Infinity.
         if isinstance(number, bool) or not isinstance(number, int | float):
             raise EntryError(f"{key}: not a number")
         if not 0 <= number < 1e15:
             raise EntryError(f"{key}: out of range")
         numbers.append(number)
     weight, cell, started = numbers
-    zone, kind = value.get("zone"), value.get("kind")
+    zone = value.get("zone")
+    kind = value.get("kind")
     try:
         addr = parse_address("addr", value.get("addr"))
     except ConfigError as error:
         raise EntryError(str(error)) from None
-    listed = Listed(
+    listed = Endpoint(
         name,
         float(weight),
         # A zone that the settings do not name is like no other, and surely not the own one.
@@ -122,21 +138,23 @@
         int(started * 1000),
         wire.kinds.get(kind, 0) if isinstance(kind, str) else 0,
     )
-    return Entry(listed, addr)
+    return EndpointAddress(listed, addr)
 
 
-def parse_roster(value: Any, wire: Wire) -> Roster:
+def parse_endpoint_update(value: Any, wire: PlatformNames) -> EndpointUpdate:
     """Discovery's answer; a bad entry is left out and counted. Raises EntryError."""
     if not isinstance(value, dict):
         raise EntryError("not an object")
-    version, full, servers = value.get("version"), value.get("full"), value.get("servers")
+    version = value.get("version")
+    full = value.get("full")
+    servers = value.get("servers")
     if isinstance(version, bool) or not isinstance(version, int) or version < 0:
         raise EntryError("version: not a whole number")
     if not isinstance(full, bool):
         raise EntryError("full: not true or false")
     if not isinstance(servers, list):
         raise EntryError("servers: not a list")
-    entries: list[Entry] = []
+    entries: list[EndpointAddress] = []
     bad_ids: set[str] = set()
     bad = 0
     for item in servers:
@@ -147,11 +165,11 @@
             name = item.get("id") if isinstance(item, dict) else None
             if isinstance(name, str):
                 bad_ids.add(name)
-    return Roster(version, full, tuple(entries), bad, frozenset(bad_ids))
+    return EndpointUpdate(version, full, tuple(entries), bad, frozenset(bad_ids))
 
 
-def parse_load(value: bytes) -> dict[str, float]:
-    """A load report by the module's names and units; what is out of form is left out."""
+def parse_load_report(value: bytes) -> dict[str, float]:
+    """Return a load report by the module's names and units; what is out of form is left out."""
     found: dict[str, float] = {}
     for pair in value.split(b","):
         name, _, number = pair.partition(b"=")
@@ -202,7 +220,7 @@
 
 
 def adopt_socket(descriptor: int) -> socket.socket:
-    """The listening socket that the platform holds; raises ConfigError where it is none."""
+    """Return the listening socket that the platform holds; raises ConfigError where it is none."""
     field = f"EDGE_SOCKET_FD: descriptor {descriptor}"
     try:
         sock = socket.socket(fileno=descriptor)
@@ -216,7 +234,7 @@
 
 
 def parse_config(value: Any, env: Mapping[str, str]) -> Config:
-    """The configuration file's object, with the environment's word first where it says something.
+    """Return the configuration of the file's object; values of the environment go first.
 
     Raises ConfigError naming the field.
     """
@@ -229,18 +247,19 @@
         settings = parse_settings(raw)
     except SettingsError as error:
         raise ConfigError(f"settings: {error}") from None
-    limits, allowed = _object(value, "limits"), _object(raw, "limits")
+    limits = _object(value, "limits")
+    allowed = _object(raw, "limits")
     cores = limits.get("cores", 1.0)
     if isinstance(cores, bool) or not isinstance(cores, int | float) or not 0 < cores < 1e6:
         raise ConfigError(f"limits.cores: not a number above 0: {cores!r}")
-    wire = Wire(
+    wire = PlatformNames(
         zones={name: i for i, name in enumerate(_names(raw.get("dcs"), "settings.dcs"))},
         kinds={n: i for i, n in enumerate(_names(raw.get("shapes"), "settings.shapes"))},
         classes={c.name.encode(): i for i, c in enumerate(settings.classes)},
         tenants={t.name.encode(): i for i, t in enumerate(settings.tenants)},
         connect_timeout=_whole(allowed, "connectTimeout", "settings.limits", 250_000),
-        conn_idle=_whole(allowed, "connIdle", "settings.limits", 15_000_000),
-        max_open=_whole(allowed, "maxOpen", "settings.limits", 20_000),
+        idle_timeout=_whole(allowed, "connIdle", "settings.limits", 15_000_000),
+        max_requests=_whole(allowed, "maxOpen", "settings.limits", 20_000),
         longest_deadline=max(c.deadline for c in settings.classes),
     )
     seed = value.get("seed", "0")
@@ -250,7 +269,7 @@
         raise ConfigError(f"seed: not hex digits: {str(seed)[:80]!r}") from None
     known = value.get("known", {"version": 0, "full": True, "servers": []})
     try:
-        roster = parse_roster(known, wire)
+        roster = parse_endpoint_update(known, wire)
     except EntryError as error:
         raise ConfigError(f"known.{error}") from None
     name = env.get("EDGE_NAME") or value.get("name")
@@ -266,10 +285,10 @@
         seed=number,
         cores=float(cores),
         memory_mb=_whole(limits, "memory_mb", "limits", 192),
-        sockets=_whole(limits, "sockets", "limits", 1024),
-        known=roster,
+        descriptors=_whole(limits, "sockets", "limits", 1024),
+        known_endpoints=roster,
         settings=settings,
-        wire=wire,
+        names=wire,
         operator=None if operator is None else parse_address("EDGE_OPERATOR", operator),
         held_socket=_descriptor(env.get("EDGE_SOCKET_FD")),
         shape=shape_of(value),
@@ -302,7 +321,7 @@
 
 
 def read_file(env: Mapping[str, str]) -> Any:
-    """The file's value, whatever it is; raises ConfigError."""
+    """Return the file's value, whatever it is; raises ConfigError."""
     path = env.get("EDGE_CONFIG")
     if not path:
         raise ConfigError("EDGE_CONFIG: required and missing")
--- /dev/null
+++ b/sailhitch/net/connection_pool.py
@@ -0,0 +1,367 @@
+"""The connections to the hosts of one pool: opening, reuse and closing."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from typing import Any, Final
+
+from ..core.endpoints import Address, EndpointAddress
+from ..core.pool import Pool
+from ..core.request_context import Attempt
+from ..policy_interface import (
+    AttemptOutcome,
+    Endpoint,
+    EndpointState,
+)
+from .connector import UNREACHABLE_AFTER, Connector, LocalConnectError
+from .system_errors import Shortage
+from .upstream_connection import UpstreamConnection
+
+# us that a connection is idle before it is used again. A host may send a response twice, the second
+# some milliseconds late, and nothing tells that from the response to the next request.
+REUSE_DELAY: Final = 5_000
+
+
+class Host:
+    """A host and its connections. The decision module knows it by `id` alone."""
+
+    __slots__ = ("address", "endpoint", "id", "idle", "no_route", "open", "replaced")
+
+    def __init__(self, listed: Endpoint, addr: Address) -> None:
+        self.id = listed.name
+        self.endpoint = listed
+        self.address = addr
+        self.idle: list[UpstreamConnection] = []  # newest last
+        self.open = 0  # connections, those being established included
+        self.replaced = False  # another host has its address now
+        self.no_route = Shortage(UNREACHABLE_AFTER)  # of a local port, or of a route to it
+
+    def take_idle_connection(self, now: int) -> UpstreamConnection | None:
+        """Return the newest idle connection that is past the delay for a late second response."""
+        for i in range(len(self.idle) - 1, -1, -1):
+            if now - self.idle[i].idle_since >= REUSE_DELAY:
+                return self.idle.pop(i)
+        return None
+
+
+HostIdentity = tuple[Address, int, int, int]
+
+
+def _identity(host: Host) -> HostIdentity:
+    """Return what the module's choice of a host rests on, besides its state."""
+    listed = host.endpoint
+    return host.address, listed.started_at, listed.zone, listed.cell
+
+
+class ConnectionPool:
+    """All hosts of a pool and the connections to them: a `Transport` over HTTP/1.1."""
+
+    def __init__(self, pool: Pool) -> None:
+        self.pool = pool
+        self.core = pool.core
+        self.hosts: dict[str, Host] = {}
+        self.host_by_address: dict[Address, Host] = {}
+        self.connections: dict[UpstreamConnection, None] = {}
+        self.connecting = 0
+        self.opened = 0  # counter
+        self._connector = Connector(pool)
+
+    def size(self) -> int:
+        """Return the number of connections, those being established included."""
+        return len(self.connections) + self.connecting
+
+    def list_host(self, entry: EndpointAddress) -> None:
+        """Add or update a host; close idle connections to an older address or instance."""
+        listed = entry.endpoint
+        addr = entry.address
+        host = self.hosts.get(listed.name)
+        fresh = host is None or host.address != addr
+        if host is None:
+            host = self.hosts[listed.name] = Host(listed, addr)
+        if host.address != addr or host.endpoint.started_at != listed.started_at:
+            self.close_idle(host)
+        if host.address != addr:
+            self._leave(host)
+        host.address = addr
+        host.endpoint = listed
+        self._settle(host, fresh)
+
+    def _settle(self, host: Host, fresh: bool) -> None:
+        """Give an address to the newest of the hosts that are listed there.
+
+        Two hosts can't be at one address. Requests for one that is gone, which discovery does not
+        say yet, would reach the one in its place, which is warming up. If hosts are ever meant to
+        share an address, only the newest of them is used.
+        """
+        other = self.host_by_address.get(host.address)
+        if other is host:
+            return
+        if other is not None:
+            ours = host.endpoint.started_at
+            theirs = other.endpoint.started_at
+            if theirs > ours or (theirs == ours and not fresh):
+                other, host = host, other
+        self.host_by_address[host.address] = host
+        host.replaced = False
+        if other is not None:
+            other.replaced = True
+            self.close_idle(other)
+
+    def _leave(self, host: Host) -> None:
+        if self.host_by_address.get(host.address) is host:
+            del self.host_by_address[host.address]
+
+    def is_connected(self, attempt: Attempt) -> bool:
+        """Return whether the system has connected an attempt that still waits."""
+        return self._connector.is_connected(attempt)
+
+    def drop_host(self, name: str) -> None:
+        """Remove a host; its open attempts run to their end."""
+        host = self.hosts.pop(name, None)
+        if host is not None:
+            self._leave(host)
+            self.close_idle(host)
+
+    def close_idle(self, host: Host) -> None:
+        """Close a host's idle connections."""
+        for conn in list(host.idle):
+            conn.close()
+
+    def start(self, attempt: Attempt, now: int) -> None:
+        """Send an attempt on the newest reusable connection, or on a new one."""
+        host = self.hosts.get(attempt.server)
+        if host is None or host.replaced:
+            self.pool.defer_outcome(attempt, AttemptOutcome.CONNECT_FAILED)
+            return
+        if self._held_back(attempt) or self._is_cancelled(attempt):
+            self.pool.defer_outcome(attempt, AttemptOutcome.NOT_SENT)
+            return
+        # In the turn after a stall requests may be read before updates that have waited as long.
+        # Connecting takes a turn of the loop, and updates are looked at after it.
+        if not self.pool.may_send(attempt, now, self._is_listed(host)):
+            self.pool.defer_outcome(attempt, AttemptOutcome.NOT_SENT)
+            return
+        late = self.core.event_loop_stalled(now) and self.pool.has_unread_updates()
+        while not late and (conn := host.take_idle_connection(now)) is not None:
+            # A host closes a connection that has been idle for long, and a request that crosses
+            # that counts as one that may have run.
+            if (
+                now - conn.idle_since < self.pool.connection_settings.idle_lifetime
+                and conn.usable()
+                and conn.begin(attempt, now)
+            ):
+                return
+            conn.close()
+        if host.idle and not late:
+            conn = host.idle.pop(0)
+            self._wait(attempt, self._rest(attempt, host, _identity(host), conn), conn.close)
+        elif self.core.free_descriptor():
+            self._open(attempt, host, now)
+            self._wait(
+                attempt, self._connect(attempt, host, _identity(host)), lambda: self._unopened(host)
+            )
+        else:
+            # A failed connection would count against the host, and one host after the other would
+            # be ejected for this gateway's shortage.
+            self.pool.defer_outcome(attempt, AttemptOutcome.NOT_SENT)
+
+    def _wait(
+        self, attempt: Attempt, work: Coroutine[Any, Any, None], undo: Callable[[], None]
+    ) -> None:
+        """Have an attempt wait for a task; call `undo` if that is cancelled.
+
+        A task that is cancelled in the turn in which it was created never runs, its cleanup
+        included.
+        """
+        attempt.pending_connect = task = self.core.loop.create_task(work)
+        task.add_done_callback(lambda done: undo() if done.cancelled() else None)
+
+    def _open(self, attempt: Attempt, host: Host, now: int) -> None:
+        """Count a connection that is about to be opened."""
+        attempt.connect_by = now + self.pool.connection_settings.connect_timeout
+        self.connecting += 1
+        host.open += 1
+
+    def _unopened(self, host: Host) -> None:
+        """Undo the count of a connection that was not opened."""
+        self.connecting -= 1
+        host.open -= 1
+
+    async def _rest(
+        self, attempt: Attempt, host: Host, chosen: HostIdentity, conn: UpstreamConnection
+    ) -> None:
+        """Write on a connection after the reuse delay, or on a new one if it has ended."""
+        # If this is cancelled it is closed: its host may have moved or restarted meanwhile.
+        await asyncio.sleep((conn.idle_since + REUSE_DELAY - self.core.clock()) / 1e6)
+        while self.pool.has_unread_updates():
+            await asyncio.sleep(0.001)
+        if conn.usable():
+            attempt.pending_connect = None
+            self._start_on(attempt, host, chosen, conn)
+            return
+        conn.close()
+        self._open(attempt, host, self.core.clock())
+        self.core.schedule(attempt.request)
+        await self._connect(attempt, host, chosen)
+
+    async def _connect(self, attempt: Attempt, host: Host, chosen: HostIdentity) -> None:
+        """Open a connection for an attempt, and write on it or report why not."""
+        pool = self.pool
+        conn = None
+        failure = AttemptOutcome.CONNECT_FAILED
+        try:
+            conn = await self._open_connection(attempt, host, chosen[0])
+            while pool.has_unread_updates():
+                await asyncio.sleep(0.001)
+        except LocalConnectError as error:
+            failure = error.status
+        except OSError:
+            pass
+        except asyncio.CancelledError:
+            if conn is not None and conn.transport is not None:
+                conn.transport.abort()
+            conn = None
+        finally:
+            self.connecting -= 1
+            self._connector.forget(attempt)
+            if conn is None:
+                host.open -= 1
+        attempt.pending_connect = None
+        attempt.connect_by = 0
+        if conn is not None:
+            self.opened += 1
+            self.connections[conn] = None
+            if conn.transport is None or conn.transport.is_closing():
+                conn.close()
+                conn = None
+        self._start_on(attempt, host, chosen, conn, failure)
+
+    async def _open_connection(
+        self, attempt: Attempt, host: Host, address: Address
+    ) -> UpstreamConnection | None:
+        """Return an open connection; None if the attempt has ended by then.
+
+        Raises OSError where the host can't be reached, and LocalConnectError.
+        """
+        sock = await self._connector.connect(attempt, host.no_route, address)
+        conn = UpstreamConnection(self, host, sock)
+        try:
+            # On one machine a connection to an unused port may connect to itself.
+            if sock.getsockname() == address or attempt.finished:
+                sock.close()
+                return None
+            await self.core.loop.create_connection(lambda: conn, sock=sock)
+        except BaseException:
+            if conn.transport is not None:
+                conn.transport.abort()
+            sock.close()
+            raise
+        return conn
+
+    def _start_on(
+        self,
+        attempt: Attempt,
+        host: Host,
+        chosen: HostIdentity,
+        conn: UpstreamConnection | None,
+        failure: AttemptOutcome = AttemptOutcome.CONNECT_FAILED,
+    ) -> None:
+        """Write on a connection that an attempt has waited for, or report why not.
+
+        `failure` is the outcome if there is no connection. The decision module chose by an older
+        list: meanwhile the host may be draining, gone, moved, or restarted and warming up.
+        """
+        pool = self.pool
+        now = self.core.clock()
+        stands = self._is_listed(host) and _identity(host) == chosen
+        if conn is not None and not stands:
+            conn.close()
+        if attempt.finished:
+            if conn is not None and stands:
+                self.give_back(conn)
+        elif not stands:
+            pool.attempt_finished(attempt, AttemptOutcome.WITHHELD, None, None)
+        elif conn is None:
+            pool.attempt_finished(attempt, failure, None, None)
+        elif not pool.is_key_remembered(attempt.request, now):
+            self.give_back(conn)
+            pool.attempt_finished(attempt, AttemptOutcome.WITHHELD, None, None)
+        elif self._is_finished(attempt, now) or not pool.may_send(attempt, now, stands):
+            self.give_back(conn)
+            pool.attempt_finished(attempt, AttemptOutcome.NOT_SENT, None, None)
+        elif not conn.begin(attempt, now):
+            conn.close()
+            pool.attempt_finished(attempt, AttemptOutcome.CONNECT_FAILED, None, None)
+
+    def _is_finished(self, attempt: Attempt, now: int) -> bool:
+        """Return whether an attempt that has waited for its connection is not made any more."""
+        return now >= attempt.expires_at or self._held_back(attempt) or self._is_cancelled(attempt)
+
+    def _held_back(self, attempt: Attempt) -> bool:
+        """Return whether the rules that hold now forbid what the module chose under others."""
+        return self.pool.may_write is not None and not self.pool.may_write(attempt)
+
+    def _is_cancelled(self, attempt: Attempt) -> bool:
+        """Return whether nobody waits for this one any more.
+
+        A request that has waited, for a token, a connection, another attempt or its turn,
+        may have lost its client in the meantime, and nobody has read the end of that connection.
+        """
+        request = attempt.request
+        return request.closed or request.client is None or request.client.left()
+
+    def _is_listed(self, host: Host) -> bool:
+        """Return whether new requests may go to it, by the news so far."""
+        listed = self.hosts.get(host.id) is host and host.endpoint.state == EndpointState.READY
+        return listed and not host.replaced
+
+    def give_back(self, conn: UpstreamConnection) -> None:
+        """Take a connection back, as idle or to be closed."""
+        conn.idle_since = self.core.clock()
+        if self.hosts.get(conn.host.id) is conn.host:
+            conn.host.idle.append(conn)
+        else:
+            conn.close()
+
+    def forget(self, conn: UpstreamConnection) -> None:
+        """Remove a closed connection."""
+        if conn in self.connections:
+            del self.connections[conn]
+            conn.host.open -= 1
+            if conn in conn.host.idle:
+                conn.host.idle.remove(conn)
+
+    def _oldest_idle(self) -> UpstreamConnection | None:
+        idle = [host.idle[0] for host in self.hosts.values() if host.idle]
+        return min(idle, key=lambda conn: conn.idle_since, default=None)
+
+    def oldest_idle(self) -> int | None:
+        """Return since when the connection has stood idle that has done so longest."""
+        oldest = self._oldest_idle()
+        return None if oldest is None else oldest.idle_since
+
+    def close_oldest_idle(self) -> bool:
+        """Close the longest idle connection; return False if none is idle."""
+        oldest = self._oldest_idle()
+        if oldest is None:
+            return False
+        oldest.close()
+        return True
+
+    def sweep(self, now: int) -> None:
+        """Close connections that are idle for too long, and end stalled responses."""
+        for conn in [c for c in self.connections if c.is_stalled(now)]:
+            conn.give_up()
+        for host in self.hosts.values():
+            while (
+                host.idle
+                and now - host.idle[0].idle_since >= self.pool.connection_settings.idle_lifetime
+            ):
+                host.idle[0].close()
+
+    def stop(self) -> None:
+        """Close everything at once."""
+        for conn in list(self.connections):
+            if conn.transport is not None:
+                conn.transport.abort()
--- a/sailhitch/net/connector.py
+++ b/sailhitch/net/connector.py
@@ -11,10 +11,10 @@
 import socket
 from typing import Final
 
-from ..core.exchange import Attempt
+from ..core.endpoints import Address
 from ..core.pool import Pool
-from ..core.terms import Address
-from ..interface import CONNECT_FAILED, MOOT, NO_ROUTE
+from ..core.request_context import Attempt
+from ..policy_interface import AttemptOutcome
 from .socket_poll import pending_events
 from .system_errors import (
     LOCAL_CONNECT_ERRORS,
@@ -25,8 +25,8 @@
 )
 
 RECEIVE_BUFFER: Final = 128 * 1024  # bytes of an answer that the kernel may hold
-PATIENCE: Final = 100_000  # us for which an attempt tries again where this machine failed
-LEAST_TRIES: Final = 3
+LOCAL_RETRY_TIME: Final = 100_000  # us for which an attempt tries again where this machine failed
+MIN_ATTEMPTS: Final = 3
 # us without a success after which a host that this machine finds no way to counts as unreachable.
 UNREACHABLE_AFTER: Final = 1_000_000
 
@@ -34,7 +34,7 @@
 class LocalConnectError(Exception):
     """This machine could not connect for a while; `status` is the attempt's outcome."""
 
-    def __init__(self, status: str) -> None:
+    def __init__(self, status: AttemptOutcome) -> None:
         super().__init__(status)
         self.status = status
 
@@ -55,7 +55,8 @@
         host's address. Raises OSError where the host can't be reached, and LocalConnectError.
         """
         core = self.core
-        give_up, tries = core.clock() + PATIENCE, 0
+        give_up = core.clock() + LOCAL_RETRY_TIME
+        tries = 0
         while True:
             tries += 1
             try:
@@ -65,18 +66,18 @@
                     raise
                 status = self._failed(no_way, error)
             else:
-                self._shortage.ended()
-                no_way.ended()
+                self._shortage.on_success()
+                no_way.on_success()
                 return sock
             attempt.connect_by = 0
             await asyncio.sleep(RETRY_PAUSE)
             now = core.clock()
-            # Danger: a loop that was held up has used the time, and not tried again.
-            given_up = now >= give_up and tries >= LEAST_TRIES
-            if attempt.over or given_up or now >= attempt.ends:
+            # A loop that was held up has used the time, and not tried again.
+            given_up = now >= give_up and tries >= MIN_ATTEMPTS
+            if attempt.finished or given_up or now >= attempt.expires_at:
                 raise LocalConnectError(status)
-            attempt.connect_by = now + self.pool.reach.connect_timeout
-            core.schedule(attempt.exchange)
+            attempt.connect_by = now + self.pool.connection_settings.connect_timeout
+            core.schedule(attempt.request)
 
     def is_connected(self, attempt: Attempt) -> bool:
         """Whether the system has connected an attempt's socket, also if the loop has not heard."""
@@ -86,7 +87,7 @@
         return pending_events(sock.fileno(), select.POLLOUT) == select.POLLOUT
 
     def forget(self, attempt: Attempt) -> None:
-        """An attempt waits for its connection no more."""
+        """Drop the socket of an attempt that no longer waits for it."""
         self._sockets.pop(attempt, None)
 
     async def _try(self, attempt: Attempt, address: Address) -> socket.socket:
@@ -103,16 +104,22 @@
             raise
         return sock
 
-    def _failed(self, no_way: Shortage, error: OSError) -> str:
+    def _failed(self, no_way: Shortage, error: OSError) -> AttemptOutcome:
         """Return the outcome of an attempt that this machine's failure would end.
 
         No descriptor or buffer: nothing at any host, so the request is given up. No port or route:
         another host may do, and this one is held to be unreachable where that lasts.
         """
         now = self.core.clock()
-        self.core.logger.often("connect", f"connect failed on this machine: {error.strerror}")
+        self.core.logger.write_limited(
+            "connect", f"connect failed on this machine: {error.strerror}"
+        )
         number = error.errno or 0
         if number in OUT_OF_RESOURCES:
             free_if_lasting(self.core, self._shortage, number)
-            return MOOT
-        return CONNECT_FAILED if no_way.failed(now, number) else NO_ROUTE
+            return AttemptOutcome.NOT_SENT
+        return (
+            AttemptOutcome.CONNECT_FAILED
+            if no_way.on_failure(now, number)
+            else AttemptOutcome.NO_ROUTE
+        )
--- a/sailhitch/net/downstream.py
+++ b/sailhitch/net/downstream.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from ..core.budget import HELD_MOST
-from ..core.exchange import Exchange
+from ..core.request_context import RequestContext
 from ..front import Reason, State
 from .client_connection import BODY, CLOSING, HEAD
 from .request_reader import RequestReader
@@ -25,38 +25,38 @@
 
     # --- Dispatch
 
-    def _dispatch(self, exchange: Exchange) -> None:
+    def _dispatch(self, request: RequestContext) -> None:
         """Start a request whose turn it is; answer it here if no host is to get it."""
-        pool = exchange.pool
-        tenant = str(exchange.tenant) if pool is not None else None
-        self.core.admission.taken(self.slot, self.core.clock(), tenant)
+        pool = request.pool
+        tenant = str(request.tenant) if pool is not None else None
+        self.core.admission.on_request(self.slot, self.core.clock(), tenant)
         if pool is None:
-            self.exchange = exchange
-            if exchange.fallback is not None:
-                self.serve(exchange, exchange.fallback)
+            self.request = request
+            if request.fallback_response is not None:
+                self.serve(request, request.fallback_response)
             else:
-                self._answer_health_check(exchange)
-        elif exchange.name in self.core.names:
+                self._answer_health_check(request)
+        elif request.name in self.core.request_by_name:
             # Hosts know a request by its id: with two of one id open, one client might get the
             # other's response.
-            if exchange is self.incoming:
+            if request is self.incoming:
                 self.incoming = None
-            self.core.release_body(exchange)
+            self.core.release_body(request)
             self._reject(409, "a request with this id is open")
         else:
-            self.exchange = exchange
-            self.core.request(exchange)
+            self.request = request
+            self.core.request(request)
 
-    def _answer_health_check(self, exchange: Exchange) -> None:
+    def _answer_health_check(self, request: RequestContext) -> None:
         """Answer the health check of this gateway."""
         if self.core.ready:
-            self._write_response(exchange, b"200 OK", TEXT, b"ready\n")
+            self._write_response(request, b"200 OK", TEXT, b"ready\n")
         else:
-            self._write_response(exchange, STATUS_LINES[503], TEXT, b"not ready\n")
+            self._write_response(request, STATUS_LINES[503], TEXT, b"not ready\n")
 
     def _dispatch_next(self) -> None:
         """Dispatch the next request if no response is owed and it is here already."""
-        if self.exchange is not None or self.transport is None or self.phase == CLOSING:
+        if self.request is not None or self.transport is None or self.phase == CLOSING:
             return
         if self.pipelined:
             self._dispatch(self.pipelined.popleft())
@@ -67,7 +67,7 @@
 
     # --- Eviction and deadlines
 
-    def let_go(self, reason: Reason) -> bool:
+    def close_unless_unread(self, reason: Reason) -> bool:
         """Close to free a descriptor; return False if a request is here, unread."""
         transport = self.transport
         if transport is None:
@@ -77,7 +77,7 @@
             return True
         if self.is_idle():
             return self.close_idle(reason)
-        if self.phase in (HEAD, BODY) and self.exchange is None:
+        if self.phase in (HEAD, BODY) and self.request is None:
             self._reject(503, "no room", reason)
             return True
         return False
@@ -108,7 +108,7 @@
         Bytes left to write get as long as any response. A reset would take the response from a
         client that is still sending what was refused.
         """
-        self.core.admission.progress(self.slot, now, size)
+        self.core.admission.on_write_progress(self.slot, now, size)
         patience = self.core.admission.limit(State.WRITING) if size else LINGER_IDLE
         age = now - self.slot.since
         if age > (LINGER_MAX if self.received_since_sweep else patience):
@@ -119,15 +119,15 @@
         """Record progress, and close the connection if its state has lasted for too long."""
         admission = self.core.admission
         if self.phase == BODY:
-            admission.came(self.slot, now, self.received)
+            admission.on_body_bytes(self.slot, now, self.received)
         if self.unsent or size:
             self._account_unsent(size)
-            admission.progress(self.slot, now, size)
+            admission.on_write_progress(self.slot, now, size)
         reason = admission.overdue(self.slot, now)
         if reason is None:
             return
         if reason == Reason.UNREAD:
-            admission.closing(self.slot, now, reason)
+            admission.on_closing(self.slot, now, reason)
             self.abort()
         elif reason == Reason.SLOW:
             if not (self.core.timers.lag and self._has_unread_bytes()):
--- a/sailhitch/net/http.py
+++ b/sailhitch/net/http.py
@@ -7,7 +7,7 @@
 import httptools
 
 # Fields that belong to one connection and never go on to the next.
-HOP: Final = frozenset(
+HOP_BY_HOP_FIELDS: Final = frozenset(
     {
         b"connection",
         b"content-length",
@@ -26,11 +26,13 @@
 BLANK: Final = b" \t"  # around a field's value (RFC 9110, 5.6.3)
 MAX_HEAD: Final = 32 * 1024  # a longer head is no head
 
-WAITING, BODY, WHOLE = 0, 1, 2  # where an answer stands
+WAITING = 0
+BODY = 1
+COMPLETE = 2  # where an answer stands
 
 
 def chunk(data: bytes | bytearray, last: bool) -> bytes:
-    """A piece of a body in the chunked coding (RFC 9112, 7.1); an empty one says nothing."""
+    """Return a piece of a body in the chunked coding (RFC 9112, 7.1); an empty one says nothing."""
     piece = b"%x\r\n%s\r\n" % (len(data), data) if data else b""
     return piece + b"0\r\n\r\n" if last else piece
 
@@ -39,32 +41,40 @@
     """What came is not the answer to one request."""
 
 
-class AnswerReader:
+class ResponseReader:
     """Reads one answer at a time from a connection and checks its framing.
 
     The subclass gets `head_read` and `body_read`; after `feed` it looks at `phase`. Bytes after the
     end of an answer belong to nobody. The answer is whole without them and stands; the connection
     is of no further use, as nobody can tell what the next answer on it would belong to. Guards
-    against any peer that says more than it was asked, in whatever form. Danger: an answer whose
+    against any peer that says more than it was asked, in whatever form. An answer whose
     stated length is too short would be cut there; only a peer that contradicts itself (two lengths)
     shows that, and the parser refuses it.
     """
 
     __slots__ = (
-        "chunked", "fields", "head_size", "interim", "keep", "length", "parser", "phase", "status",
-    )  # fmt: skip
+        "chunked",
+        "fields",
+        "head_size",
+        "interim",
+        "keep_alive",
+        "length",
+        "parser",
+        "phase",
+        "status",
+    )
 
     def __init__(self) -> None:
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self.expect()
+        self.reset()
 
-    def expect(self) -> None:
+    def reset(self) -> None:
         """Get ready for the answer to the next request."""
         self.phase = WAITING
         self.status = self.head_size = 0
         self.fields: list[tuple[bytes, bytes, bytes]] = []
         self.length: int | None = None
-        self.chunked = self.keep = self.interim = False
+        self.chunked = self.keep_alive = self.interim = False
 
     def feed(self, data: bytes) -> None:
         """Take in bytes; raises MalformedError where they are no proper answer."""
@@ -74,39 +84,42 @@
         try:
             parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if self.phase == WHOLE:
-                self.keep = False
+            if self.phase == COMPLETE:
+                self.keep_alive = False
                 return
             raise MalformedError(str(error.__context__ or error)) from None
         if self.phase == WAITING:
-            # Danger: a field without an end shows in no callback, however long it grows.
+            # A field without an end shows in no callback, however long it grows.
             self.head_size += len(data)
             if self.head_size > 4 * MAX_HEAD:
                 raise MalformedError("head too large")
 
-    def ended(self) -> bool:
-        """The peer has closed its side: whether that ends the answer properly."""
+    def on_eof(self) -> bool:
+        """Return the peer has closed its side: whether that ends the answer properly."""
         if self.phase == BODY and self.length is None and not self.chunked:
-            self.phase = WHOLE
-        return self.phase == WHOLE
+            self.phase = COMPLETE
+        return self.phase == COMPLETE
 
     # --- What httptools calls
 
     def on_message_begin(self) -> None:
+        """Start a response head."""
         if self.phase != WAITING:
             raise MalformedError("bytes after the answer")
         self.fields = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect a field; raises MalformedError."""
         if self.phase != WAITING:
             return  # a trailer
         self.head_size += len(name) + len(value)
         if self.head_size > MAX_HEAD:
             raise MalformedError("head too large")
-        # Danger: the parser leaves the space behind a value, which is none of it (RFC 9112, 5).
+        # The parser leaves the space behind a value, which is none of it (RFC 9112, 5).
         self.fields.append((name.lower(), name, value.strip(BLANK)))
 
     def on_headers_complete(self) -> None:
+        """Read the status and framing; raises MalformedError."""
         parser = self.parser
         assert parser is not None
         self.status = parser.get_status_code()
@@ -124,21 +137,25 @@
                 if value.strip().lower() != b"chunked":
                     raise MalformedError("unknown transfer-encoding")
                 self.chunked = True
-        self.keep = parser.should_keep_alive()
+        self.keep_alive = parser.should_keep_alive()
         self.phase = BODY
         self.head_read()
 
     def on_body(self, data: bytes) -> None:
+        """Pass on part of the body."""
         self.body_read(data)
 
     def on_message_complete(self) -> None:
+        """End the response, unless it was an interim one."""
         if self.interim:
             self.interim = False  # 1xx: the answer itself is still to come
         else:
-            self.phase = WHOLE
+            self.phase = COMPLETE
 
     def head_read(self) -> None:
+        """Handle a response head; `status` and `fields` are set."""
         raise NotImplementedError
 
     def body_read(self, data: bytes) -> None:
+        """Handle part of a response body."""
         raise NotImplementedError
--- a/sailhitch/net/intake.py
+++ b/sailhitch/net/intake.py
@@ -9,26 +9,39 @@
 from dataclasses import replace
 from typing import Any, Final, NamedTuple, Protocol
 
-from ..core.exchange import Exchange
 from ..core.pool import Pool
-from ..core.terms import Field
-from ..settings import KEYED, SAFE, UNSAFE, RequestClass, Settings
-from .config import Wire
-from .http import HOP
+from ..core.request_context import RequestContext
+from ..core.response import HeaderField
+from ..settings import (
+    Idempotency,
+    RequestClass,
+    Settings,
+)
+from .config import PlatformNames
+from .http import HOP_BY_HOP_FIELDS
 
 READY_PATH: Final = b"/health/ready"
 # What is read for this gateway and goes on in its own form or not at all.
-OWN: Final = HOP | {b"req-deadline-ms"}
+OWN: Final = HOP_BY_HOP_FIELDS | {b"req-deadline-ms"}
 READ: Final = frozenset(
     {
-        b"content-length", b"cookie", b"expect", b"host", b"idempotency-key", b"req-cost",
-        b"req-deadline-ms", b"req-id", b"req-kind", b"req-owner", b"req-retry",
+        b"content-length",
+        b"cookie",
+        b"expect",
+        b"host",
+        b"idempotency-key",
+        b"req-cost",
+        b"req-deadline-ms",
+        b"req-id",
+        b"req-kind",
+        b"req-owner",
+        b"req-retry",
         b"transfer-encoding",
     }
-)  # fmt: skip
+)
 # Clients learn of new settings about when this process does; so long either may come first (us).
-OLD_FORMS: Final = 1_100_000
-STRICTNESS: Final = {SAFE: 0, KEYED: 1, UNSAFE: 2}
+PREVIOUS_CLASSES_TTL: Final = 1_100_000
+STRICTNESS: Final = {Idempotency.SAFE: 0, Idempotency.KEYED: 1, Idempotency.UNSAFE: 2}
 # A second one of these would make it doubtful what was meant.
 SINGLE: Final = READ - {b"cookie", b"expect"}
 
@@ -46,10 +59,10 @@
 
     method: bytes
     url: bytes
-    fields: list[Field]
+    fields: list[HeaderField]
 
     def has_body(self) -> bool:
-        """Whether a body follows."""
+        """Return whether a body follows."""
 
 
 class Intake(Protocol):
@@ -57,22 +70,24 @@
 
     own: frozenset[bytes]  # fields that do not go on to hosts as they came
 
-    def read(self, head: Head, found: dict[bytes, bytes], exchange: Exchange) -> bool:
-        """Fill in the exchange; False for a question to the gateway itself, which no host gets.
+    def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
+        """Fill in the request; False for a question to the gateway itself, which no host gets.
 
-        Its answer is the exchange's `fallback`, or that of the health check where there is none.
+        Its answer is the request's `fallback`, or that of the health check where there is none.
         `found` has the last value of each field in `READ`. Raises RejectError.
         """
 
 
-class Older(NamedTuple):
+class PreviousClass(NamedTuple):
     """What a class was before new settings: the effect whose form it came in, and what to do."""
 
-    form: str
-    kind: RequestClass
+    idempotency: str
+    request_class: RequestClass
 
 
-def outgoing(before: Sequence[RequestClass], after: Sequence[RequestClass]) -> dict[bytes, Older]:
+def previous_classes(
+    before: Sequence[RequestClass], after: Sequence[RequestClass]
+) -> dict[bytes, PreviousClass]:
     """Classes that go, or whose effect changes, by name.
 
     A request in a form that has just gone is held to the stricter of both effects: to the old one
@@ -82,10 +97,12 @@
     now = {kind.name: kind for kind in after}
     for old in before:
         new = now.get(old.name)
-        if new is None or STRICTNESS[old.effect] > STRICTNESS[new.effect]:
-            found[old.name.encode()] = Older(old.effect, old)
-        elif new.effect != old.effect:
-            found[old.name.encode()] = Older(old.effect, replace(new, effect=UNSAFE))
+        if new is None or STRICTNESS[old.idempotency] > STRICTNESS[new.idempotency]:
+            found[old.name.encode()] = PreviousClass(old.idempotency, old)
+        elif new.idempotency != old.idempotency:
+            found[old.name.encode()] = PreviousClass(
+                old.idempotency, replace(new, idempotency=Idempotency.UNSAFE)
+            )
     return found
 
 
@@ -94,76 +111,77 @@
 
     own = OWN
 
-    def __init__(self, pool: Pool, wire: Wire) -> None:
-        self.pool, self.wire = pool, wire
-        self.older: dict[bytes, Older] = {}
-        self.older_until = 0
+    def __init__(self, pool: Pool, wire: PlatformNames) -> None:
+        self.pool = pool
+        self.wire = wire
+        self.previous: dict[bytes, PreviousClass] = {}
+        self.previous_until = 0
 
-    def reconfigure(self, now: int, settings: Settings, wire: Wire) -> list[RequestClass]:
+    def reconfigure(self, now: int, settings: Settings, wire: PlatformNames) -> list[RequestClass]:
         """Read by other settings; returns classes that requests may have besides theirs."""
-        self.older = outgoing(self.pool.settings.classes, settings.classes)
-        self.older_until = now + OLD_FORMS
+        self.previous = previous_classes(self.pool.settings.classes, settings.classes)
+        self.previous_until = now + PREVIOUS_CLASSES_TTL
         self.wire = wire
-        return [one.kind for one in self.older.values()]
+        return [one.request_class for one in self.previous.values()]
 
-    def _older(self, name: bytes) -> Older | None:
+    def _previous_class(self, name: bytes) -> PreviousClass | None:
         """How a request of this class may come just after new settings, besides its new form."""
-        older = self.older.get(name)
-        if older is not None and self.pool.core.clock() >= self.older_until:
-            self.older = {}
+        older = self.previous.get(name)
+        if older is not None and self.pool.core.clock() >= self.previous_until:
+            self.previous = {}
             return None
         return older
 
-    def read(self, head: Head, found: dict[bytes, bytes], exchange: Exchange) -> bool:
+    def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
         """As the protocol says; what is missing or out of form is an error."""
         if head.url.partition(b"?")[0] == READY_PATH and b"req-id" not in found:
             return False
-        exchange.pool = self.pool
+        request.pool = self.pool
         wire = self.wire
-        exchange.name = read_name(found.get(b"req-id", b""))
+        request.name = read_name(found.get(b"req-id", b""))
         name = found.get(b"req-kind", b"")
         number = wire.classes.get(name)
         kind = None if number is None else self.pool.settings.classes[number]
         # Nobody is waited for longer than its class may take.
         wait = read_wait(found.get(b"req-deadline-ms", b""))
-        exchange.wait_ms = min(wait, wire.longest_deadline // 1000)
+        request.wait_ms = min(wait, wire.longest_deadline // 1000)
         keyed = found.get(b"idempotency-key")
-        if kind is None or not _fits(kind.effect, head, keyed):
-            older = self._older(name)
+        if kind is None or not _fits(kind.idempotency, head, keyed):
+            older = self._previous_class(name)
             if older is None and kind is None:
                 raise RejectError(400, "Req-Kind missing or unknown")
-            if older is None or not _fits(older.form, head, keyed):
+            if older is None or not _fits(older.idempotency, head, keyed):
                 raise RejectError(400, "method, body or Idempotency-Key do not fit the class")
-            kind = older.kind
-        exchange.kind = kind
-        exchange.tenant = wire.tenants.get(found.get(b"req-owner", b""), len(wire.tenants))
-        exchange.repeat = found.get(b"req-retry") == b"1"
+            kind = older.request_class
+        request.request_class = kind
+        request.tenant = wire.tenants.get(found.get(b"req-owner", b""), len(wire.tenants))
+        request.repeat = found.get(b"req-retry") == b"1"
         cost = found.get(b"req-cost", b"")
         if cost.isdigit() and len(cost) < 12:
-            exchange.work = int(cost)
+            request.work = int(cost)
         if b"cookie" in found:
-            exchange.key = read_cookie_key(found[b"cookie"])
+            request.key = read_cookie_key(found[b"cookie"])
         return True
 
 
 def _fits(effect: str, head: Head, keyed: bytes | None) -> bool:
-    """Whether a request's form is that of classes with such an effect (PROTOCOL)."""
+    """Return whether a request's form is that of classes with such an effect (PROTOCOL)."""
     if keyed == b"":
         return False
-    if effect == SAFE:
+    if effect == Idempotency.SAFE:
         return head.method == b"GET" and not head.has_body() and keyed is None
-    return head.method == b"POST" and (keyed is not None) == (effect == KEYED)
+    return head.method == b"POST" and (keyed is not None) == (effect == Idempotency.KEYED)
 
 
 def read_name(name: bytes) -> bytes:
-    """A request's id; raises RejectError."""
+    """Return a request's id; raises RejectError."""
     if not name or len(name) > 128 or (not name.isalnum() and not _token(name)):
         raise RejectError(400, "Req-Id missing or bad")
     return name
 
 
 def read_wait(wait: bytes) -> int:
-    """How long a client waits, in ms; raises RejectError."""
+    """Return how long a client waits, in ms; raises RejectError."""
     if not wait.isdigit() or len(wait) > 9 or int(wait) == 0:
         raise RejectError(400, "Req-Deadline-Ms missing or bad")
     return int(wait)
@@ -174,7 +192,7 @@
 
 
 def read_cookie_key(value: Any) -> int | None:
-    """What a request is about: the cookie `sid`, where it is hex digits."""
+    """Return what a request is about: the cookie `sid`, where it is hex digits."""
     for part in value.split(b";"):
         name, _, text = part.strip().partition(b"=")
         if name == b"sid":
--- a/sailhitch/net/listener.py
+++ b/sailhitch/net/listener.py
@@ -9,8 +9,8 @@
 from typing import Final
 
 from ..core.budget import HELD_MOST
-from ..core.core import Core
-from ..core.terms import Address
+from ..core.core import GatewayCore
+from ..core.endpoints import Address
 from ..front import ConnectionSlot, Reason, Verdict
 from .downstream import Downstream
 from .intake import Intake
@@ -45,18 +45,24 @@
     """
 
     def __init__(
-        self, core: Core, intake: Intake, address: Address, backlog: int,
+        self,
+        core: GatewayCore,
+        intake: Intake,
+        address: Address,
+        backlog: int,
         held: socket.socket | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Listen at an address, or on the socket `held` that listens there and others hold too.
 
         Raises OSError if the address can't be bound.
         """
-        self.core, self.intake, self.backlog = core, intake, backlog
+        self.core = core
+        self.intake = intake
+        self.backlog = backlog
         self.tasks: set[asyncio.Task[None]] = set()
         self.retired = False
         self._shortage = Shortage()
-        self._queued_since = 0  # since when connections wait that can't be accepted; 0: none do
+        self._backlog_since = 0  # since when connections wait that can't be accepted; 0: none do
         self.sock = held or socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         # Accepted connections inherit this. By default the kernel buffers megabytes of a response
         # for a client that reads none of it, which no budget accounts for.
@@ -88,31 +94,31 @@
         """Accept up to `most` waiting connections; `last` does not wait for descriptors."""
         core = self.core
         for _ in range(most):
-            way = core.way_in()
+            way = core.admission_verdict()
             if way == Verdict.WAIT and not last:
-                self._queued_since = self._queued_since or core.clock()
+                self._backlog_since = self._backlog_since or core.clock()
                 return Accepted.MORE_MAY_WAIT  # descriptors being closed are free in the next turn
             try:
                 sock, peer = self.sock.accept()
             except BlockingIOError:
-                self._queued_since = 0
+                self._backlog_since = 0
                 return Accepted.QUEUE_EMPTY
             except OSError as error:
                 if error.errno in CONNECTION_LOST_IN_QUEUE:
                     continue
                 self._accept_failed(error)
                 return Accepted.SYSTEM_FAILED
-            self._shortage.ended()
+            self._shortage.on_success()
             if way == Verdict.ADMIT and core.admission.admits(core.clock(), peer[0]):
-                self._admit(sock, core.admission.opened(core.clock(), peer[0]))
+                self._admit(sock, core.admission.on_opened(core.clock(), peer[0]))
             else:
                 self._reject_connection(sock)
         return Accepted.MORE_MAY_WAIT
 
     def _accept_failed(self, error: OSError) -> None:
         """Log a failure of the system, and free descriptors where it lasts."""
-        self._queued_since = self._queued_since or self.core.clock()
-        self.core.logger.often("accept", f"accept failed: {error.strerror}")
+        self._backlog_since = self._backlog_since or self.core.clock()
+        self.core.logger.write_limited("accept", f"accept failed: {error.strerror}")
         free_if_lasting(self.core, self._shortage, error.errno or 0)
 
     def adopt(self, descriptor: int) -> None:
@@ -123,17 +129,17 @@
         except OSError:
             sock.close()  # its client has gone meanwhile
             return
-        self._admit(sock, self.core.admission.adopted(self.core.clock(), address))
+        self._admit(sock, self.core.admission.on_adopted(self.core.clock(), address))
 
     def _admit(self, sock: socket.socket, slot: ConnectionSlot) -> None:
         """Serve an admitted connection.
 
-        Danger: what it has sent may have waited for as long as accepting failed, and its client's
+        What it has sent may have waited for as long as accepting failed, and its client's
         time has run since. It counts as come when the failures began.
         """
         client = Downstream(self, sock, slot)
-        if self._queued_since and _has_bytes(sock):
-            client.queued_since = self._queued_since
+        if self._backlog_since and _has_bytes(sock):
+            client.queued_since = self._backlog_since
         self.core.arriving.add(client)
         # The event loop itself holds only a weak reference to a task.
         task = self.core.loop.create_task(self._connect(client))
@@ -142,14 +148,15 @@
 
     async def _connect(self, client: Downstream) -> None:
         """Attach the connection to the event loop."""
-        core, sock = self.core, client.sock
+        core = self.core
+        sock = client.sock
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await core.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:
             sock.close()  # it has gone already
-            core.admission.closed(client.slot, core.clock())
+            core.admission.on_closed(client.slot, core.clock())
         finally:
             core.arriving.discard(client)  # connected or gone by now
 
@@ -160,8 +167,8 @@
         the response. A request that comes later crosses the close, and its client repeats it.
         """
         self.core.counters.crowded += 1
-        self.core.admission.turned_away()
-        self.core.logger.often("crowd", "no place for a client's connection; turned away")
+        self.core.admission.on_rejected()
+        self.core.logger.write_limited("crowd", "no place for a client's connection; turned away")
         with contextlib.suppress(OSError):
             sock.setblocking(False)
             with contextlib.suppress(BlockingIOError):
@@ -175,7 +182,7 @@
         self.core.loop.call_later(ACCEPT_PAUSE, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
-        if self.sock.fileno() >= 0 and self not in self.core.emptying:
+        if self.sock.fileno() >= 0 and self not in self.core.draining_listeners:
             self.core.loop.add_reader(self.sock, self._on_readable)
 
     # --- Stopping
@@ -188,7 +195,7 @@
             if isinstance(client, Downstream) and client.listener is self and client.is_idle():
                 client.close_idle(Reason.ANSWERED)
 
-    def leave_to_others(self) -> None:
+    def stop_accepting(self) -> None:
         """Stop accepting; waiting connections are left to others who hold this socket."""
         self.core.loop.remove_reader(self.sock)
         self.sock.close()
@@ -203,7 +210,7 @@
         Connections still in the kernel's queue at the socket's close are reset without a response.
         So where the system fails to accept them, the close waits, for EMPTYING at most.
         """
-        if self.sock.fileno() < 0 or self in self.core.emptying:
+        if self.sock.fileno() < 0 or self in self.core.draining_listeners:
             return  # closed before: settings that come at the process's end do so again
         self.core.loop.remove_reader(self.sock)
         self._empty_queue(self.core.clock() + EMPTYING)
@@ -212,10 +219,10 @@
         """Accept all who wait, then close the socket; again after a failure, until `give_up`."""
         failed = self._accept(self.backlog, last=True) is Accepted.SYSTEM_FAILED
         if failed and self.core.clock() < give_up:
-            self.core.emptying.add(self)
+            self.core.draining_listeners.add(self)
             self.core.loop.call_later(RETRY_PAUSE, self._empty_queue, give_up)
             return
-        self.core.emptying.discard(self)
+        self.core.draining_listeners.discard(self)
         self.sock.close()
 
 
--- a/sailhitch/net/platform.py
+++ b/sailhitch/net/platform.py
@@ -6,16 +6,17 @@
 import socket
 from collections.abc import Callable
 
-from ..core.core import Core
+from ..core.core import GatewayCore
+from ..core.endpoints import Address, EndpointUpdate
 from ..core.log import Log
 from ..core.pool import Pool
-from ..core.terms import Address, Bounds, Roster
-from ..interface import RESTORED
+from ..core.resource_limits import ResourceLimits
+from ..policy_interface import WatchEventKind
 from .config import Config
+from .connection_pool import ConnectionPool
 from .discovery import Discovery
 from .intake import PlatformIntake
 from .listener import Listener
-from .upstream import Hosts
 
 
 class Platform:
@@ -23,31 +24,38 @@
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, log: Log) -> None:
         self.config = config
-        self.core = Core(config.bounds(), loop, log)
-        self.pool = Pool(self.core, "hosts", config.settings, config.seed, config.reach(), Hosts)
+        self.core = GatewayCore(config.limits(), loop, log)
+        self.pool = Pool(
+            self.core,
+            "hosts",
+            config.settings,
+            config.seed,
+            config.connection_settings(),
+            ConnectionPool,
+        )
         self.core.pools.append(self.pool)
-        self.intake = PlatformIntake(self.pool, config.wire)
+        self.intake = PlatformIntake(self.pool, config.names)
         self.discovery = Discovery(self.pool, config)
         # What of the gateway's bounds is this process's, where it has another beside it.
-        self.fit: Callable[[Bounds], Bounds] = lambda whole: whole
+        self.apply_share: Callable[[ResourceLimits], ResourceLimits] = lambda whole: whole
 
     def begin(self) -> None:
         """Start with the list as last known; nothing is listened for yet."""
         self.core.begin()
-        self.pool.start(self.config.known)
+        self.pool.start(self.config.known_endpoints)
 
-    def inherit(self, roster: Roster) -> None:
+    def inherit(self, roster: EndpointUpdate) -> None:
         """Go by the list of the process before this one, which is newer than the file's."""
-        self.pool.take_list(roster, RESTORED)
+        self.pool.apply_update(roster, WatchEventKind.RESTORED)
         self.discovery.inherit(roster.version)
 
     def listen(self, address: Address, backlog: int, held: socket.socket | None = None) -> Listener:
-        """Where clients come; they are taken in once it is started. Raises OSError."""
+        """Return where clients come; they are taken in once it is started. Raises OSError."""
         return Listener(self.core, self.intake, address, backlog, held)
 
     def resize(self) -> None:
         """Go by what is this process's of the bounds as they are."""
-        self.core.reconfigure(self.fit(self.config.bounds()))
+        self.core.reconfigure(self.apply_share(self.config.limits()))
 
     def reconfigure(self, config: Config) -> None:
         """Go by a new configuration, with all that is open going on.
@@ -57,6 +65,6 @@
         """
         self.config = config
         self.resize()
-        also = self.intake.reconfigure(self.core.clock(), config.settings, config.wire)
-        self.pool.reconfigure(config.settings, config.reach(), also)
+        also = self.intake.reconfigure(self.core.clock(), config.settings, config.names)
+        self.pool.reconfigure(config.settings, config.connection_settings(), also)
         self.discovery.reconfigure(config)
--- a/sailhitch/net/request_head.py
+++ b/sailhitch/net/request_head.py
@@ -5,13 +5,13 @@
 from typing import Final
 
 from ..core.budget import LONGEST
-from ..core.terms import Field
+from ..core.response import HeaderField
 from .intake import READ, SINGLE, RejectError
 
 LENGTH_DIGITS: Final = 18  # of a Content-Length
 
 
-def select_fields(fields: list[Field]) -> tuple[dict[bytes, bytes], set[bytes]]:
+def select_fields(fields: list[HeaderField]) -> tuple[dict[bytes, bytes], set[bytes]]:
     """Return the fields that this gateway reads, and the names that `Connection` lists.
 
     Raises RejectError where a field comes twice that may come once.
@@ -34,7 +34,8 @@
     Refuses, by RejectError, whatever two readers could frame differently (request smuggling). The
     parser refuses most of it as well; this does not rely on it.
     """
-    coding, length = found.get(b"transfer-encoding"), found.get(b"content-length")
+    coding = found.get(b"transfer-encoding")
+    length = found.get(b"content-length")
     if coding is not None:
         if length is not None:
             raise RejectError(400, "both content-length and transfer-encoding")
@@ -52,7 +53,7 @@
 
 
 def forwarded_lines(
-    fields: list[Field], named: set[bytes], dropped: frozenset[bytes]
+    fields: list[HeaderField], named: set[bytes], dropped: frozenset[bytes]
 ) -> list[bytes]:
     """Return the lines of a request's fields that go on to a host.
 
@@ -65,7 +66,7 @@
     ]
 
 
-def without_upgrade(method: bytes, url: bytes, fields: list[Field]) -> bytes:
+def without_upgrade(method: bytes, url: bytes, fields: list[HeaderField]) -> bytes:
     """Return the head of a request anew, without its wish for another protocol."""
     lines = [
         name + b": " + value
