--- a/sailhitch/net/request_reader.py
+++ b/sailhitch/net/request_reader.py
@@ -10,7 +10,7 @@
 import httptools
 
 from ..core.budget import HELD_MOST, LONGEST
-from ..core.exchange import Exchange
+from ..core.request_context import RequestContext
 from ..core.throughput_watchdog import ThroughputWatchdog
 from ..core.upload import Upload
 from .client_connection import BODY, CLOSING, HEAD, IDLE
@@ -27,13 +27,14 @@
 
     __slots__ = ()
 
-    def _dispatch(self, exchange: Exchange) -> None:
+    def _dispatch(self, request: RequestContext) -> None:
         """Start a request whose turn it is."""
         raise NotImplementedError
 
     # --- Bytes
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes of requests."""
         self.received_since_sweep = True
         if self.parser is None or (self.phase == CLOSING and not self.discarding_body):
             return
@@ -48,7 +49,7 @@
             return
         except Exception as error:
             # An exception that reached the event loop would leave the client without a response.
-            self.core.logger.often("reading", f"reading a request failed: {error!r:.100}")
+            self.core.logger.write_limited("reading", f"reading a request failed: {error!r:.100}")
             self._reject(400, "unreadable")
             return
         self.queued_since = 0  # what comes with a later read has not waited for the accept
@@ -65,9 +66,9 @@
                 self._begin_upload(incoming)
         elif self.phase == HEAD and self.head_received > 2 * MAX_HEAD:
             self._reject(431, "head too large")
-        elif self.exchange is None:
+        elif self.request is None:
             if self.phase != IDLE and not self.pipelined:
-                self.core.admission.reading(self.slot, self.core.clock(), self.phase == BODY)
+                self.core.admission.on_reading(self.slot, self.core.clock(), self.phase == BODY)
             # Only after parsing: malformed bytes right behind a request make it suspect too.
             self._dispatch_next()
 
@@ -102,17 +103,20 @@
     # --- Head
 
     def on_message_begin(self) -> None:
+        """Start a request head."""
         if self.phase == CLOSING:
             return
         self._reset_request()
         self.phase = HEAD
 
     def on_url(self, url: bytes) -> None:
+        """Collect the request target; raises RejectError."""
         self.url += url
         if len(self.url) > MAX_HEAD:
             raise RejectError(431, "target too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect a field; raises RejectError."""
         if self.phase != HEAD:
             return  # a trailer
         self.received += len(name) + len(value)
@@ -121,6 +125,7 @@
         self.fields.append((name.lower(), name, value.strip(BLANK)))
 
     def on_headers_complete(self) -> None:
+        """Check the head and build the request; raises RejectError."""
         if self.phase == CLOSING or self.parser is None:
             return
         self.received = 0
@@ -132,62 +137,64 @@
         if b"host" not in found and self.parser.get_http_version() != "1.0":
             raise RejectError(400, "no Host")
         self.chunked, self.content_length = body_framing(found)
-        exchange = self.incoming = Exchange(self)
+        request = self.incoming = RequestContext(self)
         self.phase = BODY
-        if not self.listener.intake.read(self, found, exchange):
+        if not self.listener.intake.read(self, found, request):
             return
-        self._build_head(exchange, named)
+        self._build_head(request, named)
         if b"expect" in found:
             self._answer_expectation(found[b"expect"])
 
-    def _build_head(self, exchange: Exchange, named: set[bytes]) -> None:
+    def _build_head(self, request: RequestContext, named: set[bytes]) -> None:
         """Set the head that goes to hosts, complete but for the fields of each attempt."""
-        method = b"GET" if exchange.bare else self.method
+        method = b"GET" if request.head_only else self.method
         lines = [method + b" " + self.url + b" HTTP/1.1"]
         lines += forwarded_lines(self.fields, named, self.listener.intake.own)
         if self.content_length is not None and method != b"GET":
             lines.append(b"Content-Length: %d" % self.content_length)
-        lines.append(exchange.head)  # fields that the intake adds, or nothing
-        exchange.head = b"\r\n".join(lines)
+        lines.append(request.head)  # fields that the intake adds, or nothing
+        request.head = b"\r\n".join(lines)
 
     def _answer_expectation(self, value: bytes) -> None:
         """Answer `Expect: 100-continue` if it is this request's turn."""
         if value.strip().lower() != b"100-continue":
             raise RejectError(400, "unknown expectation")
-        if self.exchange is None and self.transport is not None:
+        if self.request is None and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     # --- Body
 
     def on_body(self, data: bytes) -> None:
-        exchange = self.incoming
-        if exchange is None:
+        """Collect or forward part of the body; raises RejectError."""
+        request = self.incoming
+        if request is None:
             return
         size = len(data)
         before = self.received
         self.received = received = before + size
         if received > LONGEST:
             raise RejectError(413, "body too large")
-        if exchange.upload is not None:
-            exchange.upload.came(data)
+        if request.upload is not None:
+            request.upload.came(data)
             return
         if not self.core.budget.take(size):
             raise RejectError(503, "no room for the body")
-        exchange.reserved += size
+        request.reserved += size
         if not before:
-            exchange.body = data
+            request.body = data
             return
-        if not isinstance(exchange.body, bytearray):
-            exchange.body = bytearray(exchange.body)
-        exchange.body += data
+        if not isinstance(request.body, bytearray):
+            request.body = bytearray(request.body)
+        request.body += data
 
     def on_message_complete(self) -> None:
+        """Dispatch a complete request."""
         if self.parser is None or self.upgrade:
             return
         if self.phase == CLOSING and not self.discarding_body:
             return
-        exchange = self.incoming
-        if exchange is None:
+        request = self.incoming
+        if request is None:
             return
         self.incoming = self.send_watchdog = None
         if self.discarding_body:
@@ -195,44 +202,45 @@
                 self.transport.close()
             return
         self.phase = IDLE
-        if exchange.upload is not None:
-            self._end_upload(exchange, exchange.upload)
+        if request.upload is not None:
+            self._end_upload(request, request.upload)
             return
-        exchange.keep = self.parser.should_keep_alive()
-        exchange.old_http = self.parser.get_http_version() == "1.0"
+        request.keep_alive = self.parser.should_keep_alive()
+        request.is_http_1_0 = self.parser.get_http_version() == "1.0"
         if self.chunked:
-            exchange.head += b"Content-Length: %d\r\n" % self.received
+            request.head += b"Content-Length: %d\r\n" % self.received
         self.head_received = 0
         # A pipelined request's time runs from here, not from its turn.
-        exchange.came = self.queued_since or self.core.arrival(self.core.clock())
-        self.pipelined.append(exchange)
+        request.arrived_at = self.queued_since or self.core.arrival(self.core.clock())
+        self.pipelined.append(request)
         if len(self.pipelined) > MAX_PIPELINED:
             raise RejectError(400, "too many requests ahead of their answers")
 
     # --- Streamed body
 
-    def _begin_upload(self, exchange: Exchange) -> None:
+    def _begin_upload(self, request: RequestContext) -> None:
         """Stream a body of which more than HELD_MOST has come, once it is its request's turn."""
         transport = self.transport
         if transport is None or self.parser is None:
             return
-        if self.exchange is not None or self.pipelined:
+        if self.request is not None or self.pipelined:
             transport.pause_reading()  # `_dispatch_next` goes on
             return
-        if self.core.budget.flows > self.core.budget.most:
+        if self.core.budget.flows > self.core.budget.limit:
             self._reject(503, "no room for a long body")
             return
-        exchange.keep = self.parser.should_keep_alive()
-        exchange.old_http = self.parser.get_http_version() == "1.0"
+        request.keep_alive = self.parser.should_keep_alive()
+        request.is_http_1_0 = self.parser.get_http_version() == "1.0"
         if self.chunked:
-            exchange.head += b"Transfer-Encoding: chunked\r\n"
-        start, exchange.body = exchange.body, b""
-        self.core.budget.give_back(exchange.reserved)
-        exchange.reserved = 0
-        exchange.upload = Upload(self, start, self.chunked, self.core.budget)
+            request.head += b"Transfer-Encoding: chunked\r\n"
+        start = request.body
+        request.body = b""
+        self.core.budget.give_back(request.reserved)
+        request.reserved = 0
+        request.upload = Upload(self, start, self.chunked, self.core.budget)
         self.send_watchdog = ThroughputWatchdog(self.core.clock())
-        self.hold()
-        self._dispatch(exchange)
+        self.pause_reading()
+        self._dispatch(request)
 
     def _forward_upload(self, upload: Upload, size: int) -> None:
         """Forward what a read of `size` bytes brought of a streamed body."""
@@ -240,12 +248,12 @@
             self.send_watchdog.move(size, self.core.clock())
         upload.flush()
 
-    def _end_upload(self, exchange: Exchange, upload: Upload) -> None:
+    def _end_upload(self, request: RequestContext, upload: Upload) -> None:
         """Finish a streamed body; what this read brought of it goes out with its end."""
         if self.left():
             return  # forwarding the last byte would run the request for nobody
-        upload.whole = True
+        upload.complete = True
         self.head_received = 0
         upload.flush()
-        self.go_on()
-        self.core.body_whole(exchange)
+        self.resume_reading()
+        self.core.body_complete(request)
--- a/sailhitch/net/response_writer.py
+++ b/sailhitch/net/response_writer.py
@@ -5,9 +5,9 @@
 from typing import Final
 
 from ..core.budget import HELD_MOST
-from ..core.exchange import Exchange
 from ..core.interfaces import ResponseSource
-from ..core.terms import Answer
+from ..core.request_context import RequestContext
+from ..core.response import Response
 from ..core.throughput_watchdog import ThroughputWatchdog
 from ..front import Reason
 from .client_connection import BODY, CLOSING, IDLE, ClientConnection
@@ -39,59 +39,62 @@
 
     # --- Whole responses
 
-    def serve(self, exchange: Exchange, answer: Answer) -> None:
+    def serve(self, request: RequestContext, response: Response) -> None:
         """Send a host's whole response."""
-        status, fields, body = answer
-        self._write_response(exchange, status_line(status), forwarded_fields(fields), body)
+        status, fields, body = response
+        self._write_response(request, status_line(status), forwarded_fields(fields), body)
 
-    def refuse(self, exchange: Exchange, retry_after: int) -> None:
+    def refuse(self, request: RequestContext, retry_after: int) -> None:
         """Answer 503; `retry_after` is in microseconds, 0 leaves the field out."""
-        self._write_response(exchange, STATUS_LINES[503], retry_after_field(retry_after), b"")
+        self._write_response(request, STATUS_LINES[503], retry_after_field(retry_after), b"")
 
-    def fail(self, exchange: Exchange, late: bool) -> None:
+    def fail(self, request: RequestContext, late: bool) -> None:
         """Answer 504 (`late`) or 502; neither says whether the request took effect."""
-        self._write_response(exchange, STATUS_LINES[504 if late else 502], b"", b"")
+        self._write_response(request, STATUS_LINES[504 if late else 502], b"", b"")
 
     def _write_response(
-        self, exchange: Exchange, status: bytes, fields: bytes, body: bytes | bytearray
+        self, request: RequestContext, status: bytes, fields: bytes, body: bytes | bytearray
     ) -> None:
         """Send a whole response, then close or go on with the next request."""
         transport = self.transport
-        self.exchange = None
+        self.request = None
         if transport is None:
             return
-        early = exchange is self.incoming  # before the whole of its body came
-        close = early or self._must_close(exchange)
+        early = request is self.incoming  # before the whole of its body came
+        close = early or self._must_close(request)
         if not close and self.phase == IDLE and not self.pipelined:
             # Closing costs the client nothing here: the response says so, and no request crosses.
-            keeps = self.core.admission.keeps(self.slot, self.core.clock())
+            keeps = self.core.admission.is_retained(self.slot, self.core.clock())
             close = not (keeps or self._has_unread_bytes())
         parts = b"HTTP/1.1 %s\r\n%s%sContent-Length: %d\r\n\r\n" % (
-            status, fields, self._connection_field(exchange, close), len(body),
-        )  # fmt: skip
+            status,
+            fields,
+            self._connection_field(request, close),
+            len(body),
+        )
         if status[:3] in WITHOUT_LENGTH:
             parts = parts.replace(b"Content-Length: 0\r\n\r\n", b"\r\n")
-        transport.write(parts if exchange.bare else parts + body)
+        transport.write(parts if request.head_only else parts + body)
         self._account_unsent(transport.get_write_buffer_size())
         if early:
             self._discard_rest_of_body()
         else:
             self._finish_response(close)
 
-    def _must_close(self, exchange: Exchange) -> bool:
+    def _must_close(self, request: RequestContext) -> bool:
         """Return whether this request's response is the connection's last, whatever else holds.
 
-        Danger: at the gateway's end requests that have been read behind it are taken, and closing
+        At the gateway's end requests that have been read behind it are taken, and closing
         the connection would lose them.
         """
-        ends = self.core.hanging_up or self.listener.retired
-        return not exchange.keep or (ends and not self.pipelined)
+        ends = self.core.closing_clients or self.listener.retired
+        return not request.keep_alive or (ends and not self.pipelined)
 
-    def _connection_field(self, exchange: Exchange, close: bool) -> bytes:
+    def _connection_field(self, request: RequestContext, close: bool) -> bytes:
         """Return the `Connection` field of a response, empty where it goes without saying."""
         if close:
             return b"Connection: close\r\n"
-        return b"Connection: keep-alive\r\n" if exchange.old_http else b""
+        return b"Connection: keep-alive\r\n" if request.is_http_1_0 else b""
 
     def _finish_response(self, close: bool) -> None:
         """Close after a response, or go on with the next request."""
@@ -106,11 +109,11 @@
             self.core.loop.call_soon(self._dispatch_next)
         else:
             now = self.core.clock()
-            self.core.admission.answered(self.slot, now, self.unsent)
+            self.core.admission.on_response(self.slot, now, self.unsent)
             if self.phase != IDLE:
-                self.core.admission.reading(self.slot, now, self.phase == BODY)
-            elif self.core.passing is not None:
-                self.core.passing(self)
+                self.core.admission.on_reading(self.slot, now, self.phase == BODY)
+            elif self.core.pass_on_connection is not None:
+                self.core.pass_on_connection(self)
 
     def _discard_rest_of_body(self) -> None:
         """Read and drop the rest of a body that was answered early, then close.
@@ -119,33 +122,38 @@
         """
         self.discarding_body = True
         self._start_closing(Reason.ANSWERED)
-        self.go_on()
+        self.resume_reading()
 
     # --- Streamed responses
 
     def begin(
-        self, exchange: Exchange, answer: Answer, length: int | None, source: ResponseSource
+        self,
+        request: RequestContext,
+        response: Response,
+        length: int | None,
+        source: ResponseSource,
     ) -> None:
         """Send the head of a host's response whose body follows by `more`.
 
         `length` is that of the body; None if unknown.
         """
         transport = self.transport
-        self.exchange = exchange
+        self.request = request
         if transport is None:
             return
         self.response_source = source
-        status, fields, _ = answer
-        self.response_chunked = length is None and not exchange.old_http
+        status, fields, _ = response
+        self.response_chunked = length is None and not request.is_http_1_0
         if length is not None:
             framing = b"Content-Length: %d\r\n" % length
         elif self.response_chunked:
             framing = b"Transfer-Encoding: chunked\r\n"
         else:
             # Only the end of the connection marks the end of the response.
-            framing, exchange.keep = b"", False
-        exchange.keep = not self._must_close(exchange)
-        connection = self._connection_field(exchange, not exchange.keep)
+            framing = b""
+            request.keep_alive = False
+        request.keep_alive = not self._must_close(request)
+        connection = self._connection_field(request, not request.keep_alive)
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER)
         now = self.core.clock()
         self.read_watchdog = ThroughputWatchdog(now, MIN_READ_RATE, READ_GRACE, READ_STALL[0])
@@ -157,27 +165,29 @@
 
     def more(self, data: bytes) -> None:
         """Send more of the body; hold the host above `WRITE_HIGH_WATER` unsent bytes."""
-        transport, exchange = self.transport, self.exchange
-        if transport is None or exchange is None or exchange.bare:
+        transport = self.transport
+        request = self.request
+        if transport is None or request is None or request.head_only:
             return
         piece = chunk(data, False) if self.response_chunked else data
         transport.write(piece)
         size = transport.get_write_buffer_size()
         self._account_written(size, self.core.clock(), len(piece))
         if size > WRITE_HIGH_WATER and self.response_source is not None:
-            self.response_source.hold()
+            self.response_source.pause_reading()
 
     def end(self) -> None:
         """Finish a streamed response."""
-        transport, exchange = self.transport, self.exchange
-        self.exchange = self.response_source = self.read_watchdog = None
-        if transport is None or exchange is None:
+        transport = self.transport
+        request = self.request
+        self.request = self.response_source = self.read_watchdog = None
+        if transport is None or request is None:
             return
-        if self.response_chunked and not exchange.bare:
+        if self.response_chunked and not request.head_only:
             transport.write(chunk(b"", True))
         transport.set_write_buffer_limits(high=0)
         self._account_unsent(transport.get_write_buffer_size())
-        self._finish_response(not exchange.keep)
+        self._finish_response(not request.keep_alive)
 
     def cut(self) -> None:
         """Abort a streamed response: a reset shows in any framing that it is incomplete."""
@@ -189,19 +199,22 @@
         transport = self.transport
         if self.response_source is not None and transport is not None:
             self._account_written(transport.get_write_buffer_size(), self.core.clock())
-            self.response_source.go_on()
+            self.response_source.resume_reading()
         elif self.unsent:
             self._account_unsent(0)
-            self.core.admission.progress(self.slot, self.core.clock(), 0)
+            self.core.admission.on_write_progress(self.slot, self.core.clock(), 0)
 
     def _check_reader(self, size: int, now: int) -> None:
         """Abort the connection if its client doesn't read a streamed response."""
-        watchdog, admission = self.read_watchdog, self.core.admission
+        watchdog = self.read_watchdog
+        admission = self.core.admission
         assert watchdog is not None
         self._account_written(size, now)
-        watchdog.stall = READ_STALL[0] + int(admission.strain * (READ_STALL[1] - READ_STALL[0]))
+        watchdog.stall = READ_STALL[0] + int(
+            admission.pressure_factor * (READ_STALL[1] - READ_STALL[0])
+        )
         if size and watchdog.overdue(now) and self.transport is not None:
-            admission.closing(self.slot, now, Reason.UNREAD)
+            admission.on_closing(self.slot, now, Reason.UNREAD)
             self.abort()
 
     # --- Errors
@@ -217,9 +230,11 @@
             return
         if reason != Reason.ROOM:
             self.core.counters.bad_requests += 1
-            self.core.admission.offended(self.slot)
-        self.core.logger.often(f"reject {status}", f"client refused with {status}: {why[:100]}")
-        if self.exchange is not None and status == 503:
+            self.core.admission.record_violation(self.slot)
+        self.core.logger.write_limited(
+            f"reject {status}", f"client refused with {status}: {why[:100]}"
+        )
+        if self.request is not None and status == 503:
             status = 502  # the open request may have run; a 503 would say that it has not
         after = self.core.retry_after() if status == 503 else 0
         self._start_closing(reason)
--- a/sailhitch/net/responses.py
+++ b/sailhitch/net/responses.py
@@ -5,8 +5,8 @@
 from http import HTTPStatus
 from typing import Final
 
-from ..core.terms import Field
-from .http import HOP
+from ..core.response import HeaderField
+from .http import HOP_BY_HOP_FIELDS
 
 STATUS_LINES: Final = {
     400: b"400 Bad Request",
@@ -42,11 +42,12 @@
     `retry_after` is in microseconds; 0 leaves the field out.
     """
     return b"HTTP/1.1 %s\r\n%sContent-Length: 0\r\nConnection: close\r\n\r\n" % (
-        STATUS_LINES[status], retry_after_field(retry_after),
-    )  # fmt: skip
+        STATUS_LINES[status],
+        retry_after_field(retry_after),
+    )
 
 
-def forwarded_fields(fields: list[Field]) -> bytes:
+def forwarded_fields(fields: list[HeaderField]) -> bytes:
     """Return the fields of a host's response that are forwarded to the client, serialized.
 
     Hop-by-hop fields, those that `Connection` names and the host's own load report are left out.
@@ -59,6 +60,6 @@
         [
             name + b": " + value + b"\r\n"
             for low, name, value in fields
-            if low not in HOP and low not in named and not low.startswith(b"srv-")
+            if low not in HOP_BY_HOP_FIELDS and low not in named and not low.startswith(b"srv-")
         ]
     )
--- a/sailhitch/net/shape.py
+++ b/sailhitch/net/shape.py
@@ -19,7 +19,7 @@
 
 
 def shape_of(value: Any) -> Shape:
-    """The keys of a value and the kinds of what stands under them.
+    """Return the keys of a value and the kinds of what stands under them.
 
     A list of objects has one shape: the keys that all of them have.
     """
@@ -47,7 +47,7 @@
 
 
 def misfits(value: Any, shape: Shape, path: str = "") -> Iterator[str]:
-    """What of a shape a value lacks, a line each, by the path of the key."""
+    """Return what of a shape a value lacks, a line each, by the path of the key."""
     here = path or "the file"
     if isinstance(shape, Mapping):
         if not isinstance(value, Mapping):
@@ -70,7 +70,7 @@
 
 
 def bad_figures(settings: Any) -> Iterator[str]:
-    """What can't be among the figures of settings, a line each."""
+    """Return what can't be among the figures of settings, a line each."""
     if not isinstance(settings, Mapping):
         return
     limits = settings.get("limits")
--- a/sailhitch/net/system_errors.py
+++ b/sailhitch/net/system_errors.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Final, TypeVar
 
 if TYPE_CHECKING:
-    from ..core.core import Core
+    from ..core.core import GatewayCore
 
 # A process or system that has no more descriptors or buffers to give.
 OUT_OF_RESOURCES: Final = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
@@ -56,7 +56,7 @@
         self._lasting = lasting
         self._failures = self._since = 0
 
-    def failed(self, now: int, number: int) -> bool:
+    def on_failure(self, now: int, number: int) -> bool:
         """Record a failure with this errno at `now` (us); return whether the shortage lasts.
 
         EMFILE is this process's own limit, and lasts until it closes something. The others are
@@ -69,15 +69,15 @@
         self._failures += 1
         return self._failures >= LASTING_FAILURES and now - self._since >= self._lasting
 
-    def ended(self) -> None:
+    def on_success(self) -> None:
         """Record a success."""
         self._failures = 0
 
 
-def free_if_lasting(core: Core, shortage: Shortage, number: int) -> None:
+def free_if_lasting(core: GatewayCore, shortage: Shortage, number: int) -> None:
     """Record a failed call's errno; free descriptors where they are short and that lasts."""
-    if number in OUT_OF_RESOURCES and shortage.failed(core.clock(), number):
-        core.exhausted(own_limit=number == errno.EMFILE)
+    if number in OUT_OF_RESOURCES and shortage.on_failure(core.clock(), number):
+        core.on_descriptors_exhausted(own_limit=number == errno.EMFILE)
 
 
 async def retry_shortage(open_resource: Callable[[], Awaitable[T]]) -> T:
--- a/sailhitch/pages/compression.py
+++ b/sailhitch/pages/compression.py
@@ -10,12 +10,12 @@
 
 
 def compress(raw: bytes) -> bytes:
-    """The packed form of a page."""
+    """Return the packed form of a page."""
     return zlib.compress(raw, _LEVEL)
 
 
 def decompress(packed: bytes, most: int) -> bytes:
-    """The page that was packed so, of at most `most` bytes; raises PageError."""
+    """Return the page that was packed so, of at most `most` bytes; raises PageError."""
     if most < 0:
         raise ValueError(f"most {most}: at least 0")
     unpacker = zlib.decompressobj()
--- a/sailhitch/pages/difference.py
+++ b/sailhitch/pages/difference.py
@@ -14,7 +14,7 @@
 
 
 def difference(source: PageSource, old_root: str, new_root: str) -> Iterator[Change]:
-    """The entries that differ, in the order of their paths.
+    """Return the entries that differ, in the order of their paths.
 
     Raises PageError for a page that is wrong, KeyError for one that is not there.
     """
@@ -38,7 +38,7 @@
 
 
 def _same(old: Node, new: Node) -> bool:
-    """Whether two nodes are seen to be the same without reading a page."""
+    """Return whether two nodes are seen to be the same without reading a page."""
     if (old.count, old.size) != (new.count, new.size):
         return False
     old_digest = _known_digest(old)
@@ -46,7 +46,7 @@
 
 
 def _known_digest(node: Node) -> str | None:
-    """The digest of a node's page; a branch in memory may have come from another place."""
+    """Return the digest of a node's page; a branch in memory may have come from another place."""
     if isinstance(node, Subtree):
         return node.reference.digest
     if isinstance(node, Leaf):
@@ -58,7 +58,8 @@
     before = {entry.path: entry for entry in old.entries}
     after = {entry.path: entry for entry in new.entries}
     for path in sorted(before.keys() | after.keys()):
-        old_entry, new_entry = before.get(path), after.get(path)
+        old_entry = before.get(path)
+        new_entry = after.get(path)
         if old_entry and new_entry and old_entry.encoded == new_entry.encoded:
             continue
         key = (old_entry or new_entry or before[path]).key
--- a/sailhitch/pages/interface.py
+++ b/sailhitch/pages/interface.py
@@ -36,7 +36,7 @@
     """Where pages are read from."""
 
     def page(self, digest: str) -> bytes:
-        """The raw page with this digest; raises KeyError if it is not here."""
+        """Return the raw page with this digest; raises KeyError if it is not here."""
         ...
 
 
--- a/sailhitch/pages/nodes.py
+++ b/sailhitch/pages/nodes.py
@@ -23,10 +23,12 @@
 
     @property
     def count(self) -> int:
+        """The number of entries below."""
         return self.reference.count
 
     @property
     def size(self) -> int:
+        """The bytes of the entries below."""
         return self.reference.size
 
 
@@ -44,19 +46,19 @@
 
 
 def make_branch(prefix: str, children: Mapping[str, Node]) -> BranchNode:
-    """A branch node with its totals."""
+    """Return a branch node with its totals."""
     count = sum(child.count for child in children.values())
     size = sum(child.size for child in children.values())
     return BranchNode(prefix, children, count, size)
 
 
 def read_root(source: PageSource, root: str) -> Leaf | BranchNode:
-    """The root's node; raises PageError, and KeyError if the source does not have it."""
+    """Return the root's node; raises PageError, and KeyError if the source does not have it."""
     return _place(verified(source.page(root), root), "", root)
 
 
 def read_subtree(source: PageSource, subtree: Subtree) -> Leaf | BranchNode:
-    """The subtree's first node; raises PageError, and KeyError if the source does not have it."""
+    """Return the subtree's first node; raises PageError, and KeyError for a missing page."""
     digest = subtree.reference.digest
     node = _place(verified(source.page(digest), digest), subtree.place, digest)
     if (node.count, node.size) != (subtree.count, subtree.size):
@@ -81,7 +83,7 @@
 
 
 def _check_place(leaf: Leaf, place: str, digest: str) -> None:
-    """The entries are in order, so that all have the place's prefix if the ends have it."""
+    """Check a leaf's place; as entries are in order, all have its prefix if the ends have it."""
     for entry in (*leaf.entries[:1], *leaf.entries[-1:]):
         if not entry.path.startswith(place):
             raise PageError(f"page {digest}: entry {entry.key!r} does not belong at {place!r}")
--- a/sailhitch/pages/page.py
+++ b/sailhitch/pages/page.py
@@ -48,6 +48,7 @@
 
     @property
     def value(self) -> bytes:
+        """The encoded value."""
         return self.encoded[len(self.encoded) - _LENGTHS.unpack_from(self.encoded)[2] :]
 
 
@@ -59,10 +60,12 @@
 
     @property
     def count(self) -> int:
+        """The number of entries below."""
         return len(self.entries)
 
     @property
     def size(self) -> int:
+        """The bytes of the entries below."""
         return sum(len(entry.encoded) for entry in self.entries)
 
 
@@ -84,12 +87,12 @@
 
 
 def page_digest(raw: bytes) -> str:
-    """The name of a page: its SHA-256 in hexadecimal digits."""
+    """Return the name of a page: its SHA-256 in hexadecimal digits."""
     return sha256(raw).hexdigest()
 
 
 def make_entry(key: Key, value: bytes) -> Entry:
-    """The entry for a key and its value; raises ValueError if either is too long."""
+    """Return the entry for a key and its value; raises ValueError if either is too long."""
     group = _encode_name("group", key.group)
     name = _encode_name("name", key.name)
     encoded = b"".join((_LENGTHS.pack(len(group), len(name), len(value)), group, name, value))
@@ -119,12 +122,12 @@
 
 
 def encode_leaf(entries: Iterable[Entry]) -> bytes:
-    """The raw page of entries that are in the order of their paths."""
+    """Return the raw page of entries that are in the order of their paths."""
     return _LEAF + b"".join(entry.encoded for entry in entries)
 
 
 def encode_branch(branch: Branch) -> bytes:
-    """The raw page of a branch."""
+    """Return the raw page of a branch."""
     skip = branch.skip
     digits = sorted(branch.children)
     present = sum(1 << DIGITS.index(digit) for digit in digits)
@@ -136,7 +139,7 @@
 
 
 def decode(raw: bytes) -> Leaf | Branch:
-    """The page that is encoded so; raises PageError if none is."""
+    """Return the page that is encoded so; raises PageError if none is."""
     if len(raw) > MAX_PAGE_BYTES:
         raise PageError(f"page: {len(raw)} bytes, at most {MAX_PAGE_BYTES}")
     kind = raw[:1]
@@ -213,7 +216,7 @@
 
 
 def _check_totals(children: Mapping[str, Reference]) -> None:
-    """The totals must fit into the page of a branch above."""
+    """Check that the totals fit into the page of a branch above."""
     count = sum(child.count for child in children.values())
     if count > _MAX_COUNT:
         raise PageError(f"branch: {count} entries, at most {_MAX_COUNT}")
@@ -247,7 +250,7 @@
 
 
 def child_digests(raw: bytes) -> tuple[str, ...]:
-    """The digests of a branch's children, () for a leaf; raises PageError.
+    """Return the digests of a branch's children, () for a leaf; raises PageError.
 
     A leaf's entries are not looked at: `verify` does that.
     """
@@ -260,7 +263,7 @@
 
 
 def verified(raw: bytes, digest: str) -> Leaf | Branch:
-    """The page with this digest; raises PageError if it is malformed, too large or another."""
+    """Return the page with this digest; raises PageError if it is malformed or another."""
     page = decode(raw)
     actual = page_digest(raw)
     if actual != digest:
--- a/sailhitch/pages/paths.py
+++ b/sailhitch/pages/paths.py
@@ -36,12 +36,12 @@
 
 
 def unpack_digits(packed: bytes) -> str:
-    """The digits of all bytes, four for each."""
+    """Return the digits of all bytes, four for each."""
     return "".join([_BYTE_DIGITS[byte] for byte in packed])
 
 
 def common_prefix(first: str, second: str) -> str:
-    """The longest string that both begin with."""
+    """Return the longest string that both begin with."""
     for index, (left, right) in enumerate(zip(first, second, strict=False)):
         if left != right:
             return first[:index]
--- a/sailhitch/pages/tree.py
+++ b/sailhitch/pages/tree.py
@@ -37,7 +37,7 @@
 
 
 def build(entries: Mapping[Key, bytes], leaf_size: int = LEAF_SIZE) -> Tree:
-    """The tree of these entries, with all its pages."""
+    """Return the tree of these entries, with all its pages."""
     _check_leaf_size(leaf_size)
     ordered = sorted(make_entry(key, value) for key, value in entries.items())
     _check_distinct([(entry.path, entry.key) for entry in ordered])
@@ -52,7 +52,7 @@
     changes: Mapping[Key, bytes | None],
     leaf_size: int = LEAF_SIZE,
 ) -> Tree:
-    """The tree after these changes (None deletes), with the pages that it does not share.
+    """Return the tree after these changes (None deletes), with the pages that it does not share.
 
     The leaf size must be the one that the tree was built with. Raises ValueError for a key or a
     value that is too long, PageError for a page that is wrong, KeyError for one that is not there.
@@ -88,7 +88,7 @@
 
 
 def _fits(node: Node, leaf_size: int) -> bool:
-    """Whether a node's entries are one leaf."""
+    """Return whether a node's entries are one leaf."""
     return node.count <= 1 or node.size <= leaf_size
 
 
@@ -98,7 +98,7 @@
 
 
 def _shape(entries: Sequence[Entry], leaf_size: int) -> Leaf | BranchNode:
-    """The canonical node of entries in the order of their paths; nests as deep as a path."""
+    """Return the canonical node of entries in the order of their paths; nests as deep as a path."""
     leaf = Leaf(tuple(entries))
     if _fits(leaf, leaf_size):
         return leaf
@@ -133,7 +133,7 @@
         return node
 
     def edit(self, node: Node, edits: Sequence[_Edit]) -> Node:
-        """The canonical node after these edits, which are in the order of their paths."""
+        """Return the canonical node after these edits, which are in the order of their paths."""
         if not edits:
             return node
         loaded = self._load(node)
@@ -158,7 +158,7 @@
         return self._canonical(branch.prefix, dict(sorted(children.items())))
 
     def _canonical(self, prefix: str, children: Mapping[str, Node]) -> Node:
-        """The node of these children, which are canonical themselves."""
+        """Return the node of these children, which are canonical themselves."""
         if len(children) == 1:
             (child,) = children.values()
             # A leaf's page is the same in any place; a branch's holds the digits from its place.
@@ -169,14 +169,14 @@
         return branch
 
     def _entries_of(self, children: Iterable[Node]) -> Iterator[Entry]:
-        """The entries of children that fit into one leaf, and so are leaves each."""
+        """Return the entries of children that fit into one leaf, and so are leaves each."""
         for child in children:
             leaf = self._load(child)
             assert isinstance(leaf, Leaf)
             yield from leaf.entries
 
     def _add_beside(self, node: Node, edits: Sequence[_Edit]) -> Node:
-        """The node with entries added whose paths may leave its prefix."""
+        """Return the node with entries added whose paths may leave its prefix."""
         if not edits:
             return node
         loaded = self._load(node)
--- a/sailhitch/policy/gateway.py
+++ b/sailhitch/policy/gateway.py
@@ -1,286 +1,289 @@
-"""The events of one gateway instance, and what holds the decisions on them together."""
+"""The decision module of one gateway: its events, and the parts that decide on them."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Sequence
 
-from ..interface import (
-    BUSY,
-    BY_HAND,
-    CONNECT_FAILED,
-    EXPIRED,
-    FAILED,
-    MOOT,
+from ..policy_interface import (
     NEVER_RAN,
-    NO_ROUTE,
-    OK,
-    RESTORED,
-    TIMEOUT,
-    WITHHELD,
-    Listed,
+    AttemptOutcome,
+    Endpoint,
+    LoadReport,
     Port,
-    Report,
+    WatchEventKind,
 )
-from ..settings import KEYED, SAFE, Settings
-from .backlog import HEDGE_QUEUE, Backlog, Retries, overtaken
-from .cold import COIN_SPENT
+from ..settings import Idempotency, Settings
+from .backlog import HEDGE_QUEUE, Backlog, Retries
+from .counters import new_counters
+from .endpoint_table import EndpointTable
 from .health import Health
-from .overload import RUSH, Overload
+from .overload import POST_STALL_WINDOW, Overload
 from .request import Request
-from .roster import Roster
+from .retry import is_out_of_time, retry_cost, why_not_retried
 from .score import Scores
-from .server import Server, queue_of
+from .server import Server, shows_full_queue
+from .slow_start import DRAW_SPENT
+from .watch import WatchSchedule
 
-PATIENCE = 1.5  # an attempt ends at this multiple of its answer's useful time
-SOME_QUEUE = 0.5  # from this reported queue on a server that turns away is full
-WATCH_SPREAD = 0.35  # first subscription is spread over this share of rules.ask_within
-WATCH_BACKOFF = 500_000  # first wait after a failed call, doubling with jitter
-WATCH_BACKOFF_MAX = 4_000_000
-
-# Refusals and failures by their reason (the first eight), and what else is counted for the log.
-FIGURES = (
-    "shed", "spent", "unplaced", "expired", "timed_out", "capped", "may_have_run", "retired",
-    "retries", "hedges", "cuts", "rests", "shuns", "cold",
-)  # fmt: skip
-DRAIN_TIMER, WATCH_TIMER, HEDGE_TIMER = 1, 2, 3
+DRAIN_TIMER = 1
+WATCH_TIMER = 2
+HEDGE_TIMER = 3
 
 
 class Gateway:
     """The decisions of one gateway instance."""
 
     def __init__(self, port: Port, settings: Settings, seed: int) -> None:
-        self.port, self.settings = port, settings
+        self.port = port
+        self.settings = settings
         self.random = random.Random(seed)
-        # For whoever looks for a cause, and for no decision.
-        self.figures = dict.fromkeys(FIGURES, 0)
-        self.live: dict[int, Request] = {}
-        self.roster = Roster(settings, self.random)
+        self.counters = new_counters()
+        self.open_requests: dict[int, Request] = {}
+        self.endpoint_table = EndpointTable(settings, self.random)
         self.scores = Scores(settings)
-        self.overload = Overload(settings, self.roster, self.random, self.figures)
-        self.health = Health(self.roster, self.scores, self.overload, self.random, self.figures)
-        self.backlog, self.retries = Backlog(self.live), Retries(self.live)
-        self.retired = self.watching = False
-        self.watch_wait = WATCH_BACKOFF
+        self.overload = Overload(settings, self.endpoint_table, self.random, self.counters)
+        self.health = Health(
+            self.endpoint_table, self.scores, self.overload, self.random, self.counters
+        )
+        self.backlog = Backlog(self.open_requests)
+        self.retries = Retries(self.open_requests)
+        self.watch = WatchSchedule(self.random)
+        self.retired = False
 
     # --- Events
 
     def start(self, now: int) -> None:
-        """The instance begins, empty; its last list follows as `members`."""
-        self.overload.t_start = now
-        if self.settings.me < 0:
+        """Start with no endpoints; the list as last known follows by `on_watch_event`."""
+        self.overload.started_at = now
+        if self.settings.gateway_index < 0:
             self.port.log("no number among the gateways is told: all servers are in reach")
 
-    def stalled(self, now: int) -> None:
-        """This gateway itself stood still until now: what was out meanwhile, and what had come
-        and is read at once after it, says nothing of the fleet, however late it is.
+    def on_stall(self, now: int) -> None:
+        """Note that this process was stalled until now.
 
-        Danger: without this one pause of its own makes a gateway shed for seconds.
+        Responses that were outstanding, and requests that are read right after the stall, say
+        nothing of the fleet however late they are. Otherwise one stall would make a gateway shed
+        load for seconds.
         """
-        self.overload.t_rush = now + RUSH
+        self.overload.post_stall_until = now + POST_STALL_WINDOW
 
     def reconfigure(self, now: int, settings: Settings) -> None:
-        """New settings for a running instance, which keeps what it knows.
+        """Use new settings and keep what was learned.
 
-        Requests taken go on under their class as it was.
+        Open requests keep their class as it was.
         """
         self.settings = settings
         self.overload.adopt(now, settings)
         self.scores.adopt(settings)
-        self.roster.adopt(settings)
-        places = {cls: i for i, cls in reversed(list(enumerate(settings.classes)))}
-        for request in self.live.values():
-            request.at = places.get(request.cls, len(settings.classes))
-        self.roster.regroup(now)
-
-    def share(self, part: float) -> None:
-        """Another process of this gateway serves beside this one; this part of what comes is here.
-
-        Rates and arrivals are this process's own, so they change with its part of what comes.
-        Danger: a limit that was the gateway's, cut to what half of its clients brought, would be
-        halved twice. Cold servers need nothing here: what they get is a share of what comes, and
-        the parts add up.
+        self.endpoint_table.adopt(settings)
+        class_index = {cls: i for i, cls in reversed(list(enumerate(settings.classes)))}
+        for request in self.open_requests.values():
+            request.class_index = class_index.get(request.request_class, len(settings.classes))
+        self.endpoint_table.regroup(now)
+
+    def set_share(self, part: float) -> None:
+        """Set the share of the gateway's clients that come to this process.
+
+        Rates and arrivals are measured by process, so they change with the share: a limit of the
+        whole gateway that is cut to what half of its clients bring would be halved twice. Slow
+        start needs nothing here, as it gives servers shares of what comes, and these add up.
         """
         change = self.overload.share(part)
-        for server in self.roster.servers.values() if change != 1.0 else ():
+        for server in self.endpoint_table.servers.values() if change != 1.0 else ():
             server.rate.scale(change)
 
     def retire(self, now: int) -> None:
-        """No server will come any more: what is held is given up at once, and nothing is held."""
+        """Finish all held requests and hold none from now on: the pool has been removed."""
         self.retired = True
         for request in self.backlog.empty():
             self._finish(now, request, "retired")
 
-    def members(self, now: int, mode: str, entries: Sequence[Listed], since: int = 0) -> None:
-        """Discovery's news. A failed call or broken subscription is asked anew, later each time.
+    def on_watch_event(
+        self, now: int, mode: WatchEventKind, entries: Sequence[Endpoint], since: int = 0
+    ) -> None:
+        """Take in an event of the endpoint list; after a failure watch again, with backoff.
 
-        `since` is when the list was last known to hold as it was before; 0: not known.
+        Up to `since` the list surely held as it was before; 0 if that is not known.
         """
-        if mode == FAILED:
-            self.watching = False
-            wait = int(self.watch_wait * (0.5 + self.random.random()))
-            self.watch_wait = min(self.watch_wait * 2, WATCH_BACKOFF_MAX)
-            self.port.set_timer(WATCH_TIMER, now + wait)
+        if mode == WatchEventKind.FAILED:
+            self.port.set_timer(WATCH_TIMER, now + self.watch.on_failed())
             return
-        if mode == RESTORED:
-            if self.settings.must_ask:
-                # Danger: all gateways start together and discovery's capacity is fixed.
-                spread = self.settings.rules.ask_within * WATCH_SPREAD
-                self.port.set_timer(WATCH_TIMER, now + int(self.random.random() * spread))
-        elif mode != BY_HAND:
-            self.watching = True
-            self.watch_wait = WATCH_BACKOFF
-        self.roster.news(now, mode, entries, since)
+        if mode == WatchEventKind.RESTORED:
+            if self.settings.needs_watch:
+                delay = self.watch.initial_delay(self.settings.rules.watch_within)
+                self.port.set_timer(WATCH_TIMER, now + delay)
+        elif mode != WatchEventKind.MAINTENANCE:
+            self.watch.on_event()
+        self.endpoint_table.on_watch_event(now, mode, entries, since)
         self._drain(now)
 
     def request(
-        self, now: int, req: int, cls: int, deadline: int, work: int, key: int | None,
-        tenant: int, repeat: bool = False, filling: bool = False,
-    ) -> None:  # fmt: skip
-        """A client's request arrives; `work` is 0 where no hint came.
-
-        `filling` is for one whose body still comes: `whole` tells of its last byte. Until then a
-        server that it goes to has nothing to do for it.
+        self,
+        now: int,
+        req: int,
+        cls: int,
+        deadline: int,
+        work: int,
+        key: int | None,
+        tenant: int,
+        repeat: bool = False,
+        uploading: bool = False,
+    ) -> None:
+        """Handle a client's request; `work` is 0 if it has no hint of its work.
+
+        `uploading`: its body is incomplete, and a server has no work before `body_complete`.
         """
         kind = self.settings.classes[cls]
         request = Request(now, req, kind, deadline, work, key)
-        request.at, request.filling = cls, filling
-        self.live[req] = request
+        request.class_index = cls
+        request.is_uploading = uploading
+        self.open_requests[req] = request
         self.retries.earn()
-        self.roster.reach.width.arrived(now)
+        self.endpoint_table.reach.width.on_request(now)
         if self.overload.sheds(now, kind, tenant, repeat):
             self._finish(now, request, "shed")
             return
-        # A request is held only while it can still be served in time; late worth extends that.
-        useful = kind.aim + int(kind.aim_stretch * work)
-        if kind.late_worth > 0:
-            useful = max(useful, kind.deadline)
-        request.hold_until = min(deadline, now + useful - int(self.overload.usual(request)))
-        # An answer that is worth nothing any more is not waited for: it holds a server up.
-        request.useless = now + int(PATIENCE * useful) if now + PATIENCE * useful < deadline else 0
-        request.coin = self.random.random()
+        request.limit_wait(now, deadline, int(self.overload.usual(request)))
+        request.selection_draw = self.random.random()
         self._place_or_hold(now, request)
 
     def outcome(
-        self, now: int, req: int, attempt: int, status: str, closed: bool, latency: int,
-        name: str, report: Report | None, fair: bool = True,
-    ) -> None:  # fmt: skip
-        """An attempt ended: learn from it, then go on with its request if that is still owed.
-
-        `fair`: the outcome says something of the server, and not of this gateway alone.
+        self,
+        now: int,
+        req: int,
+        attempt: int,
+        status: AttemptOutcome,
+        closed: bool,
+        latency: int,
+        name: str,
+        report: LoadReport | None,
+        fair: bool = True,
+    ) -> None:
+        """Learn from an attempt that has ended, and retry its request or finish it.
+
+        `fair`: the outcome says something of the server, not of this gateway alone.
         """
-        server = self.roster.servers.get(name)
-        request = self.live.get(req)
-        streamed, sent, failing = request is not None and request.judged, None, False
+        server = self.endpoint_table.servers.get(name)
+        request = self.open_requests.get(req)
+        streamed = request is not None and request.judged
+        sent = None
+        failing = False
         if server is not None:
-            sent, failing = server.landed(req, attempt), server.failures > 0
-            if fair and not (streamed and status == OK):
+            sent = server.on_outcome(req, attempt)
+            failing = server.ejections > 0
+            if fair and not (streamed and status == AttemptOutcome.OK):
                 self.health.learn(now, server, status, latency, report, sent)
         if request is not None:
-            request.out -= 1
+            request.open_attempts -= 1
             if closed:
                 if not streamed:
                     self.overload.judge(now, request, latency)
-                del self.live[req]
+                del self.open_requests[req]
             elif not request.streaming:
                 if status not in NEVER_RAN:
-                    request.ran(server, sent)
-                elif status == BUSY and (report is None or (queue_of(report) or 0.0) >= SOME_QUEUE):
-                    # A full server is the earliest sign that the fleet is full: answers that come
-                    # late follow only when its queue has been worked off. Danger: one that turns
-                    # away with no queue is no such sign, as while it drains and the list does not
-                    # say so yet. In a release each gateway meets many of those.
+                    request.on_may_have_run(server, sent)
+                elif status == AttemptOutcome.BUSY and shows_full_queue(report):
+                    # A full server is the earliest sign that the fleet is full: late responses
+                    # follow only when its queue has been worked off.
                     self.overload.late(now, request, True)
                 self._continue(now, request, status, failing)
         if self.backlog.held:
             self._drain(now)
 
-    def whole(self, now: int, req: int, deadline: int) -> None:
-        """The last byte of a request's body has come: its time and its attempt's count from here.
+    def body_complete(self, now: int, req: int, deadline: int) -> None:
+        """Count the time of a request and its attempt from now on, as its body is complete.
 
-        Danger: counted from the first byte, a slow client makes its server look slow and silent.
+        Counted from the first byte, a slow client makes its server look slow and silent.
         """
-        request = self.live.get(req)
-        if request is None or not request.filling:
+        request = self.open_requests.get(req)
+        if request is None or not request.is_uploading:
             return
-        request.filling = False
-        moved, request.arrived = now - request.arrived, now
+        request.is_uploading = False
+        moved = now - request.arrived_at
+        request.arrived_at = now
         request.hold_until = min(deadline, request.hold_until + moved)
-        request.useless += moved if request.useless else 0
-        for server in self.roster.servers.values() if request.out else ():
-            server.whole(now, req)
-
-    def first(
-        self, now: int, req: int, attempt: int, name: str, latency: int,
-        report: Report | None = None, learn: bool = False,
-    ) -> None:  # fmt: skip
-        """A stream has begun: the client has its answer, and no deadline runs any more.
+        request.worthless_at += moved if request.worthless_at else 0
+        for server in self.endpoint_table.servers.values() if request.open_attempts else ():
+            server.on_body_complete(now, req)
+
+    def response_started(
+        self,
+        now: int,
+        req: int,
+        attempt: int,
+        name: str,
+        latency: int,
+        report: LoadReport | None = None,
+        learn: bool = False,
+    ) -> None:
+        """Note that a response is streamed to the client; no deadline applies any more.
 
         With `learn`, what there is to learn of its server is learned now, and its end is none: how
         long a client takes to read says nothing of the server.
         """
-        request = self.live.get(req)
+        request = self.open_requests.get(req)
         if request is not None:
             request.streaming = True
         if not learn:
             return
-        server = self.roster.servers.get(name)
+        server = self.endpoint_table.servers.get(name)
         if server is not None:
-            sent = server.landed(req, attempt)
-            self.health.learn(now, server, OK, latency, report, sent)
+            sent = server.on_outcome(req, attempt)
+            self.health.learn(now, server, AttemptOutcome.OK, latency, report, sent)
         if request is not None:
             request.judged = True
             self.overload.judge(now, request, latency)
 
-    def gone(self, now: int, req: int) -> None:
-        """The client left; nothing is owed any more."""
-        self.live.pop(req, None)
+    def client_disconnected(self, now: int, req: int) -> None:
+        """Drop a request whose client has left."""
+        self.open_requests.pop(req, None)
 
     def timer(self, now: int, token: int) -> None:
-        """A timer that was asked for has come."""
+        """Handle a timer that was set through the port."""
         if token == DRAIN_TIMER:
             if now >= self.backlog.look_at:
                 self.backlog.look_at = 0
                 self._drain(now)
         elif token == HEDGE_TIMER:
             self._hedge(now)
-        elif token == WATCH_TIMER and not self.watching:
+        elif token == WATCH_TIMER and not self.watch.is_open:
             self.port.watch(True)
 
-    # --- Placing a request: the paper's algorithm 1
+    # --- Choosing a server: the paper's algorithm 1
 
     def _finish(self, now: int, request: Request, why: str) -> None:
-        """The one final answer this gateway gives itself; a refusal only where it is true."""
-        self.figures[why] += 1
-        del self.live[request.id]
-        if why != "may_have_run" and request.harmless():
+        """Respond without a server; reject only if the request can't have had an effect."""
+        self.counters[why] += 1
+        del self.open_requests[request.id]
+        if why != "may_have_run" and request.may_be_rejected():
             self.port.refuse(request.id, self.overload.comeback(now))
         else:
             self.port.fail(request.id)
 
     def _place(self, now: int, request: Request) -> bool:
-        """Send to the server with the lowest psi that has a token; False where none has."""
-        server = self.roster.cold_pick(now, request)
+        """Send to the server with the lowest psi that has a token; return False if none has."""
+        server = self.endpoint_table.cold_pick(now, request)
         if server is None:
-            server = self.scores.best(now, request, self.roster.candidates(now, request))
+            server = self.scores.best(now, request, self.endpoint_table.candidates(now, request))
         if server is None:
             return False
-        server.spend()
+        server.take_token()
         self._send(now, request, server)
         return True
 
     def _send(self, now: int, request: Request, server: Server) -> None:
-        server.sent(now, request.id, request.attempts, request.filling)
+        server.on_sent(now, request.id, request.attempts, request.is_uploading)
         request.attempts += 1
-        request.out += 1
-        request.coin = self.random.random()  # a further attempt draws anew
-        if self.roster.cold.is_cold(now, server):
-            self.figures["cold"] += 1
+        request.open_attempts += 1
+        request.selection_draw = self.random.random()  # for the next attempt
+        if self.endpoint_table.slow_start.is_cold(now, server):
+            self.counters["cold"] += 1
         else:
-            self.roster.cold.count(server)
-        self.port.send(request.id, server.name, max(0, request.useless - now))
-        if request.attempts == 1 and request.cls.effect == SAFE:
-            request.first = server
+            self.endpoint_table.slow_start.count(server)
+        self.port.send(request.id, server.name, max(0, request.worthless_at - now))
+        if request.attempts == 1 and request.request_class.idempotency == Idempotency.SAFE:
+            request.first_server = server
             usual = self.overload.usual(request)
             if usual and self.settings.limits.may_duplicate:
                 self.retries.expect(now, request, usual)
@@ -292,7 +295,7 @@
         if now >= request.hold_until or self.retired:
             self._finish(now, request, "unplaced")
             return
-        request.coin = COIN_SPENT
+        request.selection_draw = DRAW_SPENT
         self.backlog.hold(request)
         self._arm_drain(now)
 
@@ -301,7 +304,7 @@
         self._arm_drain(now)
 
     def _expired(self, now: int, request: Request) -> None:
-        """No token came in time."""
+        """Finish a held request for which no token came in time."""
         self.overload.late(now, request, True)
         self._finish(now, request, "expired")
 
@@ -309,31 +312,24 @@
         if at := self.backlog.next_look(now):
             self.port.set_timer(DRAIN_TIMER, at)
 
-    # --- Further attempts
+    # --- Retries and hedged requests
 
-    def _continue(self, now: int, request: Request, status: str, failing: bool) -> None:
-        """An attempt failed and the request is still owed an answer."""
-        if request.out:
+    def _continue(self, now: int, request: Request, status: AttemptOutcome, failing: bool) -> None:
+        """Retry a request whose attempt has failed, or finish it."""
+        if request.open_attempts:
             return
-        if status in (TIMEOUT, EXPIRED, MOOT) or now >= request.hold_until:
-            # Danger: what a failing server still holds is no sign that the fleet is overloaded.
+        if is_out_of_time(now, request, status):
+            # What a failing server still has is no sign that the fleet is overloaded.
             if not failing:
-                self.overload.late(now, request, status != MOOT)
+                self.overload.late(now, request, status != AttemptOutcome.NOT_SENT)
             self._finish(now, request, "timed_out")
             return
-        if request.may_have_run and request.cls.effect not in (SAFE, KEYED):
-            self._finish(now, request, "may_have_run")
-            return
-        if request.attempts >= self.settings.limits.max_attempts:
-            self._finish(now, request, "capped")
+        refusal = why_not_retried(request, status, self.settings.limits, self.retries.budget)
+        if refusal is not None:
+            self._finish(now, request, refusal)
             return
-        free = status in (CONNECT_FAILED, NO_ROUTE, WITHHELD)  # no server has had any of it
-        if self.retries.bank < 1.0 and not free:
-            # Danger: at overload every refusal by a server would come back as another attempt.
-            self._finish(now, request, "spent")
-            return
-        self.figures["retries"] += 1
-        self.retries.bank -= 0.0 if free else 1.0
+        self.counters["retries"] += 1
+        self.retries.budget -= retry_cost(status)
         self._place_or_hold(now, request)
 
     def _arm_hedge(self) -> None:
@@ -345,18 +341,16 @@
 
         Guards against connections or paths that take a request and say nothing: its client need
         not wait for the time-out. The sign is a server that has answered what was sent well after.
-        Danger: where all are slow, as at overload, second copies make all slower. So none goes
+        Where all are slow, as at overload, second copies make all slower. So none goes
         out while the fleet's rate is limited, servers report queues or requests are held, and each
         is paid for like a retry.
         """
         calm = not self.backlog.held and not self.overload.limited()
-        calm = calm and self.scores.q < HEDGE_QUEUE
+        calm = calm and self.scores.typical_queue < HEDGE_QUEUE
         for request in self.retries.silent(now):
-            if not calm or self.retries.bank < 1.0:
-                continue
-            if not overtaken(request, self.overload.usual(request)):
+            if not (calm and self.retries.may_hedge(request, self.overload.usual(request))):
                 continue
             if now < request.hold_until and self._place(now, request):
-                self.figures["hedges"] += 1
-                self.retries.bank -= 1.0
+                self.counters["hedges"] += 1
+                self.retries.budget -= 1.0
         self._arm_hedge()
--- a/sailhitch/policy/request.py
+++ b/sailhitch/policy/request.py
@@ -1,69 +1,124 @@
-"""A request that is owed an answer, and the rule on effects, in one place."""
+"""A request that has no final response yet, and the rule against repeated effects."""
 
 from __future__ import annotations
 
-from ..settings import KEYED, SAFE, Limits, RequestClass
+from typing import Final
+
+from ..settings import Idempotency, Limits, RequestClass
 from .server import Server
 
-WINDOW_MARGIN = 0.9  # a key's repeat window is used up to this share, for what the way takes
+ATTEMPT_TIME_MULTIPLE: Final = 1.5  # of the time in which its response is useful
+# The part of the idempotency window that is used, as requests take a while to arrive.
+WINDOW_MARGIN: Final = 0.9
 
 
 class Request:
-    """A request this gateway owes an answer for."""
+    """A request that this gateway has to respond to."""
 
     __slots__ = (
-        "arrived", "at", "attempts", "cls", "coin", "filling", "first", "group",
-        "group_until", "hold_until", "id", "judged", "key", "may_have_run", "out", "rank",
-        "streaming", "useless", "work",
-    )  # fmt: skip
+        "arrived_at",
+        "attempts",
+        "class_index",
+        "first_server",
+        "hold_until",
+        "id",
+        "is_uploading",
+        "judged",
+        "key",
+        "may_have_run",
+        "open_attempts",
+        "ran_on",
+        "rank",
+        "repeatable_until",
+        "request_class",
+        "selection_draw",
+        "streaming",
+        "work",
+        "worthless_at",
+    )
 
     def __init__(
         self, now: int, req: int, cls: RequestClass, deadline: int, work: int, key: int | None
     ) -> None:
-        self.id, self.cls, self.work, self.key = req, cls, work, key
-        self.at = 0  # the class's place in the settings
-        self.first: Server | None = None  # where its first attempt went
-        self.arrived = now
-        self.attempts = self.out = 0
-        self.may_have_run = self.streaming = self.filling = self.judged = False
-        self.group: Server | None = None  # whose group may get a repeat of a keyed request
-        self.group_until = 0
+        self.id = req
+        self.request_class = cls
+        self.work = work
+        self.key = key
+        self.class_index = 0  # the class's place in the settings
+        self.first_server: Server | None = None  # where its first attempt went
+        self.arrived_at = now
+        self.attempts = 0
+        self.open_attempts = 0
+        self.may_have_run = False
+        self.streaming = False  # the response has begun
+        self.is_uploading = False  # its body is incomplete
+        self.judged = False  # its latency has been learned from
+        # The server that may have run it first, in whose scope a keyed request may be repeated.
+        self.ran_on: Server | None = None
+        self.repeatable_until = 0  # by the idempotency window
         self.hold_until = deadline
-        self.useless = 0  # when its answer is worth nothing, if before its client gives up
-        self.coin = 0.0
-        self.rank = 0  # how many candidates, the first ones, may have met its key
+        self.worthless_at = 0  # if before the client's deadline; else 0
+        self.selection_draw = 0.0
+        self.rank = 0  # the first candidates, which have seen its key before
+
+    def limit_wait(self, now: int, deadline: int, usual_latency: int) -> None:
+        """Set until when the request may be held, and from when its answer is worth nothing.
+
+        It is held only while it can still be served in time; a weight for late answers extends
+        that. A worthless answer is not waited for, as it keeps a server busy. Times in
+        microseconds.
+        """
+        request_class = self.request_class
+        useful = request_class.latency_objective
+        useful += int(request_class.objective_per_work * self.work)
+        if request_class.late_weight > 0:
+            useful = max(useful, request_class.deadline)
+        self.hold_until = min(deadline, now + useful - usual_latency)
+        if now + ATTEMPT_TIME_MULTIPLE * useful < deadline:
+            self.worthless_at = now + int(ATTEMPT_TIME_MULTIPLE * useful)
 
     def may_send(self, now: int, server: Server, limits: Limits) -> bool:
-        """Whether an attempt at this server keeps the rule on effects."""
-        if self.attempts >= limits.max_attempts or (self.out and not limits.may_duplicate):
+        """Return whether an attempt at this server keeps the rule against repeated effects."""
+        if self.attempts >= limits.max_attempts or (
+            self.open_attempts and not limits.may_duplicate
+        ):
             return False
-        if not (self.may_have_run or self.out) or self.cls.effect == SAFE:
+        if (
+            not (self.may_have_run or self.open_attempts)
+            or self.request_class.idempotency == Idempotency.SAFE
+        ):
             return True
-        first, group = self.group, self.cls.group
-        if self.cls.effect != KEYED or first is None or now >= self.group_until:
+        is_keyed = self.request_class.idempotency == Idempotency.KEYED
+        first = self.ran_on
+        if not is_keyed or first is None or now >= self.repeatable_until:
             return False
+        scope = self.request_class.idempotency_scope
         return (
-            group == "all"
-            or (group == "zone" and server.zone == first.zone)
-            or (group == "cell" and server.cell == first.cell)
+            scope == "all"
+            or (scope == "zone" and server.zone == first.zone)
+            or (scope == "cell" and server.cell == first.cell)
         )
 
-    def ran(self, server: Server | None, sent: int | None) -> None:
-        """Note that an attempt may have run: from its sending the window of its group counts."""
+    def on_may_have_run(self, server: Server | None, sent: int | None) -> None:
+        """Record that an attempt may have run: the idempotency window counts from its sending."""
         if not self.may_have_run:
             self.may_have_run = True
             if server is not None and sent is not None:
-                self.group = server
-                self.group_until = sent + int(self.cls.window * WINDOW_MARGIN)
+                self.ran_on = server
+                window = self.request_class.idempotency_window
+                self.repeatable_until = sent + int(window * WINDOW_MARGIN)
 
-    def harmless(self) -> bool:
-        """Whether a refusal is true.
+    def may_be_rejected(self) -> bool:
+        """Return whether a rejection would be true.
 
-        Danger: it tells the client that a repeat is harmless, which it is not where an attempt may
-        have run, unless the class is safe or every server drops the repeat.
+        It tells the client that a repeat is harmless. Where an attempt may have run, that holds
+        only if the class is safe, or if every server recognizes the repeat by its key.
         """
         return (
-            (not self.may_have_run and not self.out)
-            or self.cls.effect == SAFE
-            or (self.cls.effect == KEYED and self.cls.group == "all")
+            (not self.may_have_run and not self.open_attempts)
+            or self.request_class.idempotency == Idempotency.SAFE
+            or (
+                self.request_class.idempotency == Idempotency.KEYED
+                and self.request_class.idempotency_scope == "all"
+            )
         )
--- a/sailhitch/policy/server.py
+++ b/sailhitch/policy/server.py
@@ -1,109 +1,150 @@
-"""What a server is known by at this gateway."""
+"""What this gateway knows of a server."""
 
 from __future__ import annotations
 
 import hashlib
 import math
+from typing import Final
 
-from ..interface import Listed, Report
+from ..policy_interface import Endpoint, LoadReport
 from .rate import CubicRate
 
-BURST = 2.0  # tokens a server can save up: a trickle is not smooth
+FULL_QUEUE: Final = 0.5  # from this reported queue on a server that rejects requests is full
+BURST: Final = 2.0  # tokens that are saved up, as few requests do not come evenly
 
 
-def queue_of(report: Report) -> float | None:
-    """The requests that wait at a server, or that it holds where it tells no more."""
-    return report.inflight if report.queue is None else report.queue
+def queue_of(report: LoadReport) -> float | None:
+    """Return the requests that wait at a server, or all it has if it reports no queue."""
+    return report.in_flight if report.queue_length is None else report.queue_length
+
+
+def shows_full_queue(report: LoadReport | None) -> bool:
+    """Return whether a server that rejected a request did so because its queue is full.
+
+    One that rejects with no queue may be draining, which the endpoint list does not say yet.
+    """
+    return report is None or (queue_of(report) or 0.0) >= FULL_QUEUE
 
 
 class Server:
     """One server as this gateway sees it."""
 
     __slots__ = (
-        "boot", "cell", "errors", "failures", "filling", "flight", "hash", "kind", "leave",
-        "listed_boot", "name",
-        "outstanding", "q_bar", "r_bar", "rate", "rest_until", "seen", "sent_seen", "service",
-        "shun_until", "state", "strikes", "t_token", "tokens", "weight", "zone",
-    )  # fmt: skip
-
-    def __init__(self, listed: Listed, leave: float, now: int, clock_ahead: int = 0) -> None:
-        self.name = listed.server
-        self.leave = leave  # it gets its slice alone until this multiple of the cold time
-        digest = hashlib.blake2b(listed.server.encode(), digest_size=8).digest()
+        "answered_at",
+        "answered_sent_at",
+        "cell",
+        "consecutive_failures",
+        "cooldown_until",
+        "ejected_until",
+        "ejections",
+        "error_ewma",
+        "hash",
+        "in_flight",
+        "kind",
+        "listed_started_at",
+        "name",
+        "outstanding",
+        "queue_ewma",
+        "rate",
+        "response_time_ewma",
+        "service_time_ewma",
+        "slow_start_multiple",
+        "started_at",
+        "state",
+        "tokens",
+        "tokens_at",
+        "uploading",
+        "weight",
+        "zone",
+    )
+
+    def __init__(
+        self, endpoint: Endpoint, slow_start_multiple: float, now: int, clock_ahead: int = 0
+    ) -> None:
+        self.name = endpoint.name
+        # Its slow start ends at this multiple of the slow start time.
+        self.slow_start_multiple = slow_start_multiple
+        digest = hashlib.blake2b(endpoint.name.encode(), digest_size=8).digest()
         self.hash = int.from_bytes(digest, "big")
-        self.flight: dict[tuple[int, int], int] = {}  # attempts out, oldest first, when sent
-        self.filling: set[tuple[int, int]] = set()  # attempts whose body still comes
+        self.in_flight: dict[tuple[int, int], int] = {}  # when each attempt was sent, oldest first
+        self.uploading: set[tuple[int, int]] = set()  # attempts whose request body is incomplete
         self.outstanding = 0
-        self.listed_boot = -1
-        self.list_as(listed, now, clock_ahead)
-        self.forget()
-
-    def list_as(self, listed: Listed, now: int, clock_ahead: int = 0) -> None:
-        """Take what the list says of it from now on.
+        self.listed_started_at = -1
+        self.update(endpoint, now, clock_ahead)
+        self.reset()
 
-        `clock_ahead` is by how much this machine's wall clock is ahead of hosts', as far as known.
+    def update(self, endpoint: Endpoint, now: int, clock_ahead: int = 0) -> None:
+        """Take over what the endpoint list says.
 
-        Danger: its time of start is another machine's wall clock. Where that seems to lie ahead,
-        as after a step of either clock, it counts as started now, once: it would be cold until
-        then, for an hour perhaps.
+        `clock_ahead` is by how many microseconds this machine's wall clock is ahead of servers', as
+        far as known. A start that lies ahead, as after a step of either clock, counts as now:
+        otherwise the server would be warming up until then, for an hour perhaps.
         """
-        if listed.boot != self.listed_boot:
-            self.listed_boot = listed.boot
-            self.boot = min(listed.boot + clock_ahead, now) if listed.boot else 0
-        self.weight = listed.weight if listed.weight > 0 else 1.0
-        self.zone, self.cell, self.kind = listed.zone, listed.cell, listed.kind
-        self.state = listed.state
-
-    def forget(self) -> None:
-        """Start from nothing known: scored by the fleet's typical figures until it answers."""
-        self.q_bar = self.service = self.r_bar = 0.0
-        self.seen = 0  # when it last answered; 0 is never
+        if endpoint.started_at != self.listed_started_at:
+            self.listed_started_at = endpoint.started_at
+            self.started_at = (
+                min(endpoint.started_at + clock_ahead, now) if endpoint.started_at else 0
+            )
+        self.weight = endpoint.weight if endpoint.weight > 0 else 1.0
+        self.zone = endpoint.zone
+        self.cell = endpoint.cell
+        self.kind = endpoint.kind
+        self.state = endpoint.state
+
+    def reset(self) -> None:
+        """Forget everything learned: the fleet's typical values count until it answers."""
+        self.queue_ewma = self.service_time_ewma = self.response_time_ewma = 0.0
+        self.answered_at = 0  # when it last answered; 0 is never
         self.rate = CubicRate()
-        self.tokens, self.t_token = BURST, 0
-        self.failures, self.shun_until, self.rest_until = 0, 0, 0
-        self.sent_seen = 0  # when the latest of its answered attempts was sent
-        self.strikes, self.errors = 0, 0.0  # failures in a row, and their share of late
-
-    def able(self, now: int) -> bool:
-        """Whether it takes requests, as far as is known: neither full nor failing."""
-        return not self.failures and self.rest_until <= now
-
-    def alive(self) -> bool:
-        """Whether it does anything, as far as is known."""
-        return not self.failures
-
-    def sent(self, now: int, req: int, attempt: int, filling: bool) -> None:
-        """An attempt goes out; one whose body still comes is nothing to do for the server yet."""
-        if filling:
-            self.filling.add((req, attempt))
+        self.tokens = BURST
+        self.tokens_at = 0
+        self.ejections = 0
+        self.ejected_until = 0
+        self.cooldown_until = 0
+        self.answered_sent_at = 0  # when the latest of its answered attempts was sent
+        self.consecutive_failures = 0
+        self.error_ewma = 0.0  # share of attempts that failed
+
+    def is_available(self, now: int) -> bool:
+        """Return whether it is neither full nor failing, as far as known."""
+        return not self.ejections and self.cooldown_until <= now
+
+    def is_responding(self) -> bool:
+        """Return whether it is not failing, as far as known."""
+        return not self.ejections
+
+    def on_sent(self, now: int, req: int, attempt: int, uploading: bool) -> None:
+        """Record an attempt; while its request body is incomplete the server has no work."""
+        if uploading:
+            self.uploading.add((req, attempt))
         else:
-            self.flight[req, attempt] = now
+            self.in_flight[req, attempt] = now
             self.outstanding += 1
 
-    def whole(self, now: int, req: int) -> None:
-        """The last byte of a request's body has gone out."""
-        for key in [k for k in self.filling if k[0] == req]:
-            self.filling.discard(key)
-            self.sent(now, *key, filling=False)
+    def on_body_complete(self, now: int, req: int) -> None:
+        """Record that the last byte of a request's body was sent."""
+        for key in [k for k in self.uploading if k[0] == req]:
+            self.uploading.discard(key)
+            self.on_sent(now, *key, uploading=False)
 
-    def landed(self, req: int, attempt: int) -> int | None:
-        """An attempt is out no more; when it was sent, where the server had all of it."""
-        self.filling.discard((req, attempt))
-        sent = self.flight.pop((req, attempt), None)
+    def on_outcome(self, req: int, attempt: int) -> int | None:
+        """Remove an attempt; return when it was sent, or None if its body was incomplete."""
+        self.uploading.discard((req, attempt))
+        sent = self.in_flight.pop((req, attempt), None)
         if sent is not None:
             self.outstanding -= 1
         return sent
 
-    def token(self, now: int) -> bool:
-        """Grow the rate along the cubic, accrue tokens since the last look, tell if one is left."""
-        if self.rate.srate == math.inf:
+    def refill_tokens(self, now: int) -> bool:
+        """Grow the rate along the cubic and accrue tokens; return whether one is left."""
+        if self.rate.send_rate == math.inf:
             return True
-        srate = self.rate.grow(now)
-        self.tokens = min(BURST, self.tokens + srate * (now - self.t_token) * 1e-6)
-        self.t_token = now
+        send_rate = self.rate.grow(now)
+        self.tokens = min(BURST, self.tokens + send_rate * (now - self.tokens_at) * 1e-6)
+        self.tokens_at = now
         return self.tokens >= 1.0
 
-    def spend(self) -> None:
-        """A request takes its token, where there is a limit."""
-        if self.rate.srate != math.inf:
+    def take_token(self) -> None:
+        """Take a token, if the rate is limited."""
+        if self.rate.send_rate != math.inf:
             self.tokens -= 1.0
--- a/sailhitch/policy_interface.py
+++ b/sailhitch/policy_interface.py
@@ -1,111 +1,145 @@
-"""What the decision module is told and what it can do: types and vocabulary, no decisions.
+"""Types at the boundary of the decision module. No decisions are made here.
 
 Events come in as method calls of `Gateway`, each with its time in microseconds. Actions leave
-through a `Port`, which the embedding gateway provides.
+through a `Port`, which the embedding gateway implements.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple, Protocol
+from enum import StrEnum
+from typing import Final, NamedTuple, Protocol
 
-# A server's state in the list.
-READY, DRAINING, GONE = "ready", "draining", "gone"
-# What kind of news a list event is.
-CHANGES, FULL, RESTORED, FAILED = "changes", "full", "restored", "failed"
-BY_HAND = "by_hand"  # changes that staff have made; they say nothing of the watch on the list
-# How an attempt ended.
-OK, ERROR, BUSY, TIMEOUT = "ok", "error", "full", "timeout"
-CONNECT_FAILED, RESET, CANCELLED, MOOT = "connect_failed", "reset", "cancelled", "moot"
-WITHHELD = "withheld"  # nothing of it was written: news since the choice forbids this server
-NO_ROUTE = "no_route"  # nothing of it was written: this machine found no port or way, for a moment
-EXPIRED = "expired"  # its time was over before anything of it was written: no connection came up
-# These prove that the attempt did not run.
-NEVER_RAN = frozenset((BUSY, CONNECT_FAILED, EXPIRED, MOOT, NO_ROUTE, WITHHELD))
 
+class EndpointState(StrEnum):
+    """An endpoint's state in the endpoint list."""
 
-class Listed(NamedTuple):
-    """A server as discovery lists it. `boot` is 0 where it started long ago."""
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
 
-    server: str
+
+class WatchEventKind(StrEnum):
+    """What an event of the endpoint list contains."""
+
+    CHANGES = "changes"
+    SNAPSHOT = "full"
+    RESTORED = "restored"  # the list as last known, at the start
+    FAILED = "failed"  # the call failed, or the watch broke
+    MAINTENANCE = "by_hand"  # an operator's change; says nothing of the watch
+
+
+class AttemptOutcome(StrEnum):
+    """How an attempt ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    BUSY = "full"
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    NOT_SENT = "moot"  # nothing was written, as nobody waits for it any more
+    WITHHELD = "withheld"  # nothing was written: an update since the choice forbids this endpoint
+    NO_ROUTE = "no_route"  # nothing was written: this machine had no port or route for a moment
+    EXPIRED = "expired"  # the deadline passed before a connection was established
+
+
+# Outcomes which prove that the attempt had no effect.
+NEVER_RAN: Final = frozenset(
+    (
+        AttemptOutcome.BUSY,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.EXPIRED,
+        AttemptOutcome.NOT_SENT,
+        AttemptOutcome.NO_ROUTE,
+        AttemptOutcome.WITHHELD,
+    )
+)
+
+
+class Endpoint(NamedTuple):
+    """A server as discovery lists it. `started_at` is 0 if it started long ago."""
+
+    name: str
     weight: float
     zone: int
     cell: int
-    state: str
-    boot: int
+    state: EndpointState
+    started_at: int
     kind: int
 
 
-class Report(NamedTuple):
-    """A server's load report; None where it does not say. `service` is in microseconds."""
+class LoadReport(NamedTuple):
+    """A server's load report; None for what it does not report. `service_time` in microseconds."""
 
-    queue: float | None  # requests waiting
-    service: float | None
-    inflight: float | None = None  # requests it holds, waiting or in work
+    queue_length: float | None  # requests waiting
+    service_time: float | None
+    in_flight: float | None = None  # requests at the server, waiting or being served
 
 
-class KnownRate(NamedTuple):
-    """A cubic rate as `CubicRate` holds it: answers and sends a second, times in microseconds."""
+class RateSnapshot(NamedTuple):
+    """The state of a `CubicRate`: responses and requests per second, times in microseconds."""
 
-    rrate: float
-    t_rate: int
-    begun: int
-    srate: float
-    r0: float
-    t_cut: int
+    receive_rate: float
+    receive_rate_at: int
+    first_received_at: int
+    send_rate: float
+    rate_at_cut: float
+    cut_at: int
     saddle: float
 
 
-class KnownServer(NamedTuple):
-    """What a gateway has learned of a server, in the life that began at `boot`."""
+class ServerSnapshot(NamedTuple):
+    """What a gateway has learned of the server instance that started at `started_at`."""
 
-    boot: int
+    started_at: int
     kind: int
-    q_bar: float
-    service: float
-    r_bar: float
-    seen: int
-    sent_seen: int
-    failures: int
-    shun_until: int
-    strikes: int
-    errors: float
-    rate: KnownRate
-
-
-class Knowledge(NamedTuple):
-    """What a gateway has learned, for the process that goes on in its place."""
-
-    servers: dict[str, KnownServer]
-    classes: dict[str, tuple[float, float]]  # usual latency and work, by name
-    arrivals: list[tuple[float, float, float]]  # worth, repeats and first tries in the window
-    t_arrival: int
-    t_start: int
+    queue_ewma: float
+    service_time_ewma: float
+    response_time_ewma: float
+    answered_at: int
+    answered_sent_at: int
+    ejections: int
+    ejected_until: int
+    consecutive_failures: int
+    error_ewma: float
+    rate: RateSnapshot
+
+
+class PolicySnapshot(NamedTuple):
+    """What a gateway has learned, for the process that takes over from it."""
+
+    servers: dict[str, ServerSnapshot]
+    classes: dict[str, tuple[float, float]]  # usual latency and work, by class name
+    arrivals: list[tuple[float, float, float]]  # weight, retries and first attempts
+    arrivals_at: int
+    started_at: int
     typical: tuple[float, float, float]  # queue, latency, service
-    typical_service: list[float]  # by kind
-    fleet: KnownRate
+    typical_service_times: list[float]  # by kind
+    fleet: RateSnapshot
     late_sum: float
 
 
 class Port(Protocol):
-    """What a gateway can do to the world."""
+    """The actions of a gateway."""
 
     def send(self, req: int, server: str, timeout: int) -> None:
-        """Start an attempt; `timeout` 0 is until the client gives up."""
+        """Start an attempt. `timeout` 0 means until the client's deadline."""
 
     def refuse(self, req: int, retry_after: int) -> None:
-        """Answer 'turned away': a repeat is harmless. `retry_after` 0 gives no advice."""
+        """Reject the request: it had no effect. `retry_after` 0 gives no advice."""
 
     def fail(self, req: int) -> None:
-        """Answer 'failed', which promises nothing about the effect."""
+        """Fail the request, which promises nothing about its effect."""
 
     def cancel(self, req: int, attempt: int) -> None:
-        """Stop waiting for one attempt; its outcome still comes."""
+        """Stop waiting for one attempt; its outcome is still reported."""
 
     def set_timer(self, token: int, at: int) -> None:
-        """Ask for a `timer` event with this token at that time. Timers cannot be taken back."""
+        """Request a `timer` event with this token at that time. Timers can't be cancelled."""
 
     def watch(self, on: bool) -> None:
-        """Subscribe to changes of the list, or stop; a `members` event answers."""
+        """Subscribe to changes of the endpoint list, or stop; an `on_watch_event` follows."""
 
     def log(self, text: str) -> None:
-        """Add a line to the log."""
+        """Write a line to the log."""
--- a/sailhitch/reach/__init__.py
+++ b/sailhitch/reach/__init__.py
@@ -1,8 +1,8 @@
-"""Which of the servers a gateway uses, where the tier is so large that each sees little of each.
+"""Deterministic subsetting: which servers a gateway of a large tier uses.
 
-Sans-IO, and no part of the decision module, which goes on deciding which server a request goes to
-among those that are in reach. `ring` says which servers, `width` how many, `reach` keeps to both
-while servers come, go and fail. docs/design/reach.md weighs the ways and has the bounds.
+Sans-IO, and no part of the decision module, which chooses among the servers in reach. `ring` says
+which servers, `width` how many, and `reach` keeps to both while servers come, go and fail.
+docs/design/reach.md has the bounds and the alternatives.
 """
 
 from .reach import Reach
--- a/sailhitch/reach/reach.py
+++ b/sailhitch/reach/reach.py
@@ -1,4 +1,4 @@
-"""The servers in a gateway's reach, while they come, go, fill up and fail."""
+"""The subset of the servers that a gateway uses, while servers come, go, fill up and fail."""
 
 from __future__ import annotations
 
@@ -6,88 +6,92 @@
 from collections.abc import Iterable
 from typing import Final, Generic, TypeVar
 
-from .ring import Ranked, Ring, lot
+from .ring import Ranked, Ring, ring_position
 from .width import Width
 
 T = TypeVar("T", bound=Ranked)
 
-OWN: Final = 11 / 16  # share of the reach that is in the own zone; the rest can take what spills
+OWN_ZONE_SHARE: Final = (
+    11 / 16
+)  # share of the reach that is in the own zone; the rest can take what spills
 REVIEW: Final = 500_000  # us after which the reach is looked at again, if nothing happens
 
 
 class Reach(Generic[T]):
-    """A part of the servers that this gateway uses, and whom it takes in place of those that fail.
+    """The subset of the servers that this gateway uses, and replacements for those that fail.
 
-    What is dead is replaced one for one, however much of it there is. What is full is replaced
-    up to the reach's own width: where all are full, more of them would only mean more connections.
+    Dead servers are replaced one for one, however many there are. Full ones are replaced up to the
+    subset's own width: where all are full, more of them would only mean more connections.
     """
 
     def __init__(self, me: int, gateways: int) -> None:
         self.adopt(me, gateways)
-        self.servers: tuple[list[T], list[T]] = ([], [])  # all: own zone, then others, as they came
-        self.turned: tuple[list[T], list[T]] | None = None  # as this gateway goes through them
-        self.near = self.servers  # those in reach
+        self.servers: tuple[list[T], list[T]] = ([], [])  # own zone, others; in order of arrival
+        self.rotated: tuple[list[T], list[T]] | None = None  # in this gateway's order
+        self.subset = self.servers  # the subset
         self.review_at = 0
-        self.changes = self.wide = 0  # servers that came into reach; times it was wider than wanted
+        self.changes = 0  # servers that were added to the subset
+        self.wide = 0  # reviews after which it was wider than wanted
 
     def adopt(self, me: int, gateways: int) -> None:
-        """The gateway's number among so many; -1 where it has none, which gives the full view."""
-        self.whole = not 0 <= me < gateways
+        """Set this gateway's index; with -1 it has none, and uses all servers."""
+        self.uses_all = not 0 <= me < gateways
         self.width = Width(gateways)
-        place = lot(max(0, me))
+        place = ring_position(max(0, me))
         self.rings = Ring(place), Ring(place)
 
     def sort(self, own: list[T], others: list[T]) -> None:
-        """The servers that there are from now on, in any order."""
-        self.servers, self.turned = (own, others), None
+        """Set the servers, in any order."""
+        self.servers = (own, others)
+        self.rotated = None
         self.review_at = 0
 
-    def look(self, now: int) -> tuple[list[T], list[T]]:
-        """Those in reach now."""
+    def select(self, now: int) -> tuple[list[T], list[T]]:
+        """Return the subset: servers of the own zone, and others."""
         if now >= self.review_at:
             self._review(now)
-        return self.near
+        return self.subset
 
     def size(self) -> int:
-        """How many are in reach."""
-        return len(self.near[0]) + len(self.near[1])
+        """Return the size of the subset."""
+        return len(self.subset[0]) + len(self.subset[1])
 
-    def told(self) -> dict[str, int]:
-        """Figures for the log: how many are in reach, and what has changed so far."""
+    def summary(self) -> dict[str, int]:
+        """Return counters for the log."""
         return {"reach": self.size(), "wide": self.wide, "changes": self.changes}
 
     def _review(self, now: int) -> None:
         self.review_at = now + REVIEW
         size = sum(map(len, self.servers))
-        wanted = size if self.whole else self.width.wanted(size)
+        wanted = size if self.uses_all else self.width.wanted(size)
         if wanted >= size:
-            # As they came: with a view of all of them nothing is to differ from having no reach.
-            self.near = self.turned or self.servers
+            # In order of arrival, so that using all servers equals having no subset.
+            self.subset = self.rotated or self.servers
             return
-        if self.turned is None:
+        if self.rotated is None:
             own, others = self.servers
-            self.turned = self.rings[0].turn(own), self.rings[1].turn(others)
-        own, others = self.turned
-        quota = max(math.ceil(wanted * OWN), wanted - len(others))
+            self.rotated = self.rings[0].rotate(own), self.rings[1].rotate(others)
+        own, others = self.rotated
+        quota = max(math.ceil(wanted * OWN_ZONE_SHARE), wanted - len(others))
         mine, found = self._take(own, quota, now)
         rest, more = self._take(others, wanted - found, now)
         if found + more < wanted and found >= quota:
             mine, _ = self._take(own, wanted - more, now)
-        before = {server.hash for part in self.near for server in part}
+        before = {server.hash for part in self.subset for server in part}
         self.changes += sum(server.hash not in before for server in [*mine, *rest])
-        self.near = mine, rest
+        self.subset = mine, rest
         self.wide += self.size() > wanted
 
     def _take(self, servers: Iterable[T], quota: int, now: int) -> tuple[list[T], int]:
-        """The first of them, so many that `quota` are able; and how many are."""
+        """Return the first servers, so many that `quota` are available, and how many are."""
         taken: list[T] = []
         able = full = 0
         for server in servers:
             if able >= quota or full >= quota:
                 break
             taken.append(server)
-            if server.able(now):
+            if server.is_available(now):
                 able += 1
-            elif server.alive():
+            elif server.is_responding():
                 full += 1
         return taken, able
--- a/sailhitch/reach/ring.py
+++ b/sailhitch/reach/ring.py
@@ -1,4 +1,4 @@
-"""A gateway's place among servers that all gateways have in one order."""
+"""A gateway's position on the ring of all servers."""
 
 from __future__ import annotations
 
@@ -17,27 +17,28 @@
 
 
 class Ranked(Protocol):
-    """A server, as reach knows it."""
+    """A server, as far as subsetting needs it."""
 
     @property
     def hash(self) -> int:
-        """The same at every gateway; the order of all servers."""
+        """Order servers; the same at every gateway."""
 
-    def able(self, now: int) -> bool:
-        """Whether it takes requests now, as far as is known."""
+    def is_available(self, now: int) -> bool:
+        """Return whether it takes requests now, as far as known."""
 
-    def alive(self) -> bool:
-        """Whether it does anything at all, as far as is known."""
+    def is_responding(self) -> bool:
+        """Return whether it is not failing, as far as known."""
 
 
-def lot(number: int) -> float:
-    """A gateway's place on a ring of length 1: the radical inverse (van der Corput) of its number.
+def ring_position(number: int) -> float:
+    """Return a gateway's position on a ring of length 1: the radical inverse of its number.
 
-    Whatever the number of gateways, and for any run of numbers with a step that is prime to 7, so
-    many of them fall into an arc as its length says, give or take a few: no gateway needs to know
-    how many there are, or which are of its zone.
+    For any number of gateways, and any run of numbers with a step that is prime to 7, an arc has as
+    many of them as its length says, give or take a few (van der Corput). So no gateway needs to
+    know how many there are, or which are in its zone.
     """
-    place, digit = 0.0, 1.0 / BASE
+    place = 0.0
+    digit = 1.0 / BASE
     while number > 0:
         number, rest = divmod(number, BASE)
         place += rest * digit
@@ -49,19 +50,19 @@
 
 
 class Ring:
-    """Where a gateway begins among servers in the order of their hashes.
+    """The server with which a gateway's subset begins, in the order of hashes.
 
-    By rank, not by hash: gaps between hashes differ by much, and each server is to be in the reach
-    of as many gateways as any other. By rank alone one server that goes moves half of all gateways
-    on by one. So a gateway keeps to the server that it began with until that has drifted.
+    It is chosen by rank and not by hash: gaps between hashes differ much, and each server is to be
+    in as many subsets as any other. By rank alone the removal of one server would shift half of all
+    gateways by one, so a gateway keeps its first server until that has drifted too far.
     """
 
     def __init__(self, place: float) -> None:
         self.place = place
         self.anchor: int | None = None  # hash of the server that it begins with
 
-    def turn(self, servers: Sequence[T]) -> list[T]:
-        """All of them in the order of their hashes, from this gateway's first on."""
+    def rotate(self, servers: Sequence[T]) -> list[T]:
+        """Return all servers in the order of their hashes, from this gateway's first on."""
         size = len(servers)
         if not size:
             return []
--- a/sailhitch/settings.py
+++ b/sailhitch/settings.py
@@ -9,11 +9,16 @@
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
-SAFE = "pure"
-KEYED = "token"
-UNSAFE = "side_effect"
+
+class Idempotency(StrEnum):
+    """Whether a request may be repeated. The values are those of the settings."""
+
+    SAFE = "pure"  # a repeat has no effect
+    KEYED = "token"  # idempotent with an idempotency key, within a window and a scope
+    UNSAFE = "side_effect"  # never repeated
 
 
 class SettingsError(ValueError):
@@ -22,18 +27,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What is known beforehand of one class of requests."""
+    """The settings of one class of requests. Times are microseconds."""
 
     name: str
-    worth: float
-    aim: int
+    priority_weight: float
+    latency_objective: int
     deadline: int
-    late_worth: float
-    effect: str
-    group: str
-    window: int
+    late_weight: float
+    idempotency: Idempotency
+    idempotency_scope: str
+    idempotency_window: int
     stream: bool
-    aim_stretch: float
+    objective_per_work: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """What the deployment allows the gateway to do."""
 
     max_attempts: int
     may_duplicate: bool
@@ -59,32 +64,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules that no run may break."""
+    """The parameters of the service's rules."""
 
     answer_slack: int
     drain_grace: int
-    cold_share: float
-    cold_time: int
-    fall_multiple: float
-    fall_time: int
-    ask_within: int
+    slow_start_share: float
+    slow_start_time: int
+    overload_multiple: float
+    overload_time: int
+    watch_within: int
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """All settings of an instance."""
 
-    me: int  # its number among the gateways, from 0; -1 where none of theirs was told
-    gateways: int
+    gateway_index: int  # from 0; -1 if the settings don't say
+    gateway_count: int
     zone: int
     tick: int
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
-    over_share_worth: float
+    over_quota_weight: float
     limits: Limits
     rules: Rules
-    must_ask: bool
-    warm_keys: bool
+    needs_watch: bool
+    has_key_affinity: bool
     cross_zone_price: float
 
 
@@ -141,20 +146,22 @@
 
 
 def _request_class(node: _Node) -> RequestClass:
-    effect = node.text("repeat", among=(SAFE, KEYED, UNSAFE))
-    keyed = effect == KEYED
+    idempotency = Idempotency(node.text("repeat", among=tuple(Idempotency)))
+    keyed = idempotency is Idempotency.KEYED
     return RequestClass(
         name=node.text("name", ""),
-        worth=node.number("importance"),
-        aim=node.integer("goalTime"),
+        priority_weight=node.number("importance"),
+        latency_objective=node.integer("goalTime"),
         deadline=node.integer("deadline"),
-        late_worth=node.number("lateValue", 0.0),
-        effect=effect,
-        # Only a keyed class has a group and a window; without them no repeat could be judged.
-        group=node.text("dedupScope", None if keyed else "all", ("all", "zone", "cell")),
-        window=node.integer("memorySpan", None if keyed else 0),
+        late_weight=node.number("lateValue", 0.0),
+        idempotency=idempotency,
+        # Only a keyed class has a scope and a window; without them no repeat could be judged.
+        idempotency_scope=node.text(
+            "dedupScope", None if keyed else "all", ("all", "zone", "cell")
+        ),
+        idempotency_window=node.integer("memorySpan", None if keyed else 0),
         stream=node.flag("stream", False),
-        aim_stretch=node.number("aimStretch", 0.0),
+        objective_per_work=node.number("aimStretch", 0.0),
     )
 
 
@@ -169,15 +176,15 @@
     gateways = root.integer("balancers")
     me = root.integer("me", gateways)
     return Settings(
-        me=me if me < gateways else -1,
-        gateways=max(1, gateways),
+        gateway_index=me if me < gateways else -1,
+        gateway_count=max(1, gateways),
         zone=root.integer("zone"),
         tick=root.integer("granularity"),
         classes=classes,
         tenants=tuple(
             Tenant(n.text("name", ""), n.number("quotaPerS")) for n in root.nodes("tenants", [])
         ),
-        over_share_worth=root.number("overShareWorth", 1.0),
+        over_quota_weight=root.number("overShareWorth", 1.0),
         limits=Limits(
             max_attempts=limits.integer("attemptsCap"),
             may_duplicate=limits.flag("mayDuplicate", False),
@@ -190,13 +197,13 @@
         rules=Rules(
             answer_slack=rules.integer("graceToAnswer"),
             drain_grace=rules.integer("drainGrace"),
-            cold_share=rules.number("coldShare"),
-            cold_time=rules.integer("cold"),
-            fall_multiple=rules.number("fallMultiple"),
-            fall_time=rules.integer("overloadFor"),
-            ask_within=rules.integer("askWithin", 0),
+            slow_start_share=rules.number("coldShare"),
+            slow_start_time=rules.integer("cold"),
+            overload_multiple=rules.number("fallMultiple"),
+            overload_time=rules.integer("overloadFor"),
+            watch_within=rules.integer("askWithin", 0),
         ),
-        must_ask=root.text("discovery", among=("automatic", "subscribe")) == "subscribe",
-        warm_keys=root.node("familyInfo", {}).flag("warmKeys", False),
+        needs_watch=root.text("discovery", among=("automatic", "subscribe")) == "subscribe",
+        has_key_affinity=root.node("familyInfo", {}).flag("warmKeys", False),
         cross_zone_price=root.node("costs", {}).number("crossZone", 0.0),
     )
--- a/sailhitch/tier/activation.py
+++ b/sailhitch/tier/activation.py
@@ -26,7 +26,7 @@
         self._ready_at = None
 
     def is_due(self, now: int, is_proposer: bool) -> bool:
-        """Whether to propose now, given that nobody has to be waited for."""
+        """Return whether to propose now, given that nobody has to be waited for."""
         if self._ready_at is None:
             delay = 0 if is_proposer else self._rng.randrange(FIRST_AFTER, LAST_AFTER)
             self._ready_at = now + delay
--- a/sailhitch/tier/block_fetcher.py
+++ b/sailhitch/tier/block_fetcher.py
@@ -18,7 +18,7 @@
 
 
 def digest_of(content: bytes) -> str:
-    """The digest of a whole content."""
+    """Return the digest of a whole content."""
     return hashlib.sha256(content).hexdigest()
 
 
--- a/sailhitch/tier/config.py
+++ b/sailhitch/tier/config.py
@@ -2,22 +2,43 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
+from typing import Final
 
 from ..pages import Tree
 
 
 class MemberStatus(Enum):
-    """Whether a member may act on what contradicts, and why not."""
+    """Whether a member may act under rules that may contradict others', and if not, why.
 
-    IN = "in"
-    HEARING = "has not heard of a majority of voters since it started"
-    OUTSIDE = "is not in the roster"
-    BEHIND = "does not act by the version that holds yet"
-    LAPSED = "has not heard of a majority of voters within its lease"
-    TWIN = "another process goes by its name"
-    BROKEN = "the register has gone back; see the log"
+    A value is the status's name in `tier status`.
+    """
+
+    ACTIVE = "in"
+    READING_REGISTER = "hearing"
+    NOT_A_MEMBER = "outside"
+    BEHIND = "behind"
+    LEASE_EXPIRED = "lapsed"
+    DUPLICATE_NAME = "twin"
+    REGISTER_REGRESSED = "broken"
+
+    @property
+    def reason(self) -> str:
+        """The status in words, for operators."""
+        return _STATUS_REASONS[self]
+
+
+_STATUS_REASONS: Final[Mapping[MemberStatus, str]] = {
+    MemberStatus.ACTIVE: "in",
+    MemberStatus.READING_REGISTER: "has not heard of a majority of voters since it started",
+    MemberStatus.NOT_A_MEMBER: "is not in the roster",
+    MemberStatus.BEHIND: "does not act by the version that holds yet",
+    MemberStatus.LEASE_EXPIRED: "has not heard of a majority of voters within its lease",
+    MemberStatus.DUPLICATE_NAME: "another process goes by its name",
+    MemberStatus.REGISTER_REGRESSED: "the register has gone back; see the log",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,9 +53,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Founding:
+class BootstrapVersion:
     """The first version of a tier, for a member that is the first to find the tier empty."""
 
     content: bytes | Tree
     serial: int
-    who: str
+    operator: str
--- a/sailhitch/tier/content_exchange.py
+++ b/sailhitch/tier/content_exchange.py
@@ -9,9 +9,9 @@
 
 from ..pages import Tree
 from .content_store import Arrival, ContentStore
-from .messages import Block, BlockRequest, Head, PageReply, PageRequest
+from .messages import Block, BlockRequest, PageReply, PageRequest, RegisterState
 from .outbox import Outbox
-from .voter import digests
+from .voter import content_digests
 
 AWAITED: Final = 24  # contents that are kept for votes under way, whether they come to anything
 APPLYING: Final = 16  # heads whose contents stay until the process has applied a later one
@@ -26,7 +26,8 @@
 
     def __init__(self, kept: Mapping[str, bytes], outbox: Outbox, rng: random.Random, now: int):
         self.store = ContentStore.from_disk(kept, now)
-        self._outbox, self._rng = outbox, rng
+        self._outbox = outbox
+        self._rng = rng
         self._offered: Counter[str] = Counter()  # digests that a job needs
         self._awaited: deque[str] = deque(maxlen=AWAITED)  # digests that a vote waits for
         # Digests by turn of what the process applies, and of what it was asked to since.
@@ -38,7 +39,7 @@
         """Put in a content that a job needs; raises ValueError for a tree that lacks pages."""
         digest, kept = self.store.add(content)
         if kept:
-            self._outbox.keep(dict(kept))
+            self._outbox.persist(dict(kept))
         self._offered[digest] += 1
         return digest
 
@@ -48,12 +49,12 @@
         if not self._offered[digest]:
             del self._offered[digest]
 
-    def applying(self, head: Head) -> None:
+    def applying(self, head: RegisterState) -> None:
         """The process is asked to apply a head. What it applies until then stays here.
 
         It compares the two, and may be asked to apply others before it has.
         """
-        self._applying[head.turn] = digests(head)
+        self._applying[head.revision] = content_digests(head)
         if len(self._applying) > APPLYING:
             del self._applying[sorted(self._applying)[1]]
 
@@ -62,58 +63,60 @@
         for older in [one for one in self._applying if one < turn]:
             del self._applying[older]
 
-    def _wanted(self, *heads: Head | None) -> set[str]:
+    def _wanted(self, *heads: RegisterState | None) -> set[str]:
         wanted = {*self._offered, *self._awaited}
         for head in heads:
             if head is not None:
-                wanted.update(digests(head))
+                wanted.update(content_digests(head))
         for applied in self._applying.values():
             wanted.update(applied)
         return wanted
 
-    def retain_only(self, known: Head, accepted: Head | None) -> None:
+    def retain_only(self, known: RegisterState, accepted: RegisterState | None) -> None:
         """Let go of contents that nobody can ask for any more.
 
         `known` is the latest head, and `accepted` the one that this member has voted for.
         """
         gone = self.store.keep_only(self._wanted(known, accepted))
         if gone:
-            self._outbox.keep(dict.fromkeys(gone))
+            self._outbox.persist(dict.fromkeys(gone))
 
     # --- What is fetched
 
-    def want(self, head: Head, source: str) -> None:
+    def want(self, head: RegisterState, source: str) -> None:
         """Fetch the contents of a head; `source` most likely has them."""
-        for digest in digests(head):
+        for digest in content_digests(head):
             self.store.want(digest, source)
 
-    def want_to_vote(self, head: Head, source: str) -> None:
+    def want_to_vote(self, head: RegisterState, source: str) -> None:
         """Fetch the contents of a head that a vote waits for."""
-        self._awaited.extend(digests(head))
+        self._awaited.extend(content_digests(head))
         self.want(head, source)
 
-    def want_latest(self, known: Head, accepted: Head | None, source: str) -> None:
+    def want_latest(
+        self, known: RegisterState, accepted: RegisterState | None, source: str
+    ) -> None:
         """Fetch the contents of a head that has just become known, and no older one's."""
         self.store.fetch_only(self._wanted(known, accepted))
         self.want(known, source)
 
-    def has(self, head: Head) -> bool:
-        """Whether all contents of a head are here."""
-        return self.store.has(*digests(head))
+    def has(self, head: RegisterState) -> bool:
+        """Return whether all contents of a head are here."""
+        return self.store.has(*content_digests(head))
 
-    def ask(self, now: int, sources: Callable[[], list[list[str]]] | None = None) -> None:
+    def send_requests(self, now: int, sources: Callable[[], list[list[str]]] | None = None) -> None:
         """Send what is to be asked now; `sources` finds members that may have what is lacking."""
         if self.store.is_fetching:
             others = None if sources is None else sources()
             self._outbox.send_all(self.store.requests(now, self._rng, others))
 
-    def draw(self, names: list[str], most: int) -> list[str]:
+    def sample(self, names: list[str], most: int) -> list[str]:
         """Some of these members."""
         return self._rng.sample(names, min(most, len(names)))
 
     # --- Messages
 
-    def hear(self, sender: str, message: ContentMessage, now: int) -> bool:
+    def on_message(self, sender: str, message: ContentMessage, now: int) -> bool:
         """Answer a request or take an answer; whether a content that was wanted is whole now."""
         if isinstance(message, BlockRequest):
             block = self.store.answer_block(message, now)
@@ -130,7 +133,7 @@
 
     def _take(self, arrival: Arrival, now: int) -> bool:
         # What is asked for next says nothing of what is here, and need not wait for the disk.
-        self.ask(now)
+        self.send_requests(now)
         if arrival.kept:
-            self._outbox.keep(dict(arrival.kept))
+            self._outbox.persist(dict(arrival.kept))
         return arrival.is_complete
--- a/sailhitch/tier/content_store.py
+++ b/sailhitch/tier/content_store.py
@@ -28,13 +28,20 @@
 from .token_bucket import TokenBucket
 
 __all__ = [
-    "BLOCK_SIZE", "CONTENT", "PAGE", "TREE_PREFIX", "ContentStore", "digest_of", "root_of",
+    "BLOCK_SIZE",
+    "CONTENT",
+    "PAGE",
+    "TREE_PREFIX",
+    "ContentStore",
+    "digest_of",
+    "root_of",
     "tree_digest",
-]  # fmt: skip
+]
 
 TREE_PREFIX: Final = "tree:"
 _TREE = re.compile(f"{TREE_PREFIX}([0-9a-f]{{64}})")
-CONTENT, PAGE = "content/", "page/"  # names on disk, before a digest
+CONTENT = "content/"
+PAGE = "page/"  # names on disk, before a digest
 RATE: Final = 64 << 10  # bytes a second, of what is asked for and of what is answered
 BURST: Final = 128 << 10  # bytes that may go beyond that at once
 REPLY_SIZE: Final = 1100  # bytes of blocks in a reply; with its envelope and seal within 1,200
@@ -42,12 +49,12 @@
 
 
 def tree_digest(root: str) -> str:
-    """The digest of the tree whose root page has this one."""
+    """Return the digest of the tree whose root page has this one."""
     return TREE_PREFIX + root
 
 
 def root_of(digest: str) -> str | None:
-    """The digest of a tree's root page; None for a whole content's digest."""
+    """Return the digest of a tree's root page; None for a whole content's digest."""
     match = _TREE.fullmatch(digest)
     return None if match is None else match[1]
 
@@ -77,12 +84,13 @@
         self._pages = PageStore(pages or {})
         asks = TokenBucket(RATE, BURST, now)
         self._answers = TokenBucket(RATE, BURST, now)
-        self._block_fetcher, self._page_fetcher = BlockFetcher(asks), PageFetcher(asks)
+        self._block_fetcher = BlockFetcher(asks)
+        self._page_fetcher = PageFetcher(asks)
         self._wanted_roots: set[str] = set()
 
     @classmethod
     def from_disk(cls, kept: Mapping[str, bytes], now: int) -> ContentStore:
-        """The store with what of it is on a disk; other names are passed over."""
+        """Return the store with what of it is on a disk; other names are passed over."""
         return cls(_named(kept, CONTENT), _named(kept, PAGE), now)
 
     @property
@@ -93,7 +101,7 @@
     # --- What is here
 
     def has(self, *digests: str) -> bool:
-        """Whether all of these are here, trees with all of their pages."""
+        """Return whether all of these are here, trees with all of their pages."""
         return all(self._has_one(digest) for digest in digests)
 
     def _has_one(self, digest: str) -> bool:
@@ -101,11 +109,11 @@
         return digest in self.packed if root is None else self._pages.is_complete(root)
 
     def read(self, digest: str) -> bytes:
-        """A whole content; raises KeyError."""
+        """Return a whole content; raises KeyError."""
         return unpack(self.packed[digest])
 
     def page(self, digest: str) -> bytes:
-        """A raw page by its plain digest, as `pages.PageSource`; raises KeyError."""
+        """Return a raw page by its plain digest, as `pages.PageSource`; raises KeyError."""
         return self._pages.page(digest)
 
     def add(self, content: bytes | Tree) -> tuple[str, dict[str, bytes]]:
@@ -116,7 +124,8 @@
         """
         if isinstance(content, Tree):
             return tree_digest(content.root), self._add_tree(content)
-        digest, packed = digest_of(content), zlib.compress(content, 6)
+        digest = digest_of(content)
+        packed = zlib.compress(content, 6)
         self.packed[digest] = packed
         self._block_fetcher.forget(digest)
         return digest, {CONTENT + digest: packed}
@@ -132,7 +141,7 @@
         return kept
 
     def _children_of_new(self, tree: Tree) -> dict[str, tuple[str, ...]]:
-        """The pages of a tree that are not here, with their children; raises ValueError."""
+        """Return the pages of a tree that are not here, with their children; raises ValueError."""
         children: dict[str, tuple[str, ...]] = {}
         waiting = [tree.root]
         while waiting:
@@ -194,7 +203,7 @@
     def requests(
         self, now: int, rng: random.Random, others: Sequence[Sequence[str]] | None = None
     ) -> list[tuple[str, BlockRequest | PageRequest]]:
-        """What to ask whom now.
+        """Return what to ask whom now.
 
         `others` are members that may have what is lacking, in ranks of those that most likely do
         and those that less likely do; None: those of the call before.
@@ -230,7 +239,8 @@
 
     def answer_block(self, request: BlockRequest, now: int) -> Block | None:
         """A block of a whole content that is here, if the budget has room."""
-        packed, offset = self.packed.get(request.digest), request.offset
+        packed = self.packed.get(request.digest)
+        offset = request.offset
         if packed is None or not 0 <= offset < len(packed) or offset % BLOCK_SIZE:
             return None
         data = packed[offset : offset + BLOCK_SIZE]
@@ -243,7 +253,8 @@
 
         Refused are pages that are not here, and those for which the budget has no room.
         """
-        blocks, refused = [], []
+        blocks = []
+        refused = []
         for wanted in request.ranges[:MOST_RANGES]:
             packed = self._pages.packed(wanted.digest.hex())
             found = [] if packed is None else list(self._blocks(packed, wanted, now))
@@ -255,7 +266,8 @@
 
     def _blocks(self, packed: bytes, wanted: PageRange, now: int) -> Iterator[PageBlock]:
         """The blocks that were asked for, as far as they are there and the budget has room."""
-        start, total = wanted.offset, len(packed)
+        start = wanted.offset
+        total = len(packed)
         if start < 0 or start % BLOCK_SIZE:
             return
         end = min(total, start + min(wanted.blocks, MOST_BLOCKS) * BLOCK_SIZE)
@@ -274,7 +286,8 @@
         added = len(block.data) + BLOCK_HEADER
         if group and size + added > REPLY_SIZE:
             yield group
-            group, size = [], 0
+            group = []
+            size = 0
         group.append(block)
         size += added
     if group:
--- a/sailhitch/tier/disk.py
+++ b/sailhitch/tier/disk.py
@@ -44,7 +44,7 @@
             raise DiskError(_said(self.path, error)) from None
 
     def load(self) -> dict[str, bytes]:
-        """All that is kept; raises DiskError."""
+        """Return all that is kept; raises DiskError."""
         try:
             rows = list(self._db.execute("SELECT name, value, digest FROM kept"))
         except sqlite3.Error as error:
--- a/sailhitch/tier/effects.py
+++ b/sailhitch/tier/effects.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .messages import Head, Message, Version
+from .messages import Message, RegisterState, Version
 
 
 class Send(NamedTuple):
@@ -15,54 +15,54 @@
     message: Message
 
 
-class Keep(NamedTuple):
+class Persist(NamedTuple):
     """Have this on disk before any effect after it happens; None: it may be forgotten.
 
-    Danger: until it is, no later effect may happen. While it fails, messages count as lost and the
+    Until it is, no later effect may happen. While it fails, messages count as lost and the
     rest waits: the process is silent in the tier.
     """
 
     items: dict[str, bytes | None]
 
 
-class Acting(NamedTuple):
+class AppliedVersions(NamedTuple):
     """What to act by: the rules of `active`, met with those of `pending` where there is one."""
 
-    turn: int
+    revision: int
     active: Version
     pending: Version | None
-    posture: Version | None = None
+    traffic_policy: Version | None = None
 
 
-class Act(NamedTuple):
+class ApplyVersions(NamedTuple):
     """Go by this, and say so with `Member.acted` once nothing goes by anything older."""
 
-    acting: Acting
+    versions: AppliedVersions
 
 
-class End(Enum):
+class ProposalResult(Enum):
     """How a change asked for has ended."""
 
     ACTIVE = "active"
     PENDING = "pending"  # decided, and waits for members
     STALE = "stale"  # made from a version that is not the active one any more
     BUSY = "busy"  # another change is pending
-    NONE = "none"  # there was nothing to do
+    NO_CHANGE = "none"  # there was nothing to do
 
 
-class Done(NamedTuple):
+class JobCompleted(NamedTuple):
     """A job's end; `head` is what holds."""
 
     job: int
-    end: End
-    head: Head
+    result: ProposalResult
+    state: RegisterState
 
 
-class Tell(NamedTuple):
+class LogEvent(NamedTuple):
     """An act worth a line in the log: its name and what belongs to it."""
 
     event: str
     fields: dict[str, object]
 
 
-Effect = Send | Keep | Act | Done | Tell
+Effect = Send | Persist | ApplyVersions | JobCompleted | LogEvent
--- a/sailhitch/tier/lease_expiry_reports.py
+++ b/sailhitch/tier/lease_expiry_reports.py
@@ -7,31 +7,32 @@
 
 from collections.abc import Iterable
 
-LapseReport = tuple[int, bytes]  # the turn, and a bit by each position in its roster
+LeaseExpiryReport = tuple[int, bytes]  # the turn, and a bit by each position in its roster
 
 
-def encode_lapses(size: int, positions: Iterable[int]) -> bytes:
-    """The bits of a report: those at `positions` of a roster of `size` names are set."""
+def encode_expired_leases(size: int, positions: Iterable[int]) -> bytes:
+    """Return the bits of a report: those at `positions` of a roster of `size` names are set."""
     bits = bytearray((size + 7) // 8)
     for position in positions:
         bits[position // 8] |= 1 << position % 8
     return bytes(bits)
 
 
-class LapseReports:
+class LeaseExpiryReports:
     """The latest report of each voter."""
 
     def __init__(self, majority: int) -> None:
         self._majority = majority
-        self._by_voter: dict[str, LapseReport] = {}
+        self._by_voter: dict[str, LeaseExpiryReport] = {}
 
-    def record(self, voter: str, report: LapseReport) -> None:
+    def record(self, voter: str, report: LeaseExpiryReport) -> None:
         """Take in a voter's report, in place of its earlier one."""
         self._by_voter[voter] = report
 
-    def is_lapsed(self, position: int, turn: int) -> bool:
+    def is_expired(self, position: int, turn: int) -> bool:
         """Whether a majority of voters report of that turn that the lease of a member lapsed."""
-        at, mask = position // 8, 1 << position % 8
+        at = position // 8
+        mask = 1 << position % 8
         count = 0
         for reported_turn, bits in self._by_voter.values():
             if reported_turn == turn and at < len(bits) and bits[at] & mask:
--- a/sailhitch/tier/membership.py
+++ b/sailhitch/tier/membership.py
@@ -15,10 +15,11 @@
 
 from .messages import MemberRecord
 
-TIMES: Final = 6  # datagrams that a news goes out with before it takes its turn like the others
-TWIN_AFTER: Final = 4  # lives taken against others' within `TWIN_QUIET` each
-TROUBLE: Final = 100  # letters of why a member can't go by a head
-TWIN_QUIET: Final = 20_000_000
+# Datagrams that a news goes out with before it takes its turn like the others.
+TRANSMISSIONS: Final = 6
+DUPLICATE_AFTER: Final = 4  # lives taken against others' within `TWIN_QUIET` each
+MAX_FAULT_LENGTH: Final = 100  # letters of why a member can't go by a head
+DUPLICATE_WINDOW: Final = 20_000_000
 
 
 class MembershipTable:
@@ -27,84 +28,92 @@
     def __init__(self, name: str, life: int, boot: int) -> None:
         self.name = name
         self.records: dict[str, MemberRecord] = {name: MemberRecord(name, life, boot, 0, 0, "")}
-        self.seen: dict[str, int] = {}  # when each one's row last moved on
-        self.refuted = 0  # lives taken in a row against another's
+        self.updated_at: dict[str, int] = {}  # when each one's row last moved on
+        self.refutations = 0  # lives taken in a row against another's
         self._refuted_at = 0
-        self._fresh: dict[str, int] = {}  # news, and how often it was passed on
-        self._turn: list[str] = []  # whose rows are to be passed on before anybody's again
+        self._transmissions: dict[str, int] = {}  # news, and how often it was passed on
+        self._gossip_order: list[str] = []  # whose rows are to be passed on before anybody's again
 
     @property
-    def mine(self) -> MemberRecord:
+    def own_record(self) -> MemberRecord:
         return self.records[self.name]
 
-    def twin(self, now: int) -> bool:
-        """Whether another process goes by this one's name."""
-        return self.refuted >= TWIN_AFTER and now - self._refuted_at < TWIN_QUIET
+    def has_duplicate_name(self, now: int) -> bool:
+        """Return whether another process goes by this one's name."""
+        return self.refutations >= DUPLICATE_AFTER and now - self._refuted_at < DUPLICATE_WINDOW
 
-    def beat(self, confirmed: int, trouble: str, word: bytes = b"") -> None:
+    def record_heartbeat(self, confirmed: int, trouble: str, word: bytes = b"") -> None:
         """One more sign of life."""
-        old = self.mine
+        old = self.own_record
         self.records[self.name] = MemberRecord(
-            self.name, old.life, old.boot, old.beats + 1, confirmed, trouble[:TROUBLE], word
+            self.name,
+            old.incarnation,
+            old.boot,
+            old.heartbeat + 1,
+            confirmed,
+            trouble[:MAX_FAULT_LENGTH],
+            word,
         )
 
     def merge(self, rows: Iterable[MemberRecord], now: int) -> bool:
         """Take in others' rows; whether this one's own life had to be raised."""
-        raised, known, me = False, self.records, self.name
+        raised = False
+        known = self.records
+        me = self.name
         for row in rows:
             name = row.name
             if name == me:
-                raised = self._about_me(row, now) or raised
+                raised = self._on_record_of_own_name(row, now) or raised
                 continue
             old = known.get(name)
-            if old is not None and row.life <= old.life:
-                if row.life < old.life or row.beats <= old.beats:
+            if old is not None and row.incarnation <= old.incarnation:
+                if row.incarnation < old.incarnation or row.heartbeat <= old.heartbeat:
                     continue
-                if row.confirmed != old.confirmed:
-                    self._fresh[name] = 0
+                if row.confirmed_revision != old.confirmed_revision:
+                    self._transmissions[name] = 0
             else:
-                self._fresh[name] = 0
+                self._transmissions[name] = 0
             known[name] = row
-            self.seen[name] = now
+            self.updated_at[name] = now
         return raised
 
-    def _about_me(self, row: MemberRecord, now: int) -> bool:
-        mine = self.mine
-        if row.boot == mine.boot or row.life < mine.life:
+    def _on_record_of_own_name(self, row: MemberRecord, now: int) -> bool:
+        mine = self.own_record
+        if row.boot == mine.boot or row.incarnation < mine.incarnation:
             return False
-        self.refuted = self.refuted + 1 if now - self._refuted_at < TWIN_QUIET else 1
+        self.refutations = self.refutations + 1 if now - self._refuted_at < DUPLICATE_WINDOW else 1
         self._refuted_at = now
-        return self.live_above(row.life)
+        return self.raise_incarnation(row.incarnation)
 
-    def life_of(self, name: str) -> int:
-        """The latest known life of a member; 0: none."""
+    def incarnation_of(self, name: str) -> int:
+        """Return the latest known life of a member; 0: none."""
         row = self.records.get(name)
-        return 0 if row is None else row.life
+        return 0 if row is None else row.incarnation
 
-    def live_above(self, life: int) -> bool:
+    def raise_incarnation(self, life: int) -> bool:
         """Go on in a life above one that is doubted; whether that is news."""
-        mine = self.mine
-        if life < mine.life:
+        mine = self.own_record
+        if life < mine.incarnation:
             return False
-        self.records[self.name] = msgspec.structs.replace(mine, life=life + 1)
+        self.records[self.name] = msgspec.structs.replace(mine, incarnation=life + 1)
         return True
 
-    def has_news(self) -> bool:
-        """Whether a row has changed and was not passed on often enough."""
-        return bool(self._fresh)
+    def has_unsent_updates(self) -> bool:
+        """Return whether a row has changed and was not passed on often enough."""
+        return bool(self._transmissions)
 
-    def pick(self, most: int, rng: random.Random) -> list[MemberRecord]:
+    def select_for_gossip(self, most: int, rng: random.Random) -> list[MemberRecord]:
         """Rows for one datagram: this one's own, then what is news, then the others in turn.
 
         The work is bounded by `most`, whatever the number of members.
         """
         chosen = {self.name: None}
-        for name in list(self._fresh)[: most - 1]:
+        for name in list(self._transmissions)[: most - 1]:
             chosen[name] = None
-            self._fresh[name] += 1
-            if self._fresh[name] >= TIMES:
-                del self._fresh[name]
-        turn = self._turn
+            self._transmissions[name] += 1
+            if self._transmissions[name] >= TRANSMISSIONS:
+                del self._transmissions[name]
+        turn = self._gossip_order
         for _ in range(min(most, len(self.records))):
             if len(chosen) >= most:
                 break
--- a/sailhitch/tier/messages.py
+++ b/sailhitch/tier/messages.py
@@ -28,41 +28,44 @@
     serial: int
     base: int
     digest: str
-    by: str  # the member that proposed it
-    who: str  # the operator who asked, for people
-    when: int  # time of day in microseconds, for people: nothing is decided by it
-    change: str  # drawn for this proposal alone, by which its proposer knows it again
+    proposer: str  # the member that proposed it
+    operator: str  # the operator who asked, for people
+    proposed_at: int  # time of day in microseconds, for people: nothing is decided by it
+    change_id: str  # drawn for this proposal alone, by which its proposer knows it again
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
+class RegisterState(msgspec.Struct, frozen=True, array_like=True):
     """The register's value."""
 
-    turn: int  # how many changes of the register led here
-    last: int  # the highest serial ever given
-    floor: int  # who has confirmed this turn, or a later one, acts within what is active
+    revision: int  # how many changes of the register led here
+    last_serial: int  # the highest serial ever given
+    required_revision: (
+        int  # who has confirmed this turn, or a later one, acts within what is active
+    )
     active: Version
     pending: Version | None
-    roster: str  # digest of whom a change waits for, JSON
-    posture: Version | None = None  # a line of its own, in which nothing contradicts nor waits
+    configuration_digest: str  # digest of whom a change waits for, JSON
+    # A line of its own, in which nothing contradicts nor waits.
+    traffic_policy: Version | None = None
 
 
-class Decided(msgspec.Struct, frozen=True, array_like=True):
+class ChosenState(msgspec.Struct, frozen=True, array_like=True):
     """A head that a majority of voters has accepted under this ballot."""
 
     ballot: Ballot
-    head: Head
+    state: RegisterState
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """A member's word about itself, passed on by others as it is."""
 
     name: str
-    life: int  # incarnation: above all that were ever heard of this name
+    incarnation: int  # incarnation: above all that were ever heard of this name
     boot: int
-    beats: int  # of this life, so far
-    confirmed: int  # the turn by which it acts, at least
-    trouble: str  # why it can't act by the head that it knows; empty: it can, or will
-    word: bytes = b""  # what else it has to say; the tier does not know what that means
+    heartbeat: int  # of this life, so far
+    confirmed_revision: int  # the turn by which it acts, at least
+    fault: str  # why it can't act by the head that it knows; empty: it can, or will
+    metadata: bytes = b""  # what else it has to say; the tier does not know what that means
 
 
 # --- What is said
@@ -76,7 +79,7 @@
 
 class ReadReply(msgspec.Struct, frozen=True, array_like=True, tag="L"):
     number: int
-    accepted: Decided | None  # accepted by this voter, which may be the only one
+    accepted: ChosenState | None  # accepted by this voter, which may be the only one
 
 
 class UnfinishedRound(msgspec.Struct, frozen=True, array_like=True, tag="u"):
@@ -86,7 +89,7 @@
     """
 
     number: int
-    accepted: Decided | None  # accepted by this voter, which may be the only one
+    accepted: ChosenState | None  # accepted by this voter, which may be the only one
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="p"):
@@ -99,7 +102,7 @@
     ballot: Ballot
     ok: bool
     promised: Ballot
-    accepted: Decided | None  # accepted by this voter, which may be the only one
+    accepted: ChosenState | None  # accepted by this voter, which may be the only one
     stamp: int
 
 
@@ -107,7 +110,7 @@
     """Goes to those alone who have promised, with the stamps of their promises."""
 
     ballot: Ballot
-    head: Head
+    state: RegisterState
     stamps: dict[str, int]
 
 
@@ -116,7 +119,7 @@
     ok: bool
     promised: Ballot
     stamp: int
-    beside: list[str]  # the voters of whose promises this one now knows, by the `Accept`
+    known_promises: list[str]  # the voters of whose promises this one now knows, by the `Accept`
 
 
 class VoteRecoveryRequest(msgspec.Struct, frozen=True, array_like=True, tag="h"):
@@ -134,30 +137,32 @@
     """A life of a member that does not answer, and who has found so by probes of its own."""
 
     name: str
-    life: int
-    by: list[str]
+    incarnation: int
+    reporters: list[str]
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, tag="n"):
+class GossipMessage(msgspec.Struct, frozen=True, array_like=True, tag="n"):
     """Gossip; each is of use alone, in any order."""
 
-    decided: Decided | None
+    chosen: ChosenState | None
     records: list[MemberRecord]
     stamps: dict[str, int]
-    lapsed: tuple[int, bytes] | None  # a voter's: of a turn, bits by the roster's names in order
-    doubts: list[Suspicion] = []
+    expired_leases: (
+        tuple[int, bytes] | None
+    )  # a voter's: of a turn, bits by the roster's names in order
+    suspicions: list[Suspicion] = []
 
 
-class Poll(msgspec.Struct, frozen=True, array_like=True, tag="q"):
+class LeaseRequest(msgspec.Struct, frozen=True, array_like=True, tag="q"):
     """A member asks a voter for its lease."""
 
     number: int
-    confirmed: int
+    confirmed_revision: int
 
 
-class Grant(msgspec.Struct, frozen=True, array_like=True, tag="g"):
+class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="g"):
     number: int
-    ok: bool
+    granted: bool
 
 
 class BlockRequest(msgspec.Struct, frozen=True, array_like=True, tag="c"):
@@ -206,7 +211,7 @@
     """Is this member there? `doubted`: a life of it that is suspected, or 0."""
 
     number: int
-    doubted: int
+    suspected_incarnation: int
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="I"):
@@ -219,11 +224,27 @@
     number: int
 
 
-Plain = (
-    ReadRequest | ReadReply | UnfinishedRound | Prepare | Promise | Accept | Accepted
-    | VoteRecoveryRequest | VoteRecoveryReply | News | Poll | Grant | BlockRequest | Block
-    | PageRequest | PageReply | Ping | Ack | Nack
-)  # fmt: skip
+DirectMessage = (
+    ReadRequest
+    | ReadReply
+    | UnfinishedRound
+    | Prepare
+    | Promise
+    | Accept
+    | Accepted
+    | VoteRecoveryRequest
+    | VoteRecoveryReply
+    | GossipMessage
+    | LeaseRequest
+    | LeaseGrant
+    | BlockRequest
+    | Block
+    | PageRequest
+    | PageReply
+    | Ping
+    | Ack
+    | Nack
+)
 
 
 class Relayed(msgspec.Struct, frozen=True, array_like=True, tag="v"):
@@ -231,7 +252,7 @@
 
     origin: str
     to: str
-    message: Plain
+    message: DirectMessage
 
 
-Message = Plain | Relayed
+Message = DirectMessage | Relayed
--- a/sailhitch/tier/operator_checks.py
+++ b/sailhitch/tier/operator_checks.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 
-def why_not_gone(is_inside: bool, is_self: bool, age: int, quiet: int, may_act: bool) -> str:
-    """Why nobody should declare a member gone.
+def why_not_evictable(is_inside: bool, is_self: bool, age: int, quiet: int, may_act: bool) -> str:
+    """Return why nobody should declare a member gone.
 
     `age` is the time since its last sign of life and `quiet` the least it must be, in microseconds.
     `may_act`: no lease keeps it from acting, and it is not declared dead.
@@ -27,7 +27,7 @@
 
 
 def why_not_admitted(is_inside: bool, is_dead: bool) -> str:
-    """Why a member should not be looked for at another address."""
+    """Return why a member should not be looked for at another address."""
     if is_inside and not is_dead:
         return (
             "is in the roster and not told dead, and two processes of one name would both "
--- a/sailhitch/tier/outbox.py
+++ b/sailhitch/tier/outbox.py
@@ -8,14 +8,14 @@
 from contextlib import contextmanager
 from typing import Any
 
-from .effects import Effect, Keep, Send, Tell
-from .gossip import TRIES, Gossip
+from .effects import Effect, LogEvent, Persist, Send
+from .gossip import MAX_DRAWS, Gossip
 from .messages import (
     Accept,
     BlockRequest,
+    LeaseRequest,
     Message,
     PageRequest,
-    Poll,
     Prepare,
     ReadRequest,
     Relayed,
@@ -25,14 +25,17 @@
 from .relay import RelayPolicy
 
 CONTENT_REQUESTS = (BlockRequest, PageRequest)
-VOTER_REQUESTS = (ReadRequest, Prepare, Accept, VoteRecoveryRequest, Poll)
+VOTER_REQUESTS = (ReadRequest, Prepare, Accept, VoteRecoveryRequest, LeaseRequest)
 
 
 class Outbox:
     """Effects of a member's core. What it sends to itself is held back until `take_local`."""
 
     def __init__(self, name: str, gossip: Gossip, prober: Prober, rng: random.Random) -> None:
-        self._name, self._gossip, self._prober, self._rng = name, gossip, prober, rng
+        self._name = name
+        self._gossip = gossip
+        self._prober = prober
+        self._rng = rng
         self.effects: list[Effect] = []
         self.relays = RelayPolicy()
         self._local: deque[Message] = deque()
@@ -54,27 +57,27 @@
         finally:
             self._replying = None
 
-    def heard_directly(self, name: str) -> None:
+    def on_direct_message(self, name: str) -> None:
         """A member has sent something that did not come over a relay."""
         self._relay_of.pop(name, None)
 
-    def take(self) -> list[Effect]:
-        """All effects since the last call."""
+    def take_effects(self) -> list[Effect]:
+        """Return all effects since the last call."""
         effects = self.effects[:]
         self.effects.clear()
         return effects
 
-    def take_local(self) -> Message | None:
-        """The next message of this member to itself."""
+    def take_local_message(self) -> Message | None:
+        """Return the next message of this member to itself."""
         return self._local.popleft() if self._local else None
 
-    def keep(self, items: dict[str, bytes | None]) -> None:
+    def persist(self, items: dict[str, bytes | None]) -> None:
         """Have these on disk before what follows; None: it may be forgotten."""
-        self.effects.append(Keep(items))
+        self.effects.append(Persist(items))
 
-    def tell(self, event: str, fields: dict[str, object]) -> None:
+    def log_event(self, event: str, fields: dict[str, object]) -> None:
         """Have an event in the log."""
-        self.effects.append(Tell(event, fields))
+        self.effects.append(LogEvent(event, fields))
 
     def send(self, to: str, message: Message) -> None:
         """Send a message; over a relay too, where the direct way may be cut."""
@@ -94,19 +97,19 @@
                 self._send_over(helper, to, message)
 
     def _draw_helper(self, to: str) -> str | None:
-        """A member to relay a request to a voter; None where a few draws find none.
+        """Return a member to relay a request to a voter; None where a few draws find none.
 
         A voter that does not answer this member either would not get the request.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_DRAWS):
             name = self._rng.choice(self._gossip.others)
-            if name != to and self._prober.alive(name) and not self.relays.is_silent(name):
+            if name != to and self._prober.is_alive(name) and not self.relays.is_silent(name):
                 return name
         return None
 
     def _needs_relay(self, to: str, message: Message) -> bool:
-        is_request = isinstance(message, VOTER_REQUESTS) and self._prober.alive(to)
-        return is_request and self.relays.asks(to)
+        is_request = isinstance(message, VOTER_REQUESTS) and self._prober.is_alive(to)
+        return is_request and self.relays.needs_relay(to)
 
     def _send_over(self, relay: str, to: str, message: Any) -> None:
         self.effects.append(Send(relay, Relayed(self._name, to, message)))
--- a/sailhitch/tier/page_fetcher.py
+++ b/sailhitch/tier/page_fetcher.py
@@ -22,11 +22,13 @@
 PAGES_UNDER_WAY: Final = 64
 # us for an answer: so many round trips of its source; the most where none is known.
 ROUND_TRIPS: Final = 3
-LEAST_PATIENCE, MOST_PATIENCE = 90_000, 250_000
+LEAST_PATIENCE = 90_000
+MOST_PATIENCE = 250_000
 TRIES: Final = 2  # requests without an answer after which a source of a part gives way
 # us for which a source that did not answer is asked after the others: first, and at most. It
 # doubles with each time in a row, as one may be lost and many are the end of the source.
-FIRST_SILENCE, MOST_SILENCE = 200_000, 6_400_000
+FIRST_SILENCE = 200_000
+MOST_SILENCE = 6_400_000
 REST: Final = 400_000  # us after all sources were tried
 REFUSALS: Final = 4  # sources after which a quarter of that passes, as pages spread meanwhile
 SOURCES: Final = 16  # announced or proven ones that are remembered
@@ -52,7 +54,8 @@
 
     def begin(self, source: str, patience: int) -> None:
         """Begin anew, from this source, whose answers take so long at most."""
-        self.source, self.patience = source, patience
+        self.source = source
+        self.patience = patience
         self.total: int | None = None
         self.blocks: dict[int, bytes] = {}
         self.asked: dict[int, int] = {}  # when, by offset of what has not come
@@ -69,7 +72,8 @@
             return
         patience = self.patience
         room = MOST_BLOCKS - sum(now - at < patience for at in self.asked.values())
-        start, count = 0, 0
+        start = 0
+        count = 0
         for offset in range(0, self.total, BLOCK_SIZE):
             since = now - self.asked.get(offset, -patience)
             needed = offset not in self.blocks and since >= patience
@@ -77,14 +81,15 @@
                 start, count = (start, count + 1) if count else (offset, 1)
             elif count:
                 yield start, count
-                room, count = room - count, 0
+                room = room - count
+                count = 0
             if room <= 0:
                 return
         if count:
             yield start, count
 
     def fits(self, block: PageBlock) -> bool:
-        """Whether a block may belong to the page."""
+        """Return whether a block may belong to the page."""
         if not 0 < block.total <= MOST_PACKED or self.total not in (None, block.total):
             return False
         if not 0 <= block.offset < block.total or block.offset % BLOCK_SIZE:
@@ -154,7 +159,7 @@
     # --- Asking
 
     def requests(self, now: int, rng: random.Random) -> list[tuple[str, PageRequest]]:
-        """What to ask whom now."""
+        """Return what to ask whom now."""
         ranges: dict[str, list[PageRange]] = {}
         for digest, fetch in list(self._under_way.items()):
             is_late = fetch.is_late(now)
--- a/sailhitch/tier/page_store.py
+++ b/sailhitch/tier/page_store.py
@@ -37,19 +37,19 @@
         return digest in self._packed
 
     def is_complete(self, digest: str) -> bool:
-        """Whether a page and all below it are here."""
+        """Return whether a page and all below it are here."""
         return digest in self._complete
 
     def page(self, digest: str) -> bytes:
-        """A raw page; raises KeyError."""
+        """Return a raw page; raises KeyError."""
         return decompress(self._packed[digest], MAX_PAGE_BYTES)
 
     def children(self, digest: str) -> tuple[str, ...]:
-        """The digests that a page holds; raises KeyError."""
+        """Return the digests that a page holds; raises KeyError."""
         return self._children[digest]
 
     def packed(self, digest: str) -> bytes | None:
-        """A page in its packed form, where it is here."""
+        """Return a page in its packed form, where it is here."""
         return self._packed.get(digest)
 
     def lacking(self, root: str) -> Iterator[str]:
@@ -57,7 +57,8 @@
 
         Costs the pages that are here and not complete.
         """
-        waiting, seen = [root], {root}
+        waiting = [root]
+        seen = {root}
         while waiting:
             digest = waiting.pop()
             if digest in self._complete:
@@ -117,7 +118,8 @@
         for root in self._pinned.difference(roots):
             self._pinned.discard(root)
             self._unrefer(root)
-        gone, self._unreadable = self._unreadable, []
+        gone = self._unreadable
+        self._unreadable = []
         while self._unreferenced:
             digest = self._unreferenced.pop()
             self._remove(digest)
--- a/sailhitch/tier/probes.py
+++ b/sailhitch/tier/probes.py
@@ -33,7 +33,7 @@
 TIMES: Final = 6  # datagrams that a suspicion goes out with
 CARRIED: Final = 4  # suspicions in a datagram at most
 PASSED: Final = 64  # probes of others that are being passed on
-LifeOf = Callable[[str], int]  # a member's latest known life
+IncarnationOf = Callable[[str], int]  # a member's latest known life
 
 
 class Health(Enum):
@@ -48,17 +48,18 @@
     """That a life of a member is over, since when, and who has found so by probes of its own."""
 
     def __init__(self, life: int, now: int) -> None:
-        self.life, self.since = life, now
-        self.by: set[str] = set()
+        self.incarnation = life
+        self.since = now
+        self.reporters: set[str] = set()
         self.told = 0  # datagrams that it went out with since it last changed
         self.dead = False
 
     def ends(self, members: int) -> int:
-        """When the member is taken for dead."""
+        """Return when the member is taken for dead."""
         least = LEAST * max(1.0, math.log10(max(2, members))) * INTERVAL
         if members - 2 < CONFIRMERS:
             return self.since + int(least)  # there are too few to wait for
-        by = min(max(1, len(self.by)), CONFIRMERS + 1)
+        by = min(max(1, len(self.reporters)), CONFIRMERS + 1)
         spread = math.log(by) / math.log(CONFIRMERS + 1)
         return self.since + int(least * (MOST - (MOST - 1) * spread))
 
@@ -67,7 +68,10 @@
     """The question under way."""
 
     def __init__(self, number: int, name: str, now: int) -> None:
-        self.number, self.name, self.at, self.said = number, name, now, now
+        self.number = number
+        self.name = name
+        self.at = now
+        self.said = now
         self.helpers: set[str] = set()  # who were asked and have said nothing yet
 
 
@@ -75,7 +79,8 @@
     """One member's probes and what it makes of them. Times by its own clock, in microseconds."""
 
     def __init__(self, name: str, rng: random.Random, now: int) -> None:
-        self.name, self.rng = name, rng
+        self.name = name
+        self.rng = rng
         self.unwell = 0
         self._suspicions: dict[str, _Suspicion] = {}
         self._probe: _Probe | None = None
@@ -88,31 +93,31 @@
     # --- What is thought of others
 
     def health(self, name: str, life: int) -> Health:
-        """What a member of that life is taken for."""
+        """Return what a member of that life is taken for."""
         one = self._suspicions.get(name)
-        if one is None or one.life < life:
+        if one is None or one.incarnation < life:
             return Health.ALIVE
         return Health.DEAD if one.dead else Health.SUSPECT
 
-    def alive(self, name: str) -> bool:
-        """Whether it is not taken for dead."""
+    def is_alive(self, name: str) -> bool:
+        """Return whether it is not taken for dead."""
         one = self._suspicions.get(name)
         return one is None or not one.dead
 
-    def doubt_of(self, name: str, life_of: LifeOf) -> int:
+    def suspected_incarnation(self, name: str, life_of: IncarnationOf) -> int:
         """The life of a member that is suspected, or 0. Who is suspected is told, and refutes."""
         one = self._suspicions.get(name)
-        return 0 if one is None or one.life < life_of(name) else one.life
+        return 0 if one is None or one.incarnation < life_of(name) else one.incarnation
 
-    def dead(self) -> list[str]:
+    def dead_members(self) -> list[str]:
         """Who is taken for dead."""
         return [name for name, one in self._suspicions.items() if one.dead]
 
-    def has_news(self) -> bool:
-        """Whether a suspicion was not passed on often enough."""
+    def has_unsent_updates(self) -> bool:
+        """Return whether a suspicion was not passed on often enough."""
         return any(one.told < TIMES for one in self._suspicions.values())
 
-    def news(self) -> list[Suspicion]:
+    def suspicions_to_send(self) -> list[Suspicion]:
         """Suspicions to pass on with a datagram, those that went out least before others."""
         if not self._suspicions:
             return []
@@ -121,16 +126,16 @@
         for name in names:
             self._suspicions[name].told += 1
         if len(names) < CARRIED:
-            # Danger: whoever has started since heard none of it, and finds out by itself alone.
-            dead = [name for name in self.dead() if name not in names]
+            # Whoever has started since heard none of it, and finds out by itself alone.
+            dead = [name for name in self.dead_members() if name not in names]
             names += self.rng.sample(dead, min(1, len(dead)))
         return [self._said(name) for name in names]
 
     def _said(self, name: str) -> Suspicion:
         one = self._suspicions[name]
-        return Suspicion(name, one.life, sorted(one.by))
+        return Suspicion(name, one.incarnation, sorted(one.reporters))
 
-    def doubted(self, doubts: Iterable[Suspicion], life_of: LifeOf, now: int) -> int:
+    def on_suspicions(self, doubts: Iterable[Suspicion], life_of: IncarnationOf, now: int) -> int:
         """Others' suspicions; the highest life of this member that is doubted, or 0.
 
         `life_of` tells the latest known of a member: an older one's suspicion is void.
@@ -138,42 +143,44 @@
         mine = 0
         for doubt in doubts:
             if doubt.name == self.name:
-                mine = max(mine, doubt.life)
-            elif doubt.life >= life_of(doubt.name):
-                self._suspect(doubt.name, doubt.life, doubt.by, now)
+                mine = max(mine, doubt.incarnation)
+            elif doubt.incarnation >= life_of(doubt.name):
+                self._suspect(doubt.name, doubt.incarnation, doubt.reporters, now)
         return mine
 
-    def seen(self, rows: Iterable[MemberRecord]) -> None:
+    def on_records(self, rows: Iterable[MemberRecord]) -> None:
         """Members' words about themselves: a later life than the suspected one refutes it."""
         if not self._suspicions:
             return
         for row in rows:
             one = self._suspicions.get(row.name)
-            if one is not None and row.life > one.life:
+            if one is not None and row.incarnation > one.incarnation:
                 del self._suspicions[row.name]
 
-    def ill(self) -> None:
+    def on_own_suspicion(self) -> None:
         """A sign that this member itself is slow or cut off."""
         self.unwell = min(UNWELL, self.unwell + 1)
 
     def _suspect(self, name: str, life: int, by: Iterable[str], now: int) -> None:
         one = self._suspicions.get(name)
-        if one is None or one.life < life:
+        if one is None or one.incarnation < life:
             one = self._suspicions[name] = _Suspicion(life, now)
-        if one.life != life or one.dead:
+        if one.incarnation != life or one.dead:
             return
-        more = set(by) - one.by
-        if more and len(one.by) <= CONFIRMERS:
-            one.by |= set(sorted(more)[: CONFIRMERS + 1 - len(one.by)])
+        more = set(by) - one.reporters
+        if more and len(one.reporters) <= CONFIRMERS:
+            one.reporters |= set(sorted(more)[: CONFIRMERS + 1 - len(one.reporters)])
             one.told = 0
 
     # --- Probing
 
-    def tick(self, now: int, others: Sequence[str], life_of: LifeOf) -> list[tuple[str, Message]]:
+    def on_tick(
+        self, now: int, others: Sequence[str], life_of: IncarnationOf
+    ) -> list[tuple[str, Message]]:
         """Time passes; `others` are those to be probed. What to say."""
         if now - self._beat > INTERVAL:
             # This process stood still: that nobody answered meanwhile says nothing of others.
-            self.ill()
+            self.on_own_suspicion()
             late = now - self._beat
             for one in self._suspicions.values():
                 one.since += late
@@ -190,14 +197,18 @@
         if probe is not None and now - probe.said >= REPEAT:
             # One question and one answer get through half of the time where three in ten are lost.
             probe.said = now
-            said.append((probe.name, Ping(probe.number, self.doubt_of(probe.name, life_of))))
+            said.append(
+                (probe.name, Ping(probe.number, self.suspected_incarnation(probe.name, life_of)))
+            )
         if probe is not None and not probe.helpers and now - probe.at >= PATIENCE * stretch:
             said += self._ask_helpers(probe, others, life_of)
         if self._probe is None and now >= self._next and others:
             said += self._begin(now, others, life_of)
         return said
 
-    def _begin(self, now: int, others: Sequence[str], life_of: LifeOf) -> list[tuple[str, Message]]:
+    def _begin(
+        self, now: int, others: Sequence[str], life_of: IncarnationOf
+    ) -> list[tuple[str, Message]]:
         while self._turn and self._turn[-1] not in others:
             self._turn.pop()
         if not self._turn:
@@ -207,47 +218,50 @@
         name = self._turn.pop()
         self._probe = _Probe(self._number, name, now)
         self._next = now + INTERVAL * (self.unwell + 1)
-        return [(name, Ping(self._number, self.doubt_of(name, life_of)))]
+        return [(name, Ping(self._number, self.suspected_incarnation(name, life_of)))]
 
     def _ask_helpers(
-        self, probe: _Probe, others: Sequence[str], life_of: LifeOf
+        self, probe: _Probe, others: Sequence[str], life_of: IncarnationOf
     ) -> list[tuple[str, Message]]:
-        if not self.alive(probe.name):
+        if not self.is_alive(probe.name):
             return []
-        able = [one for one in others if one != probe.name and self.alive(one)]
+        able = [one for one in others if one != probe.name and self.is_alive(one)]
         probe.helpers = set(self.rng.sample(able, min(HELPERS, len(able))))
         ping = Relayed(
-            self.name, probe.name, Ping(probe.number, self.doubt_of(probe.name, life_of))
+            self.name,
+            probe.name,
+            Ping(probe.number, self.suspected_incarnation(probe.name, life_of)),
         )
         return [(one, ping) for one in sorted(probe.helpers)]
 
-    def _failed(self, probe: _Probe, life_of: LifeOf, now: int) -> None:
-        if not self.alive(probe.name):
+    def _failed(self, probe: _Probe, life_of: IncarnationOf, now: int) -> None:
+        if not self.is_alive(probe.name):
             return  # as before; it says nothing about this member
         for _ in probe.helpers:
-            self.ill()  # Danger: helpers that say nothing at all are more likely out of reach
+            # Helpers that say nothing at all are more likely out of reach.
+            self.on_own_suspicion()
         self._suspect(probe.name, life_of(probe.name), [self.name], now)
 
-    def answered(self, name: str, number: int) -> None:
+    def on_ack(self, name: str, number: int) -> None:
         """A probed member has answered, by whatever way."""
         probe = self._probe
         if probe is not None and (probe.name, probe.number) == (name, number):
             self._probe = None
             self.unwell = max(0, self.unwell - 1)
 
-    def not_answered(self, helper: str, number: int) -> None:
+    def on_nack(self, helper: str, number: int) -> None:
         """A helper had no answer either, and can be reached."""
         if self._probe is not None and self._probe.number == number:
             self._probe.helpers.discard(helper)
 
     # --- Helping
 
-    def passes(self, origin: str, number: int, now: int) -> None:
+    def on_relayed_ping(self, origin: str, number: int, now: int) -> None:
         """Another's probe is passed on."""
         if len(self._passed) < PASSED:
             self._passed[origin, number] = now + NACK_AFTER
 
-    def has_passed(self, origin: str, number: int) -> None:
+    def on_relayed_ack(self, origin: str, number: int) -> None:
         """Its answer has gone back."""
         self._passed.pop((origin, number), None)
 
--- a/sailhitch/tier/relay.py
+++ b/sailhitch/tier/relay.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._open: dict[str, int] = {}  # by voter: questions since its last answer
 
-    def asks(self, voter: str) -> bool:
+    def needs_relay(self, voter: str) -> bool:
         """A voter is asked something; whether to ask it through another as well."""
         self._open[voter] = self._open.get(voter, 0) + 1
         return self._open[voter] > UNANSWERED
@@ -27,6 +27,6 @@
         """Whether it has not answered lately, so that it is of no help in reaching another."""
         return self._open.get(voter, 0) >= UNANSWERED
 
-    def answered(self, voter: str) -> None:
+    def on_reply(self, voter: str) -> None:
         """It has answered straight."""
         self._open.pop(voter, None)
--- a/sailhitch/tier/round_recovery.py
+++ b/sailhitch/tier/round_recovery.py
@@ -11,7 +11,7 @@
 import random
 from typing import Final
 
-from .messages import Ballot, Decided
+from .messages import Ballot, ChosenState
 
 FIRST_AFTER: Final = 600_000  # us from an acceptance, from which a voter completes the round
 LAST_AFTER: Final = 2_000_000  # us by which the last of the voters does
@@ -25,12 +25,14 @@
         self._ballot: Ballot | None = None  # of what it waits to hear of
         self._due_at = 0
 
-    def is_due(self, now: int, accepted: Decided | None, known: Decided | None) -> bool:
-        """Whether to read the register by a round now.
+    def is_due(self, now: int, accepted: ChosenState | None, known: ChosenState | None) -> bool:
+        """Return whether to read the register by a round now.
 
         `accepted` is what this voter accepted last, and `known` the latest that was surely decided.
         """
-        if accepted is None or (known is not None and accepted.head.turn <= known.head.turn):
+        if accepted is None or (
+            known is not None and accepted.state.revision <= known.state.revision
+        ):
             self._ballot = None
             return False
         if accepted.ballot != self._ballot:
--- a/sailhitch/tier/token_bucket.py
+++ b/sailhitch/tier/token_bucket.py
@@ -9,7 +9,8 @@
     """Tokens that come at `rate` a second, of which `burst` are held at most. Full at first."""
 
     def __init__(self, rate: int, burst: int, now: int) -> None:
-        self._rate, self._burst = rate, burst
+        self._rate = rate
+        self._burst = burst
         self._level = float(burst)
         self._filled_at = now
 
--- a/sailhitch/tier/transitions.py
+++ b/sailhitch/tier/transitions.py
@@ -11,120 +11,142 @@
 
 from msgspec.structs import replace
 
-from .effects import End
-from .messages import Head, Version
+from .effects import ProposalResult
+from .messages import RegisterState, Version
 
 
-class Step(NamedTuple):
+class Transition(NamedTuple):
     """What a change comes to: the head to write, and how it ends once that is decided."""
 
-    head: Head
-    end: End
+    state: RegisterState
+    result: ProposalResult
 
 
-Change = Callable[[Head | None], Step | None]  # None: there is nothing to write to
+StateChange = Callable[
+    [RegisterState | None], Transition | None
+]  # None: there is nothing to write to
 
 
-def read(now: Head | None) -> Step | None:
+def read(now: RegisterState | None) -> Transition | None:
     """No change; what is read was decided, and was the latest when the reading began."""
-    return None if now is None else Step(now, End.NONE)
+    return None if now is None else Transition(now, ProposalResult.NO_CHANGE)
 
 
-def found(version: Version, roster: str) -> Change:
-    """The first head of a tier; where there is one, that."""
+def bootstrap(version: Version, roster: str) -> StateChange:
+    """Return the first head of a tier; where there is one, that."""
 
-    def change(now: Head | None) -> Step | None:
+    def change(now: RegisterState | None) -> Transition | None:
         if now is not None:
-            return Step(now, End.ACTIVE if now.active.change == version.change else End.NONE)
-        return Step(Head(1, version.serial, 1, version, None, roster), End.ACTIVE)
+            return Transition(
+                now,
+                ProposalResult.ACTIVE
+                if now.active.change_id == version.change_id
+                else ProposalResult.NO_CHANGE,
+            )
+        return Transition(
+            RegisterState(1, version.serial, 1, version, None, roster), ProposalResult.ACTIVE
+        )
 
     return change
 
 
-def offer(version: Version, waits: bool) -> Change:
+def propose_version(version: Version, needs_confirmation: bool) -> StateChange:
     """A version made from `version.base`; its serial is given here. `waits`: pending at first."""
 
-    def change(now: Head | None) -> Step | None:
+    def change(now: RegisterState | None) -> Transition | None:
         if now is None:
             return None
-        if now.active.change == version.change:
-            return Step(now, End.ACTIVE)
-        if now.pending is not None and now.pending.change == version.change:
-            return Step(now, End.PENDING)
+        if now.active.change_id == version.change_id:
+            return Transition(now, ProposalResult.ACTIVE)
+        if now.pending is not None and now.pending.change_id == version.change_id:
+            return Transition(now, ProposalResult.PENDING)
         if now.active.serial != version.base:
-            return Step(now, End.STALE)
+            return Transition(now, ProposalResult.STALE)
         if now.pending is not None:
-            return Step(now, End.BUSY)
-        made = replace(version, serial=now.last + 1)
-        if waits:
-            return Step(_next(now, last=made.serial, floor=now.turn + 1, pending=made), End.PENDING)
-        return Step(_next(now, last=made.serial, active=made), End.ACTIVE)
+            return Transition(now, ProposalResult.BUSY)
+        made = replace(version, serial=now.last_serial + 1)
+        if needs_confirmation:
+            return Transition(
+                _next_state(
+                    now, last_serial=made.serial, required_revision=now.revision + 1, pending=made
+                ),
+                ProposalResult.PENDING,
+            )
+        return Transition(
+            _next_state(now, last_serial=made.serial, active=made), ProposalResult.ACTIVE
+        )
 
     return change
 
 
-def activate(serial: int) -> Change:
-    """The pending version is confirmed by everybody: it is the active one from here on."""
+def activate(serial: int) -> StateChange:
+    """Return the pending version is confirmed by everybody: it is the active one from here on."""
 
-    def change(now: Head | None) -> Step | None:
+    def change(now: RegisterState | None) -> Transition | None:
         if now is None:
             return None
         pending = now.pending
         if pending is None or pending.serial != serial:
-            return Step(now, End.ACTIVE if now.active.serial == serial else End.NONE)
-        return Step(_next(now, active=pending, pending=None), End.ACTIVE)
+            return Transition(
+                now,
+                ProposalResult.ACTIVE if now.active.serial == serial else ProposalResult.NO_CHANGE,
+            )
+        return Transition(_next_state(now, active=pending, pending=None), ProposalResult.ACTIVE)
 
     return change
 
 
-def withdraw(serial: int) -> Change:
-    """The pending version is given up; what was active stays so."""
+def withdraw(serial: int) -> StateChange:
+    """Return the pending version is given up; what was active stays so."""
 
-    def change(now: Head | None) -> Step | None:
+    def change(now: RegisterState | None) -> Transition | None:
         if now is None:
             return None
         if now.pending is None or now.pending.serial != serial:
-            return Step(now, End.STALE if now.active.serial == serial else End.NONE)
-        return Step(_next(now, pending=None), End.ACTIVE)
+            return Transition(
+                now,
+                ProposalResult.STALE if now.active.serial == serial else ProposalResult.NO_CHANGE,
+            )
+        return Transition(_next_state(now, pending=None), ProposalResult.ACTIVE)
 
     return change
 
 
-def enrol(old: str, new: str) -> Change:
+def change_configuration(old: str, new: str) -> StateChange:
     """Another roster, made from the one with the digest `old`."""
 
-    def change(now: Head | None) -> Step | None:
+    def change(now: RegisterState | None) -> Transition | None:
         if now is None:
             return None
-        if now.roster == new:
-            return Step(now, End.ACTIVE)
-        if now.roster != old:
-            return Step(now, End.STALE)
-        return Step(_next(now, roster=new), End.ACTIVE)
+        if now.configuration_digest == new:
+            return Transition(now, ProposalResult.ACTIVE)
+        if now.configuration_digest != old:
+            return Transition(now, ProposalResult.STALE)
+        return Transition(_next_state(now, configuration_digest=new), ProposalResult.ACTIVE)
 
     return change
 
 
-def pose(version: Version) -> Change:
+def propose_traffic_policy(version: Version) -> StateChange:
     """A posture made from the one of serial `version.base`, 0 for none; its serial is given here.
 
     It goes beside the line of versions: it is active at once, also while a version is pending.
     """
 
-    def change(now: Head | None) -> Step | None:
+    def change(now: RegisterState | None) -> Transition | None:
         if now is None:
             return None
-        held = now.posture
-        if held is not None and held.change == version.change:
-            return Step(now, End.ACTIVE)
+        held = now.traffic_policy
+        if held is not None and held.change_id == version.change_id:
+            return Transition(now, ProposalResult.ACTIVE)
         if version.base != (0 if held is None else held.serial):
-            return Step(now, End.STALE)
+            return Transition(now, ProposalResult.STALE)
         made = replace(version, serial=version.base + 1)
-        return Step(_next(now, posture=made), End.ACTIVE)
+        return Transition(_next_state(now, traffic_policy=made), ProposalResult.ACTIVE)
 
     return change
 
 
-def _next(now: Head, **changes: Any) -> Head:
-    """The head of the next turn."""
-    return replace(now, turn=now.turn + 1, **changes)
+def _next_state(now: RegisterState, **changes: Any) -> RegisterState:
+    """Return the head of the next turn."""
+    return replace(now, revision=now.revision + 1, **changes)
--- a/sailhitch/tier/wire.py
+++ b/sailhitch/tier/wire.py
@@ -83,7 +83,9 @@
     """Seals and opens a member's datagrams."""
 
     def __init__(self, keys: Keys, name: str, boot: int) -> None:
-        self.keys, self.name, self.boot = keys, name, boot
+        self.keys = keys
+        self.name = name
+        self.boot = boot
         self.refused: dict[str, int] = {}  # datagrams, by why
         self._number = 0
         self._seen: dict[tuple[str, int], tuple[int, int]] = {}  # the highest, and bits below it
@@ -91,7 +93,7 @@
         self._decode = msgspec.msgpack.Decoder(Envelope).decode
 
     def seal(self, to: str, message: Message) -> bytes:
-        """A message as a datagram."""
+        """Return a message as a datagram."""
         self._number += 1
         body = self._encode(Envelope(self.name, self.boot, self._number, to, message))
         head = MAGIC + bytes((VERSION, self.keys.first))
@@ -131,7 +133,8 @@
         top, bits = self._seen.pop(key, (0, 0))
         ahead = envelope.number - top
         if ahead > 0:
-            top, bits = envelope.number, (bits << ahead | 1) & ((1 << WINDOW) - 1)
+            top = envelope.number
+            bits = (bits << ahead | 1) & ((1 << WINDOW) - 1)
             new = True
         else:
             mark = 1 << -ahead
--- a/sailhitch/zones/diagnosis.py
+++ b/sailhitch/zones/diagnosis.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-from .health_tracker import Sight
+from .health_tracker import ZoneObservation
 
 GONE: Final = 0.8  # of its nodes failed last: one of a few that still answers saves no zone
 GRAY: Final = 0.2  # the operators' "a fifth lost"
@@ -41,7 +41,7 @@
 
     name: str
     place: str  # the zone that it is in
-    sights: Mapping[str, Sight]
+    sights: Mapping[str, ZoneObservation]
 
 
 class Finding(NamedTuple):
@@ -70,7 +70,7 @@
 
 
 def diagnose(reports: Sequence[Report], sizes: Mapping[str, int]) -> dict[str, Finding]:
-    """What each zone is taken for; `sizes` has the number of nodes of each."""
+    """Return what each zone is taken for; `sizes` has the number of nodes of each."""
     out = set(sick(reports, sizes))
     heard = [one for one in reports if one.name not in out]
     need = max(1, min(VOICES, len(reports)))
@@ -112,7 +112,7 @@
     """Without those who see it otherwise and have not asked lately, if most see it gone.
 
     What they saw well, or as one bad node of several, may be older than the zone's end, and the
-    decision module keeps them away from it. Danger: only then. Where little is asked, as at night,
+    decision module keeps them away from it. Only then. Where little is asked, as at night,
     most have not asked lately, and the few that happened to meet its bad nodes would speak for all.
     """
     if 2 * sum(_share(one, zone) >= GONE for one in able) <= len(able):
@@ -131,7 +131,7 @@
 
 
 def _voices(reports: Iterable[Report], zone: str, sizes: Mapping[str, int]) -> float:
-    """The weighted median of what they see of a zone; 0 where nobody can tell."""
+    """Return the weighted median of what they see of a zone; 0 where nobody can tell."""
     size = sizes.get(zone, 1)  # nobody knows of more nodes than there are
     return _median(
         [
@@ -146,7 +146,8 @@
     """By weight, of which none counts for more than its share of all; 0 of nothing."""
     most = max(1.0, MOST_VOICE * sum(weight for _, weight in said))
     capped = [(share, min(weight, most)) for share, weight in sorted(said)]
-    half, so_far = sum(weight for _, weight in capped) / 2, 0.0
+    half = sum(weight for _, weight in capped) / 2
+    so_far = 0.0
     for share, weight in capped:
         so_far += weight
         if so_far >= half:
--- a/sailhitch/zones/evidence.py
+++ b/sailhitch/zones/evidence.py
@@ -12,23 +12,23 @@
 
 import msgspec
 
-from .health_tracker import Sight
-from .posture import Posture
-from .rollout import Since
+from .health_tracker import ZoneObservation
+from .rollout import StepOutcomes
+from .traffic_policy import TrafficPolicy
 
-MOST: Final = 16  # zones in a word
-LARGEST: Final = 400  # bytes of a word
+MAX_ZONES: Final = 16  # zones in a word
+MAX_REPORT_BYTES: Final = 400  # bytes of a word
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
+class ZoneHealthReport(msgspec.Struct, frozen=True, array_like=True):
     """One gateway's counts by zone: the step that they belong to, ended, failed.
 
     Beside them where it is, and what it sees of each zone: nodes known, failing, full.
     """
 
-    zones: dict[str, tuple[int, int, int]]
-    place: str = ""
-    sights: dict[str, Sight] = {}
+    counts: dict[str, tuple[int, int, int]]
+    zone: str = ""
+    observations: dict[str, ZoneObservation] = {}
 
 
 class OutcomeCounts:
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._zones: dict[str, list[int]] = {}
 
-    def goes_by(self, posture: Posture) -> None:
+    def apply(self, posture: TrafficPolicy) -> None:
         """A posture holds; a step that is new begins with nothing."""
         self._zones = {
             name: self._zones[name]
@@ -46,7 +46,7 @@
             for name, order in posture.zones.items()
         }
 
-    def saw(self, zone: str, failed: bool) -> None:
+    def record(self, zone: str, failed: bool) -> None:
         """An attempt in a zone has its outcome."""
         counts = self._zones.get(zone)
         if counts is not None:
@@ -54,53 +54,53 @@
             counts[2] += failed
 
     def counts(self) -> dict[str, tuple[int, int, int]]:
-        """What to say of steps."""
+        """Return what to say of steps."""
         return {
             name: (step, ended, failed)
-            for name, (step, ended, failed) in sorted(self._zones.items())[:MOST]
+            for name, (step, ended, failed) in sorted(self._zones.items())[:MAX_ZONES]
             if ended
         }
 
 
-def write(word: Word) -> bytes:
+def encode(word: ZoneHealthReport) -> bytes:
     """A word as it is said; empty where there is nothing to say.
 
     Sights that fit no more are left out, those that fail least before others: a datagram of gossip
     has twelve words.
     """
-    if not word.zones and not word.sights:
+    if not word.counts and not word.observations:
         return b""
-    sights = sorted(word.sights.items(), key=lambda item: -item[1].failed)
+    sights = sorted(word.observations.items(), key=lambda item: -item[1].failed)
     while True:
-        said = msgspec.msgpack.encode(msgspec.structs.replace(word, sights=dict(sights)))
-        if len(said) <= LARGEST or not sights:
+        said = msgspec.msgpack.encode(msgspec.structs.replace(word, observations=dict(sights)))
+        if len(said) <= MAX_REPORT_BYTES or not sights:
             return said
         sights.pop()
 
 
-def read(word: bytes) -> Word | None:
-    """A gateway's word; None where it says nothing that can be read."""
-    if not 0 < len(word) <= LARGEST:
+def decode(word: bytes) -> ZoneHealthReport | None:
+    """Return a gateway's word; None where it says nothing that can be read."""
+    if not 0 < len(word) <= MAX_REPORT_BYTES:
         return None
     try:
-        made = msgspec.msgpack.decode(word, type=Word)
+        made = msgspec.msgpack.decode(word, type=ZoneHealthReport)
     except msgspec.DecodeError:
         return None
-    good = all(0 <= failed <= ended for _, ended, failed in made.zones.values())
+    good = all(0 <= failed <= ended for _, ended, failed in made.counts.values())
     seen = all(
         one.known > 0
         and 0 <= one.failed <= one.known
         and 0 <= one.full <= one.known
         and one.age >= 0
-        for one in made.sights.values()
+        for one in made.observations.values()
     )
     return made if good and seen else None
 
 
-def fleet(words: Iterable[Word], zone: str, step: int) -> Since:
-    """The sum for a step of a zone's way back."""
-    found = [word.zones[zone] for word in words if zone in word.zones]
+def aggregate(words: Iterable[ZoneHealthReport], zone: str, step: int) -> StepOutcomes:
+    """Return the sum for a step of a zone's way back."""
+    found = [word.counts[zone] for word in words if zone in word.counts]
     said = [(ended, failed) for its, ended, failed in found if its == step and ended]
     if len(said) >= 3:
         said.remove(max(said, key=lambda counts: (counts[1] / counts[0], counts[1])))
-    return Since(sum(ended for ended, _ in said), sum(failed for _, failed in said))
+    return StepOutcomes(sum(ended for ended, _ in said), sum(failed for _, failed in said))
--- a/sailhitch/zones/health_tracker.py
+++ b/sailhitch/zones/health_tracker.py
@@ -11,10 +11,10 @@
 from typing import Final, NamedTuple
 
 RUN: Final = 2  # nodes that fail one after the other, after which older successes say nothing
-FORGOTTEN: Final = 60_000_000  # us after which an outcome says nothing any more
+OUTCOME_TTL: Final = 60_000_000  # us after which an outcome says nothing any more
 
 
-class Sight(NamedTuple):
+class ZoneObservation(NamedTuple):
     """Of a zone's nodes: how many this gateway knows of, and of these failed or were full last."""
 
     known: int
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._last: dict[str, Outcome] = {}
 
-    def saw(self, node: str, failed: bool, full: bool, now: int) -> None:
+    def record(self, node: str, failed: bool, full: bool, now: int) -> None:
         """A request at a node has ended."""
         self._last[node] = Outcome(now, failed, full)
 
@@ -51,7 +51,7 @@
         for name in names & self._last.keys():
             del self._last[name]
 
-    def sights(self, nodes: Mapping[str, str], now: int) -> dict[str, Sight]:
+    def observations(self, nodes: Mapping[str, str], now: int) -> dict[str, ZoneObservation]:
         """By zone, what is known of its nodes.
 
         Where several nodes of a zone have failed one after the other and nothing there has gone
@@ -61,16 +61,17 @@
         found: dict[str, list[Outcome]] = {}
         for name, one in self._last.items():
             zone = nodes.get(name)
-            if zone is not None and now - one.at <= FORGOTTEN:
+            if zone is not None and now - one.at <= OUTCOME_TTL:
                 found.setdefault(zone, []).append(one)
         return {zone: _sight(outcomes, now) for zone, outcomes in found.items()}
 
 
-def _sight(outcomes: list[Outcome], now: int) -> Sight:
+def _sight(outcomes: list[Outcome], now: int) -> ZoneObservation:
     age = (now - max(one.at for one in outcomes)) // 1_000_000
     last_ok = max((one.at for one in outcomes if not one.failed), default=-1)
     run = sum(one.failed and one.at > last_ok for one in outcomes)
     if run >= RUN:
-        return Sight(run, run, 0, age)
-    failed, full = sum(one.failed for one in outcomes), sum(one.full for one in outcomes)
-    return Sight(len(outcomes), failed, full, age)
+        return ZoneObservation(run, run, 0, age)
+    failed = sum(one.failed for one in outcomes)
+    full = sum(one.full for one in outcomes)
+    return ZoneObservation(len(outcomes), failed, full, age)
--- a/sailhitch/zones/rollout.py
+++ b/sailhitch/zones/rollout.py
@@ -13,7 +13,7 @@
 
 from msgspec.structs import replace
 
-from .posture import ZoneOrder
+from .traffic_policy import ZoneOrder
 
 AUTOMATION: Final = "automation"  # who says what no operator has asked for
 FIRST: Final = 0.1  # share of the first step
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Since:
+class StepOutcomes:
     """What the requests of the whole fleet came to in a zone since its step began."""
 
     ended: int
@@ -42,12 +42,12 @@
 
 
 def begin(order: ZoneOrder, dwell: int, by: str, why: str) -> ZoneOrder:
-    """The first step back."""
-    return ZoneOrder(FIRST, "returning", dwell, order.relapses, by, why, order.step + 1)
+    """Return the first step back."""
+    return ZoneOrder(FIRST, "returning", dwell, order.failed_recoveries, by, why, order.step + 1)
 
 
 def following(share: float) -> float:
-    """The share of the step after; 1 or more: the zone is in use as a whole."""
+    """Return the share of the step after; 1 or more: the zone is in use as a whole."""
     return share * 2
 
 
@@ -56,8 +56,8 @@
     return 0.0 if share <= FIRST else share / 2
 
 
-def judge(order: ZoneOrder, age: int, since: Since) -> tuple[ZoneOrder | None, str] | None:
-    """What is to become of a zone on its way back, and why; None: nothing yet.
+def judge(order: ZoneOrder, age: int, since: StepOutcomes) -> tuple[ZoneOrder | None, str] | None:
+    """Return what is to become of a zone on its way back, and why; None: nothing yet.
 
     `age` is for how long this member has gone by the order's step and round, in microseconds. An
     order of None ends the rollout: the zone is in use as a whole.
@@ -66,14 +66,14 @@
         return None
     if order.share and since.failed >= SURE_BAD and since.failed > BAD * since.ended:
         return _back(order, since)
-    if age < order.dwell << order.relapses:
+    if age < order.step_duration << order.failed_recoveries:
         return None
     if not order.share:
-        return _step(order, FIRST, "once more" if order.relapses else "the first step")
+        return _step(order, FIRST, "once more" if order.failed_recoveries else "the first step")
     if since.ended < NEEDED:
-        # Danger: nodes that failed are shunned, and nothing more is learned of them by waiting.
+        # Nodes that failed are shunned, and nothing more is learned of them by waiting.
         told = f"tried anew at {order.share:.0%}: {since.ended} of {NEEDED} requests have ended"
-        return replace(order, round=order.round + 1, why=told), told
+        return replace(order, attempt=order.attempt + 1, reason=told), told
     if since.failed > BAD * since.ended:
         return _back(order, since)
     told = f"{since.failed} of {since.ended} failed at {order.share:.0%}"
@@ -82,22 +82,24 @@
 
 
 def _step(order: ZoneOrder, share: float, why: str) -> tuple[ZoneOrder, str]:
-    return replace(order, share=share, step=order.step + 1, round=0, why=why), why
+    return replace(order, share=share, step=order.step + 1, attempt=0, reason=why), why
 
 
-def _back(order: ZoneOrder, since: Since) -> tuple[ZoneOrder, str]:
+def _back(order: ZoneOrder, since: StepOutcomes) -> tuple[ZoneOrder, str]:
     told = f"relapse: {since.failed} of {since.ended} failed at {order.share:.0%}"
-    if order.relapses >= MOST_RELAPSES:
+    if order.failed_recoveries >= MOST_RELAPSES:
         told += "; it is left to an operator"
-        return leave(order.by, told), told
-    return _step(replace(order, relapses=order.relapses + 1), before(order.share), told)
+        return leave(order.ordered_by, told), told
+    return _step(
+        replace(order, failed_recoveries=order.failed_recoveries + 1), before(order.share), told
+    )
 
 
 def waits_for(order: ZoneOrder, age: int) -> str:
-    """What the next step waits for, for people."""
+    """Return what the next step waits for, for people."""
     if order.phase != "returning":
         return "an operator's `return`"
-    left = (order.dwell << order.relapses) - age
+    left = (order.step_duration << order.failed_recoveries) - age
     if left > 0:
         return f"{left / 1e6:.1f} s more at {order.share:.0%}"
     return "a member to propose it"
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -11,14 +11,14 @@
 from pathlib import Path
 from typing import Any
 
-from sailhitch.core.core import Core
+from sailhitch.core.core import GatewayCore
 from sailhitch.core.log import Log
 from sailhitch.daemon.admin import Admin, ask
-from sailhitch.daemon.live import Live, bounds
 from sailhitch.daemon.plan import make_plan
 from sailhitch.daemon.schema import OperatorFile, parse_value
-from sailhitch.daemon.source import Own
+from sailhitch.daemon.source import LocalStateSource
 from sailhitch.daemon.state import from_file
+from sailhitch.daemon.state_applier import StateApplier, resource_limits
 from sailhitch.daemon.store import Step, Store
 from sailhitch.lab.files import toml_text
 from sailhitch.lab.node import Node
@@ -29,10 +29,14 @@
     {"name": "page", "aim": "1s", "deadline": "3s"},
     {"name": "payout", "effect": "unsafe", "aim": "2s", "deadline": "3s", "worth": 3.0},
     {
-        "name": "filing", "effect": "keyed", "aim": "2s", "deadline": "3s", "dedup": "pool",
+        "name": "filing",
+        "effect": "keyed",
+        "aim": "2s",
+        "deadline": "3s",
+        "dedup": "pool",
         "window": "60s",
     },
-]  # fmt: skip
+]
 ROUTES: list[dict[str, Any]] = [
     {"name": "payouts", "match": {"path_prefix": "/payouts"}, "class": "payout"},
     {
@@ -73,7 +77,9 @@
 class Inside:
     """A daemon in this process."""
 
-    def __init__(self, live: Live, source: Own, port: int, admin: Admin) -> None:
+    def __init__(
+        self, live: StateApplier, source: LocalStateSource, port: int, admin: Admin
+    ) -> None:
         self.live, self.source, self.port, self.admin = live, source, port, admin
         self.addr = f"127.0.0.1:{port}"
 
@@ -102,11 +108,11 @@
     """A daemon that goes by this file's value."""
     whole = made(value)
     gateway = whole.gateway
-    core = Core(bounds(gateway, 1_000_000), asyncio.get_running_loop(), Log("g1"))
+    core = GatewayCore(resource_limits(gateway, 1_000_000), asyncio.get_running_loop(), Log("g1"))
     store = Store(tmp_path / "state", gateway.name) if stored else None
-    live = Live(core, gateway, store, step)
+    live = StateApplier(core, gateway, store, step)
     core.begin()
-    source = Own(live)
+    source = LocalStateSource(live)
     admin = Admin(live, source, tmp_path / "g1.sock")
     try:
         await source.start(whole)
@@ -152,9 +158,15 @@
         self.armed.unlink(missing_ok=True)
         with open(self.log, "ab") as log:
             self.program = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", KILLER, str(self.file), kill_at or "never", number,
-                env=os.environ | {"ARMED": str(self.armed)}, stderr=log,
-            )  # fmt: skip
+                sys.executable,
+                "-c",
+                KILLER,
+                str(self.file),
+                kill_at or "never",
+                number,
+                env=os.environ | {"ARMED": str(self.armed)},
+                stderr=log,
+            )
         async with asyncio.timeout(PATIENCE):
             while not await self._answers():
                 assert self.program.returncode is None, self.log.read_text()
@@ -189,8 +201,9 @@
 @contextlib.asynccontextmanager
 async def outside(tmp_path: Path, value: Mapping[str, Any]) -> AsyncIterator[Outside]:
     gateway = value["gateway"] | {
-        "state_dir": str(tmp_path / "state"), "admin": str(tmp_path / "g1.sock"),
-    }  # fmt: skip
+        "state_dir": str(tmp_path / "state"),
+        "admin": str(tmp_path / "g1.sock"),
+    }
     daemon = Outside(tmp_path, {**value, "gateway": gateway})
     try:
         yield daemon
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -5,8 +5,14 @@
 import copy
 from typing import Any
 
-from sailhitch.interface import READY, RESTORED, Listed, Report
 from sailhitch.policy import Gateway
+from sailhitch.policy_interface import (
+    AttemptOutcome,
+    Endpoint,
+    EndpointState,
+    LoadReport,
+    WatchEventKind,
+)
 from sailhitch.settings import parse_settings
 
 MS = 1000
@@ -79,8 +85,14 @@
     return value
 
 
-def server(name: str, zone: int = 0, cell: int = 0, boot: int = 0, state: str = READY) -> Listed:
-    return Listed(name, 1.0, zone, cell, state, boot, 0)
+def server(
+    name: str,
+    zone: int = 0,
+    cell: int = 0,
+    boot: int = 0,
+    state: EndpointState = EndpointState.READY,
+) -> Endpoint:
+    return Endpoint(name, 1.0, zone, cell, state, boot, 0)
 
 
 class FakePort:
@@ -120,25 +132,35 @@
 class World:
     """One gateway with its port, and a clock that fires the timers it asked for."""
 
-    def __init__(self, *servers: Listed, seed: int = 1, **changes: Any) -> None:
+    def __init__(self, *servers: Endpoint, seed: int = 1, **changes: Any) -> None:
         self.port = FakePort()
         self.settings = parse_settings(settings_value(**changes))
         self.gateway = Gateway(self.port, self.settings, seed)
         self.now = START
         self.fired: set[int] = set()  # places of the timers that have come due
         self.gateway.start(self.now)
-        self.gateway.members(self.now, RESTORED, servers)
+        self.gateway.on_watch_event(self.now, WatchEventKind.RESTORED, servers)
 
     def request(self, req: int, cls: int = SAFE, lasts: int = 3 * S, **more: Any) -> None:
         self.gateway.request(
-            self.now, req, cls, self.now + lasts, more.get("work", 0), more.get("key"),
+            self.now,
+            req,
+            cls,
+            self.now + lasts,
+            more.get("work", 0),
+            more.get("key"),
             more.get("tenant", 0),
-        )  # fmt: skip
+        )
 
     def outcome(
-        self, req: int, attempt: int, status: str, closed: bool = False, latency: int = 50 * MS,
-        report: Report | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        req: int,
+        attempt: int,
+        status: AttemptOutcome,
+        closed: bool = False,
+        latency: int = 50 * MS,
+        report: LoadReport | None = None,
+    ) -> None:
         self.gateway.outcome(
             self.now, req, attempt, status, closed, latency, self.port.sends(req)[attempt], report
         )
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -13,18 +13,14 @@
 from collections.abc import Callable, Iterable
 from itertools import count
 
-from sailhitch.interface import (
-    BUSY,
-    CHANGES,
-    ERROR,
-    OK,
-    READY,
-    RESTORED,
-    TIMEOUT,
-    Listed,
-    Report,
-)
 from sailhitch.policy import Gateway
+from sailhitch.policy_interface import (
+    AttemptOutcome,
+    Endpoint,
+    EndpointState,
+    LoadReport,
+    WatchEventKind,
+)
 from sailhitch.settings import parse_settings
 from tests.fake import MS, SAFE, UNSAFE, S, settings_value
 
@@ -48,8 +44,16 @@
         age = min(1.0, (now - self.boot) / COLD) if self.boot else 1.0
         return COLD_SHARE + (1.0 - COLD_SHARE) * age
 
-    def listed(self) -> Listed:
-        return Listed(self.name, 1.0, 0, 0, "draining" if self.draining else READY, self.boot, 0)
+    def listed(self) -> Endpoint:
+        return Endpoint(
+            self.name,
+            1.0,
+            0,
+            0,
+            EndpointState.DRAINING if self.draining else EndpointState.READY,
+            self.boot,
+            0,
+        )
 
 
 class Member:
@@ -106,7 +110,7 @@
         entries = [host.listed() for host in self.hosts.values()]
         for member in self.members:
             member.gateway.start(self.now)
-            member.gateway.members(self.now, RESTORED, entries)
+            member.gateway.on_watch_event(self.now, WatchEventKind.RESTORED, entries)
 
     def at(self, when: int, what: Callable[[], None]) -> None:
         heapq.heappush(self._due, (max(when, self.now), next(self._order), what))
@@ -120,7 +124,7 @@
     def tell(self, hosts: Iterable[Host]) -> None:
         entries = [host.listed() for host in hosts]
         for member in self.members:
-            member.gateway.members(self.now, CHANGES, entries)
+            member.gateway.on_watch_event(self.now, WatchEventKind.CHANGES, entries)
 
     def arrive(self, member: Member, req: int, attempt: int, host: Host, timeout: int) -> None:
         sent = self.now
@@ -130,29 +134,38 @@
         queue = 0.0 if host.draining else float(max(0, host.held - 8))
         if full:
             host.turned_away += 1
-            done, status = sent + MS, BUSY
+            done, status = sent + MS, AttemptOutcome.BUSY
         else:
             host.held += 1
             self.effects[req] += req in self.unsafe
             work = self.random.expovariate(1.0 / WORK) / host.capacity(sent)
             host.free_at = max(host.free_at, sent) + int(work)
-            done, status = host.free_at + MS, OK if self.random.random() < 0.98 else ERROR
+            done, status = (
+                host.free_at + MS,
+                AttemptOutcome.OK if self.random.random() < 0.98 else AttemptOutcome.ERROR,
+            )
 
         def leave() -> None:
             host.held -= not full
 
         def end() -> None:
             gateway = member.gateway
-            self.ends[req] += status == OK and req in gateway.live
-            closed = status == OK or req not in gateway.live
+            self.ends[req] += status == AttemptOutcome.OK and req in gateway.open_requests
+            closed = status == AttemptOutcome.OK or req not in gateway.open_requests
             gateway.outcome(
-                self.now, req, attempt, status, closed, self.now - sent, host.name,
-                Report(queue, float(WORK), float(host.held)),
-            )  # fmt: skip
+                self.now,
+                req,
+                attempt,
+                status,
+                closed,
+                self.now - sent,
+                host.name,
+                LoadReport(queue, float(WORK), float(host.held)),
+            )
 
         self.at(done, leave)
         if timeout and done > sent + timeout:
-            done, status = sent + timeout, TIMEOUT
+            done, status = sent + timeout, AttemptOutcome.TIMEOUT
         self.at(done, end)
 
     def run(self, seconds: float, rate: float) -> None:
--- a/tests/generations.py
+++ b/tests/generations.py
@@ -81,16 +81,25 @@
         operator = f"127.0.0.1:{free_port()}"
         told = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
         told |= {
-            "EDGE_CONFIG": str(self.path), "EDGE_NAME": "n0", "EDGE_LISTEN": self.addr,
-            "EDGE_DISCOVERY": self.discovery, "EDGE_OPERATOR": operator,
-            "EDGE_SOCKET_FD": str(self.sock.fileno()), "TMPDIR": str(self.folder),
-        }  # fmt: skip
+            "EDGE_CONFIG": str(self.path),
+            "EDGE_NAME": "n0",
+            "EDGE_LISTEN": self.addr,
+            "EDGE_DISCOVERY": self.discovery,
+            "EDGE_OPERATOR": operator,
+            "EDGE_SOCKET_FD": str(self.sock.fileno()),
+            "TMPDIR": str(self.folder),
+        }
         log = self.folder / f"log{len(self.all)}"
         with log.open("wb") as file:
             program = await asyncio.create_subprocess_exec(
-                sys.executable, "-B", "-m", "sailhitch", env=told | env, stderr=file,
+                sys.executable,
+                "-B",
+                "-m",
+                "sailhitch",
+                env=told | env,
+                stderr=file,
                 pass_fds=(self.sock.fileno(),),
-            )  # fmt: skip
+            )
         made = Generation(program, operator, log)
         self.all.append(made)
         return made
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,9 @@
 """Tests that fail for a real fault that is not mended yet, as `KNOWN-RED.txt` lists them.
 
 A line has the test's identifier, the command and seed that show the fault, what was seen, and the
-issue, separated by ` | `; empty lines and those that begin with `#` are comments. Such a test is expected to fail: it runs, the run passes over its
-failure and prints it, and a run in which it passes fails, so that the line is taken out.
+issue, separated by ` | `; empty lines and those that begin with `#` are comments. Such a test is
+expected to fail: it runs, the run passes over its failure and prints it, and a run in which it
+passes fails, so that the line is taken out.
 """
 
 from __future__ import annotations
--- a/tests/operator_files.py
+++ b/tests/operator_files.py
@@ -98,7 +98,9 @@
         ],
         "classes": [
             {
-                "name": f"c{i}", "effect": draw(effects), "aim": "1s",
+                "name": f"c{i}",
+                "effect": draw(effects),
+                "aim": "1s",
                 "deadline": draw(st.sampled_from(["2s", "2500ms"])),
             }
             for i in classes
@@ -106,4 +108,4 @@
         "tenants": [{"name": f"t{i}", "share": draw(st.sampled_from([0.1, 0.5]))} for i in tenants],
         "pools": [{"name": f"p{i}", "nodes": nodes(draw, i, 4)} for i in pools],
         "routes": routes,
-    }  # fmt: skip
+    }
