--- a/tests/test_tier_recovery.py
+++ b/tests/test_tier_recovery.py
@@ -21,19 +21,26 @@
 import msgspec
 import pytest
 
-from sailhitch.model.story import Event, Story, broken, draw_with_death, shrink, tell
+from sailhitch.model.invariants import InvariantViolationError
+from sailhitch.model.scenario import (
+    Event,
+    Scenario,
+    draw_scenario_with_death,
+    find_violation,
+    format_scenario,
+    shrink,
+)
 from sailhitch.model.tier import TierProcess, World
-from sailhitch.model.truth import BrokenError
 from sailhitch.tier.messages import (
     Accept,
     Ballot,
-    Decided,
-    Head,
+    ChosenState,
     ReadReply,
+    RegisterState,
     UnfinishedRound,
     Version,
 )
-from sailhitch.tier.proposer import Reading
+from sailhitch.tier.proposer import QuorumRead
 from sailhitch.tier.register import Acceptor, Vote
 
 S = 1_000_000
@@ -41,8 +48,11 @@
 KILLED = 40  # proposers killed after each kind of change
 
 # What is left of seed 100328 when all is cut out that it breaks a promise without.
-LEFT_AND_BACK = Story(
-    100_328, 6, 3, None,
+LEFT_AND_BACK = Scenario(
+    100_328,
+    6,
+    3,
+    None,
     (
         Event(4425774, "pause", (4,), 3660760, 0.8503931865564057),
         Event(4465926, "part", (3, 0, 1, 2, 4), 1452937, 0.4000087011041249),
@@ -59,7 +69,7 @@
         Event(14765264, "loss", (3,), 1999494, 0.38640878723776717),
         Event(15063754, "leave", (0,), 1566837, 0.6259817162889815),
     ),
-)  # fmt: skip
+)
 
 
 def test_a_member_that_left_and_came_back_acts_by_no_withdrawn_rules() -> None:
@@ -68,7 +78,7 @@
     for flip in (0, 2, 4, 5):
         more = Event(19 * S, "part", (0,), 8 * S), Event(int(19.5 * S), "propose", (1,), 0, flip)
         story = msgspec.structs.replace(LEFT_AND_BACK, events=(*LEFT_AND_BACK.events, *more))
-        found[flip] = broken(story)
+        found[flip] = find_violation(story)
     assert found == {0: None, 2: None, 4: None, 5: None}
 
 
@@ -103,7 +113,7 @@
 
 def test_a_voter_tells_of_rounds_that_it_promised_and_accepted_nothing_after() -> None:
     version = Version(1, 0, "a", "g1", "", 0, "c")
-    head = Head(1, 1, 1, version, None, "r")
+    head = RegisterState(1, 1, 1, version, None, "r")
     first, second, third = Ballot(1, "g1", 0), Ballot(2, "g1", 0), Ballot(3, "g2", 0)
     acceptor = Acceptor("v1", ("v1",), None)
 
@@ -117,11 +127,11 @@
     acceptor.prepare(second)
     acceptor.prepare(third)
     assert unfinished() == ["g1", "g2"]
-    acceptor.learn(Decided(second, head))
+    acceptor.learn(ChosenState(second, head))
     assert unfinished() == ["g2"]
     kept = msgspec.msgpack.decode(msgspec.msgpack.encode(acceptor.vote), type=Vote)
     assert Acceptor("v1", ("v1",), kept).has_unfinished("g2")
-    acceptor.mend(Ballot(4, "v1", 0), None, 0)  # what it had promised was lost
+    acceptor.recover(Ballot(4, "v1", 0), None, 0)  # what it had promised was lost
     assert unfinished() == ["g1", "g2", "g3"]
 
 
@@ -131,17 +141,17 @@
 
 
 def test_a_final_reading_counts_no_voter_with_an_unfinished_round() -> None:
-    decided = Decided(
-        Ballot(1, "g1", 0), Head(1, 1, 1, Version(1, 0, "a", "", "", 0, ""), None, "")
+    decided = ChosenState(
+        Ballot(1, "g1", 0), RegisterState(1, 1, 1, Version(1, 0, "a", "", "", 0, ""), None, "")
     )
     for final in (False, True):
-        reading = Reading(7, ("v1", "v2", "v3"), final)
-        reading.seen("v1", ReadReply(7, decided))
-        reading.seen("v2", UnfinishedRound(7, decided))
-        assert reading.found() == (None if final else decided)
-        assert reading.torn() is reading.has_unfinished() is final
-        reading.seen("v3", ReadReply(7, decided))
-        assert reading.found() == decided
+        reading = QuorumRead(7, ("v1", "v2", "v3"), final)
+        reading.on_reply("v1", ReadReply(7, decided))
+        reading.on_reply("v2", UnfinishedRound(7, decided))
+        assert reading.chosen() == (None if final else decided)
+        assert reading.is_inconclusive() is reading.has_unfinished() is final
+        reading.on_reply("v3", ReadReply(7, decided))
+        assert reading.chosen() == decided
 
 
 def _delay_accepts(world: World, sender: str, to: tuple[str, ...], delay: int) -> None:
@@ -159,8 +169,8 @@
 
 def _accepted_turn(world: World, voter: str) -> int:
     member = world.processes[voter].member
-    accepted = None if member is None or member.voter is None else member.voter.wants()
-    return 0 if accepted is None else accepted.head.turn
+    accepted = None if member is None or member.voter is None else member.voter.accepted_state()
+    return 0 if accepted is None else accepted.state.revision
 
 
 def _run_until(world: World, condition: Callable[[], bool], most: int = S) -> None:
@@ -178,7 +188,7 @@
 
 
 def _pose(process: TierProcess) -> None:
-    process.pose(7)
+    process.propose_traffic_policy(7)
 
 
 def _leave(process: TierProcess) -> None:
@@ -215,7 +225,7 @@
     try:
         world.kernel.run(world.kernel.now + 20 * S)
         world.check_known()
-    except BrokenError as error:
+    except InvariantViolationError as error:
         return str(error)
     return None
 
@@ -267,7 +277,7 @@
     process.start()
     member, began = process.member, world.kernel.now
     assert member is not None
-    _run_until(world, lambda: "g5" in member.prober.dead(), 120 * S)
+    _run_until(world, lambda: "g5" in member.prober.dead_members(), 120 * S)
     return (world.kernel.now - began) / S
 
 
@@ -283,10 +293,10 @@
 
 
 def _play(seed: int) -> tuple[int, str | None]:
-    return seed, broken(draw_with_death(seed))
+    return seed, find_violation(draw_scenario_with_death(seed))
 
 
 def test_the_promises_hold_where_a_member_dies_for_good() -> None:
     with ProcessPoolExecutor(2) as pool:
         found = [one for one in pool.map(_play, range(DEATHS), chunksize=5) if one[1]]
-    assert not found, tell(*shrink(draw_with_death(found[0][0])))
+    assert not found, format_scenario(*shrink(draw_scenario_with_death(found[0][0])))
--- a/tests/test_tier_rules.py
+++ b/tests/test_tier_rules.py
@@ -103,7 +103,7 @@
         name: {**cls, "dedup": draw(dedup), "window": draw(window)}
         for name, cls in state["classes"].items()
     }
-    return {**state, "classes": classes, "bans": {key: BAN for key in sorted(bans)}}
+    return {**state, "classes": classes, "bans": dict.fromkeys(sorted(bans), BAN)}
 
 
 @settings(max_examples=200)
--- a/tests/test_tier_switch.py
+++ b/tests/test_tier_switch.py
@@ -12,15 +12,15 @@
 import pytest
 import uvloop
 
-from sailhitch.core.exchange import Attempt
-from sailhitch.daemon.link import Link, LinkError
-from sailhitch.daemon.live import Decided
+from sailhitch.core.request_context import Attempt
 from sailhitch.daemon.rules import meet
 from sailhitch.daemon.state import State, from_file
+from sailhitch.daemon.state_applier import StateChange
+from sailhitch.daemon.tier_link import LinkError, TierLink
 from sailhitch.lab.message import build
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
-from sailhitch.settings import SAFE, UNSAFE
+from sailhitch.settings import Idempotency
 from sailhitch.tier.member import TierConfig
 from sailhitch.tier.wire import Keys
 from tests.daemons import ROUTES, Inside, file_value, inside, made, pool
@@ -42,7 +42,7 @@
 
 async def go(it: Inside, state: State, also: State | None, stamp: bytes, rules: int) -> None:
     serial = it.live.applied.serial
-    await it.live.change(Decided(state, "t", serial, None, False, stamp, also, rules))
+    await it.live.change(StateChange(state, "t", serial, None, False, stamp, also, rules))
 
 
 def routed(**pools: dict[str, float]) -> Routes:
@@ -109,16 +109,19 @@
             asked: list[str] = []
 
             def may_write(attempt: Attempt) -> bool:
-                assert attempt.exchange.kind is not None
-                asked.append(attempt.exchange.kind.effect)
-                return attempt.exchange.kind.effect == SAFE and attempt.exchange.rules == 1
+                assert attempt.request.request_class is not None
+                asked.append(attempt.request.request_class.idempotency)
+                return (
+                    attempt.request.request_class.idempotency == Idempotency.SAFE
+                    and attempt.request.rules_revision == 1
+                )
 
             it.live.pools["p"].may_write = may_write
             client = await it.client()
             answer = await ask(client, "POST", "/payouts/1")
             assert answer.startswith((b"HTTP/1.1 503", b"HTTP/1.1 502", b"HTTP/1.1 504"))
             assert a.seen == 0
-            assert UNSAFE in asked
+            assert Idempotency.UNSAFE in asked
             assert (await ask(client, "GET", "/x", name="g")).startswith(b"HTTP/1.1 200")
             assert a.seen == 1
 
@@ -151,19 +154,24 @@
     async def work() -> None:
         names, said = ("g1", "g2", "g3"), list[str]()
         places = {
-            "g1": ("127.0.0.1", free_port(socket.SOCK_DGRAM)), "g2": ("255.255.255.255", 9),
+            "g1": ("127.0.0.1", free_port(socket.SOCK_DGRAM)),
+            "g2": ("255.255.255.255", 9),
             "g3": ("127.0.0.1", free_port(socket.SOCK_DGRAM)),
-        }  # fmt: skip
-        link = Link(
-            TierConfig("g1", names, names), places, Keys(1, {1: b"k" * 32}), tmp_path,
-            lambda a: None, said.append,
-        )  # fmt: skip
+        }
+        link = TierLink(
+            TierConfig("g1", names, names),
+            places,
+            Keys(1, {1: b"k" * 32}),
+            tmp_path,
+            lambda a: None,
+            said.append,
+        )
         await link.start(None)
         await until(lambda: any("EACCES=" in one for one in said))
         assert link.member is not None
         membership = link.member.membership
-        beats = membership.mine.beats
-        await until(lambda: membership.mine.beats > beats + 1)
+        beats = membership.own_record.heartbeat
+        await until(lambda: membership.own_record.heartbeat > beats + 1)
         link.close()
 
     with asyncio.Runner(loop_factory=loop) as runner:
@@ -172,10 +180,10 @@
 
 def test_a_port_that_is_taken_is_told_with_its_field(tmp_path: Path) -> None:
     async def work() -> None:
-        def link(name: str) -> Link:
+        def link(name: str) -> TierLink:
             terms = TierConfig("g1", ("g1",), ("g1",))
             keys, here = Keys(1, {1: b"k" * 32}), {"g1": ("127.0.0.1", port)}
-            return Link(terms, here, keys, tmp_path / name, lambda a: None, lambda t: None)
+            return TierLink(terms, here, keys, tmp_path / name, lambda a: None, lambda t: None)
 
         port = free_port()
         one, other = link("a"), link("b")
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -13,25 +13,26 @@
 import msgspec
 import pytest
 
-from sailhitch.core.core import Core
+from sailhitch.core.core import GatewayCore
 from sailhitch.core.log import Log
-from sailhitch.daemon.link import Link
-from sailhitch.daemon.live import ApplyError, Live, bounds
-from sailhitch.daemon.live import Decided as LiveDecided
 from sailhitch.daemon.plan import MovedError, identity
 from sailhitch.daemon.schema import parse_text, parse_value
 from sailhitch.daemon.state import State, canonical, from_file
+from sailhitch.daemon.state_applier import ApplyError, StateApplier, resource_limits
+from sailhitch.daemon.state_applier import StateChange as LiveDecided
 from sailhitch.daemon.state_tree import StateTreeError, to_tree
-from sailhitch.daemon.store import Applied, Store
-from sailhitch.daemon.tiered import Tiered
+from sailhitch.daemon.store import AppliedState, Store
+from sailhitch.daemon.tier_link import TierLink
+from sailhitch.daemon.tier_source import TierStateSource
 from sailhitch.daemon.version_states import VersionStates
 from sailhitch.lab.ports import free_port
 from sailhitch.pages import Key, Tree, build
+from sailhitch.tier.config import MemberStatus
 from sailhitch.tier.content_store import ContentStore, digest_of, root_of, tree_digest
 from sailhitch.tier.disk import Disk
-from sailhitch.tier.effects import Acting
-from sailhitch.tier.member import KNOWN, Founding, Member, TierConfig
-from sailhitch.tier.messages import Decided
+from sailhitch.tier.effects import AppliedVersions
+from sailhitch.tier.member import CHOSEN_KEY, BootstrapVersion, Member, TierConfig
+from sailhitch.tier.messages import ChosenState
 from sailhitch.tier.wire import Keys
 from tests.daemons import file_value, made, outside, pool
 from tests.operator_files import FILE
@@ -147,14 +148,14 @@
 
 async def _found_by_whole_content(folder: Path, state: State, port: int) -> None:
     """A member's disk as the release before left it: its version is one whole content."""
-    acting: list[Acting] = []
+    acting: list[AppliedVersions] = []
     config = TierConfig("g1", ("g1",), ("g1",))
     here = {"g1": ("127.0.0.1", port)}
-    link = Link(config, here, KEYS, folder, acting.append, lambda text: None)
-    await link.start(Founding(canonical(state), 1, "first start"))
+    link = TierLink(config, here, KEYS, folder, acting.append, lambda text: None)
+    await link.start(BootstrapVersion(canonical(state), 1, "first start"))
     await until(lambda: bool(acting))
-    link.acted(acting[-1].turn)
-    await until(lambda: link.standing().name == "IN")
+    link.confirm_applied(acting[-1].revision)
+    await until(lambda: link.member_status() is MemberStatus.ACTIVE)
     link.close()
     await until(lambda: link._writing is None)
 
@@ -167,7 +168,7 @@
     disk = Disk(folder)
     kept = disk.load()
     disk.close()
-    return msgspec.msgpack.decode(kept[KNOWN], type=Decided).head.active.digest, kept
+    return msgspec.msgpack.decode(kept[CHOSEN_KEY], type=ChosenState).state.active.digest, kept
 
 
 def test_a_disk_of_the_release_before_starts_and_goes_on_as_a_tree(tmp_path: Path) -> None:
@@ -176,9 +177,11 @@
         (tmp_path / "keys").write_text(f"1 {(b'k' * 32).hex()}\n")
         value = file_value([pool("p", {"a": "127.0.0.1:9"})], port)
         value["tier"] = {
-            "name": "t", "key_file": str(tmp_path / "keys"), "voters": ["g1"],
+            "name": "t",
+            "key_file": str(tmp_path / "keys"),
+            "voters": ["g1"],
             "members": [{"name": "g1", "address": f"127.0.0.1:{udp}"}],
-        }  # fmt: skip
+        }
         old = file_value([pool("p", {"a": "127.0.0.1:9", "b": "127.0.0.1:10"})], port)
         state: State = {**_state_of(old), "listeners": {}}
         folder = tmp_path / "state" / "tier"
@@ -248,7 +251,7 @@
             refused.append(error)
             raise
 
-    async def change_often(tier: Tiered) -> None:
+    async def change_often(tier: TierStateSource) -> None:
         await tier._propose(_all_weighted(tier.base().state, 3.0), "other")
         for i in range(CHANGES):
             await tier.ban(f"p/n{i}", _ban(), "other")
@@ -283,14 +286,14 @@
 ) -> None:
     async def work() -> None:
         async with _tier_of_one(tmp_path) as tier:
-            may_go_on, change = asyncio.Event(), tier.live.change
+            may_go_on, change = asyncio.Event(), tier.state_applier.change
 
-            async def held(decided: LiveDecided) -> Applied:
+            async def held(decided: LiveDecided) -> AppliedState:
                 await may_go_on.wait()
                 return await change(decided)
 
             serial = tier.base().serial + 1
-            monkeypatch.setattr(tier.live, "change", held)
+            monkeypatch.setattr(tier.state_applier, "change", held)
             monkeypatch.setattr(
                 tier, "part", tier.part.model_copy(update={"agree_within": 300_000})
             )
@@ -299,34 +302,40 @@
             may_go_on.set()
             async with asyncio.timeout(15):
                 while tier.base().serial < serial:
-                    await tier.heard_from.wait()
+                    await tier.applied_event.wait()
             assert tier.base().state["nodes"]["p/n0"]["weight"] == 2.0
 
     asyncio.run(work())
 
 
 @contextlib.asynccontextmanager
-async def _tier_of_one(tmp_path: Path) -> AsyncIterator[Tiered]:
+async def _tier_of_one(tmp_path: Path) -> AsyncIterator[TierStateSource]:
     """A daemon in this process whose tier has no other member, and that is in it."""
     (tmp_path / "keys").write_text(f"1 {(b'k' * 32).hex()}\n")
     nodes = {f"n{i}": f"127.0.0.1:{9000 + i}" for i in range(NODES)}
     value = file_value([pool("p", nodes)], free_port())
     value["gateway"]["state_dir"] = str(tmp_path / "state")
     value["tier"] = {
-        "name": "t", "key_file": str(tmp_path / "keys"), "voters": ["g1"],
+        "name": "t",
+        "key_file": str(tmp_path / "keys"),
+        "voters": ["g1"],
         "members": [{"name": "g1", "address": f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"}],
-    }  # fmt: skip
+    }
     whole = made(value)
     assert whole.tier is not None
-    core = Core(bounds(whole.gateway, 1_000_000), asyncio.get_running_loop(), Log("g1"))
+    core = GatewayCore(
+        resource_limits(whole.gateway, 1_000_000), asyncio.get_running_loop(), Log("g1")
+    )
     folder = tmp_path / "state" / "tier"
     store = Store(folder, "g1")
-    live = Live(core, whole.gateway, store)
+    live = StateApplier(core, whole.gateway, store)
     core.begin()
-    tier = Tiered(live, whole.tier, KEYS, folder, None, Log("g1"))
+    tier = TierStateSource(live, whole.tier, KEYS, folder, None, Log("g1"))
     try:
         await tier.start(whole)
-        await until(lambda: tier.link.standing().name == "IN" and tier.base().serial == 1)
+        await until(
+            lambda: tier.link.member_status() is MemberStatus.ACTIVE and tier.base().serial == 1
+        )
         yield tier
     finally:
         live.stop_listening()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -13,7 +13,9 @@
 import pytest
 
 from sailhitch.net.config import parse_config
-from sailhitch.net.discovery import TOLD, Call
+from sailhitch.net.discovery_call import Call
+from sailhitch.net.discovery_timing import NOTIFY_WITHIN
+from sailhitch.policy_interface import EndpointState
 from tests.sockets import Registry, Server, Writer, answer, config_value, entry, gate, request
 from tests.virtual import eventually, play
 
@@ -44,7 +46,7 @@
 
 
 def _drained(it: Any) -> bool:
-    return bool(it.pool.listed["a"].listed.state == "draining")
+    return bool(it.pool.endpoints["a"].endpoint.state == EndpointState.DRAINING)
 
 
 def rules(grace: int, **more: Any) -> dict[str, Any]:
@@ -94,13 +96,13 @@
             Agent(("a", "127.0.0.1:9"), delay=1.5 if asked else 0.0) as agent,
             gate(("a", "127.0.0.1:9"), discovery=agent.addr, settings=rules(250_000, **more)) as it,
         ):
-            await eventually(lambda: it.discovery.settled.is_set())
+            await eventually(it.discovery.settled.is_set)
             await asyncio.sleep(4.0 + 0.4 * phase)
             agent.breaks += 1  # those that are open now never get an answer
             agent.drain("a", "127.0.0.1:9")
             fell = loop.time()
             await eventually(lambda: _drained(it))
-            assert loop.time() - fell < TOLD
+            assert loop.time() - fell < NOTIFY_WITHIN
 
     play(story())
 
@@ -193,7 +195,7 @@
                     shared.come_back()
                     back = loop.time()
                     await eventually(lambda: _drained(it))
-                    assert loop.time() - back < TOLD
+                    assert loop.time() - back < NOTIFY_WITHIN
 
     play(story())
 
@@ -213,7 +215,7 @@
                 ) as it:
                     started = loop.time()
                     await eventually(lambda: _drained(it))
-                    assert loop.time() - started < TOLD
+                    assert loop.time() - started < NOTIFY_WITHIN
 
     play(story())
 
@@ -252,7 +254,7 @@
                 await client.ask(request(f"r{number}"))
                 await asyncio.sleep(0.1)
             assert sent
-            assert max(sent) - back < TOLD + grace / 1e6
+            assert max(sent) - back < NOTIFY_WITHIN + grace / 1e6
             assert b.seen
 
     play(story())
@@ -283,7 +285,7 @@
             asked = len(registry.seen)
             await eventually(lambda: it.core.counters.bad_lists > 0 and len(registry.seen) > asked)
             assert b"after" not in registry.seen[asked]
-            assert list(it.pool.listed) == ["a"]
+            assert list(it.pool.endpoints) == ["a"]
             assert it.discovery.version == 5
 
     play(story())
@@ -296,7 +298,7 @@
             text = {"version": 7, "full": True, "servers": registry.entries}
             registry.raw = answer(json.dumps(text, indent=4).encode())
             async with gate(("a", "127.0.0.1:9"), discovery=registry.addr) as it:
-                await eventually(lambda: list(it.pool.listed) == ["b"])
+                await eventually(lambda: list(it.pool.endpoints) == ["b"])
                 assert it.core.counters.bad_lists == 0
 
     play(story())
@@ -318,12 +320,12 @@
             )
             slow = it.discovery.times
             it.platform.reconfigure(parse_config(value, {}))
-            assert it.discovery.asked
+            assert it.discovery.is_shared
             asked = len(registry.seen)
             await eventually(lambda: len(registry.seen) > asked + 1)  # nobody had to say so
             value["settings"]["discovery"] = "automatic"
             it.platform.reconfigure(parse_config(value, {}))
-            assert not it.discovery.asked
+            assert not it.discovery.is_shared
             assert it.discovery.times.call < slow.call
             assert before.settings.rules.drain_grace > 200_000
 
@@ -339,12 +341,12 @@
             gate(("a", "127.0.0.1:9"), discovery=registry.addr) as it,
         ):
             await eventually(lambda: it.discovery.version == 1)
-            assert it.pool.listed["a"].listed.zone == 0
+            assert it.pool.endpoints["a"].endpoint.zone == 0
             value = config_value(registry.addr, settings={"zones": ["y", "z"]})
             value["settings"]["dcs"] = ["y", "z"]
             asked = len(registry.seen)
             it.platform.reconfigure(parse_config(value, {}))
-            await eventually(lambda: it.pool.listed["a"].listed.zone == 1)
+            await eventually(lambda: it.pool.endpoints["a"].endpoint.zone == 1)
             assert any(b"after" not in one for one in registry.seen[asked:])
 
     play(story())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -99,9 +99,11 @@
     for seed in ("0", "1", "4711"):
         done = subprocess.run(
             [sys.executable, "-B", "-m", "sailhitch.adapter"],
-            input=text.encode(), capture_output=True, check=True,
+            input=text.encode(),
+            capture_output=True,
+            check=True,
             env=os.environ | {"PYTHONHASHSEED": seed},
-        )  # fmt: skip
+        )
         outs.append(done.stdout)
     assert outs[0] == outs[1] == outs[2]
     assert outs[0].count(b"relay") > 100
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from sailhitch.core.core import Core
+from sailhitch.core.core import GatewayCore
 from sailhitch.lab.message import build
 from sailhitch.lab.node import Fault, Memory, Node, doubled
 from sailhitch.lab.ports import free_port
@@ -19,8 +19,11 @@
 from tests.sockets import PATIENCE, Client, Gate, Registry, dial, entry, gate, until
 
 # What each kind is called on the platform, and by which path the daemon's routes know it.
-KINDS = {"safe": ("pure-all", "/x"), "unsafe": ("side_effect-all", "/payouts"),
-         "keyed": ("token-all", "/claims")}  # fmt: skip
+KINDS = {
+    "safe": ("pure-all", "/x"),
+    "unsafe": ("side_effect-all", "/payouts"),
+    "keyed": ("token-all", "/claims"),
+}
 COLD = 3.0  # s
 
 
@@ -38,7 +41,7 @@
 class Wiring:
     """A gateway whose nodes can be drained and added."""
 
-    core: Core
+    core: GatewayCore
     addr: str
 
     async def client(self) -> Client:
@@ -64,11 +67,11 @@
     async def drain(self, name: str) -> None:
         (old,) = [one for one in self.registry.entries if one["id"] == name]
         self._news({**old, "state": "leaving"})
-        await until(lambda: self.it.pool.listed[name].listed.state == "draining")
+        await until(lambda: self.it.pool.endpoints[name].endpoint.state == "draining")
 
     async def add(self, name: str, node: Node) -> None:
         self._news(entry(name, node.addr) | {"started_ms": int(time.time() * 1000)})
-        await until(lambda: name in self.it.pool.listed)
+        await until(lambda: name in self.it.pool.endpoints)
 
 
 class Daemon(Wiring):
@@ -92,7 +95,7 @@
         Registry(*((name, node.addr) for name, node in nodes.items())) as registry,
         gate(discovery=registry.addr, settings={"rules": rules}) as it,
     ):
-        await until(lambda: set(it.pool.listed) == set(nodes))
+        await until(lambda: set(it.pool.endpoints) == set(nodes))
         yield Platform(it, registry)
 
 
@@ -145,7 +148,7 @@
             client.send(message(kind, f"r{i}", 800))
         answers = [await client.answer() for client in clients]
         assert time.monotonic() - started < 5.0
-        await until(lambda: not it.core.live)
+        await until(lambda: not it.core.open_requests)
         for client in clients:
             client.writer.write_eof()
             assert await client.rest() == b""  # no second answer
@@ -236,7 +239,7 @@
                 each = (sum(node.seen for node in nodes.values()) - sum(others)) / 3
                 # At first it may have 0.3 of what one of the others has, and by now little more.
                 assert 0 < new.seen - began < 0.7 * each
-                assert not new.fell
+                assert not new.overloaded_at
                 going = False
                 await asyncio.sleep(0.1)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,29 +13,29 @@
 from hypothesis import strategies as st
 
 from sailhitch.model.tier import World
-from sailhitch.tier.effects import End
-from sailhitch.tier.line import Step, pose
+from sailhitch.tier.effects import ProposalResult
+from sailhitch.tier.transitions import Transition, propose_traffic_policy
 from sailhitch.zones import evidence, rollout
 from sailhitch.zones.controller import (
     HOUR,
     Nodes,
     ZoneController,
     ZoneTerms,
-    all_renewed,
-    all_unused,
+    all_inactive_nodes,
+    all_retried_nodes,
 )
 from sailhitch.zones.diagnosis import Finding, Kind, Report, diagnose, sick
-from sailhitch.zones.health_tracker import FORGOTTEN, Sight, ZoneHealth
-from sailhitch.zones.posture import (
-    NOTHING,
-    Posture,
-    PostureError,
+from sailhitch.zones.health_tracker import OUTCOME_TTL, ZoneHealth, ZoneObservation
+from sailhitch.zones.rollout import FIRST, MOST_RELAPSES, NEEDED, SURE_BAD, StepOutcomes, judge
+from sailhitch.zones.traffic_policy import (
+    EMPTY_POLICY,
+    TrafficPolicy,
+    TrafficPolicyError,
     ZoneOrder,
-    in_use,
-    read,
-    unused,
+    active_node_count,
+    decode,
+    inactive_nodes,
 )
-from sailhitch.zones.rollout import FIRST, MOST_RELAPSES, NEEDED, SURE_BAD, Since, judge
 
 S = 1_000_000
 STEP = 2 * S
@@ -55,40 +55,42 @@
 @given(st.floats(0, 0.99), st.floats(0, 0.99), st.integers(0, 40))
 def test_a_larger_share_has_all_nodes_of_a_smaller_one(a: float, b: float, count: int) -> None:
     nodes = {f"n{i}": "z" for i in range(count)} | {"other": "y"}
-    small, large = (unused(Posture({"z": _order(share=s)}), nodes) for s in sorted((a, b)))
+    small, large = (
+        inactive_nodes(TrafficPolicy({"z": _order(share=s)}), nodes) for s in sorted((a, b))
+    )
     assert large <= small
     assert "other" not in small
-    assert len(small) == count - in_use(min(a, b), count)
-    assert in_use(0.001, count) == min(1, count)
+    assert len(small) == count - active_node_count(min(a, b), count)
+    assert active_node_count(0.001, count) == min(1, count)
 
 
 def test_a_share_is_one_of_each_pool() -> None:
     nodes = {"a": {f"a/{i}": "z" for i in range(10)}, "b": {f"b/{i}": "z" for i in range(3)}}
-    out = all_unused(Posture({"z": _order(share=0.4)}), nodes)
+    out = all_inactive_nodes(TrafficPolicy({"z": _order(share=0.4)}), nodes)
     assert [sum(name in out for name in here) for here in nodes.values()] == [6, 1]
 
 
 def test_only_what_is_tried_anew_is_renewed_and_only_what_is_in_use() -> None:
-    old, nodes = Posture({"z1": _order(share=0.2)}), {"p": NODES}
-    again = Posture({"z1": _order(share=0.2, round=1)})
+    old, nodes = TrafficPolicy({"z1": _order(share=0.2)}), {"p": NODES}
+    again = TrafficPolicy({"z1": _order(share=0.2, attempt=1)})
     here = {name for name, zone in NODES.items() if zone == "z1"}
-    assert all_renewed(old, again, nodes) == here - all_unused(again, nodes)
-    for new in (old, Posture({"z1": _order(share=0.4, step=2, round=1)}), NOTHING):
-        assert all_renewed(old, new, nodes) == frozenset()
+    assert all_retried_nodes(old, again, nodes) == here - all_inactive_nodes(again, nodes)
+    for new in (old, TrafficPolicy({"z1": _order(share=0.4, step=2, attempt=1)}), EMPTY_POLICY):
+        assert all_retried_nodes(old, new, nodes) == frozenset()
 
 
 @pytest.mark.parametrize(
-    "content", [b"", b"[]", b'{"zones":{"z":{}}}', Posture({"z": _order(share=1.5)}).content()]
+    "content", [b"", b"[]", b'{"zones":{"z":{}}}', TrafficPolicy({"z": _order(share=1.5)}).encode()]
 )
 def test_a_posture_that_is_none_is_told(content: bytes) -> None:
-    with pytest.raises(PostureError):
-        read(content)
+    with pytest.raises(TrafficPolicyError):
+        decode(content)
 
 
 @given(st.dictionaries(st.sampled_from("abc"), st.floats(0, 0.99)), st.text(max_size=5))
 def test_a_posture_is_read_as_it_was_written(shares: dict[str, float], held: str) -> None:
-    made = Posture({name: _order(share=share) for name, share in shares.items()}, held)
-    assert read(made.content()) == made
+    made = TrafficPolicy({name: _order(share=share) for name, share in shares.items()}, held)
+    assert decode(made.encode()) == made
 
 
 # --- The rollout
@@ -105,9 +107,9 @@
         ({}, 0, (SURE_BAD - 1, SURE_BAD - 1), None, ""),  # too few to tell
         ({}, STEP, (SURE_BAD * 10, SURE_BAD), 0.2, "failed at"),  # a tenth may
         ({"share": 0.4}, 0, (50, 20), 0.2, "relapse"),
-        ({"share": 0.0, "relapses": 1}, 2 * STEP - 1, (0, 0), None, ""),  # twice as long
-        ({"share": 0.0, "relapses": 1}, 2 * STEP, (0, 0), FIRST, "once more"),
-        ({"relapses": MOST_RELAPSES}, 0, (50, 50), 0.0, "left to an operator"),
+        ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP - 1, (0, 0), None, ""),  # twice as long
+        ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP, (0, 0), FIRST, "once more"),
+        ({"failed_recoveries": MOST_RELAPSES}, 0, (50, 50), 0.0, "left to an operator"),
         ({"phase": "out", "share": 0.0}, 1 << 60, (0, 0), None, ""),  # operators return
     ],
 )
@@ -115,7 +117,7 @@
     changes: dict[str, Any], age: int, since: tuple[int, int], share: float | None, told: str
 ) -> None:
     order = _order(**changes)
-    found = judge(order, age, Since(*since))
+    found = judge(order, age, StepOutcomes(*since))
     if share is None:
         assert found is None
         return
@@ -125,14 +127,14 @@
     assert (1.0 if after is None else after.share) == pytest.approx(share)
     if after is not None and after.phase == "returning":
         assert (after.step > order.step) is (after.share != order.share)
-        assert after.relapses == order.relapses + why.startswith("relapse")
+        assert after.failed_recoveries == order.failed_recoveries + why.startswith("relapse")
 
 
 def test_a_course_without_a_failure_ends_after_five_steps() -> None:
     order, shares = rollout.begin(rollout.leave("ada", ""), STEP, "ada", ""), []
     while True:
         shares.append(order.share)
-        found = judge(order, STEP, Since(100, 0))
+        found = judge(order, STEP, StepOutcomes(100, 0))
         assert found is not None
         if found[0] is None:
             break
@@ -143,8 +145,8 @@
 # --- The evidence
 
 
-def _words(*counts: tuple[int, int], step: int = 1) -> list[evidence.Word]:
-    return [evidence.Word({"z": (step, ended, failed)}) for ended, failed in counts]
+def _words(*counts: tuple[int, int], step: int = 1) -> list[evidence.ZoneHealthReport]:
+    return [evidence.ZoneHealthReport({"z": (step, ended, failed)}) for ended, failed in counts]
 
 
 @pytest.mark.parametrize(
@@ -157,85 +159,94 @@
     ],
 )
 def test_no_single_gateway_moves_the_sum(
-    words: list[evidence.Word], since: tuple[int, int]
+    words: list[evidence.ZoneHealthReport], since: tuple[int, int]
 ) -> None:
-    assert evidence.fleet(words, "z", 1) == Since(*since)
+    assert evidence.aggregate(words, "z", 1) == StepOutcomes(*since)
 
 
 @pytest.mark.parametrize(
     "word", [b"", b"\x00", msgspec.msgpack.encode([{"z": [1, 2, 3]}]), b"x" * 5000]
 )
 def test_a_word_that_cannot_be_is_none(word: bytes) -> None:
-    assert evidence.read(word) is None
+    assert evidence.decode(word) is None
 
 
 def test_counts_belong_to_a_step_and_outlast_a_round_of_it() -> None:
     tally = evidence.OutcomeCounts()
-    tally.saw("z", True)
+    tally.record("z", True)
     assert tally.counts() == {}
-    for order, ended in ((_order(), 1), (_order(round=1), 2), (_order(step=2), 1)):
-        tally.goes_by(Posture({"z": order}))
-        tally.saw("z", True)
+    for order, ended in ((_order(), 1), (_order(attempt=1), 2), (_order(step=2), 1)):
+        tally.apply(TrafficPolicy({"z": order}))
+        tally.record("z", True)
         assert tally.counts() == {"z": (order.step, ended, ended)}
 
 
 def test_a_word_fits_twelve_times_into_a_datagram_and_keeps_what_fails() -> None:
-    sights = {f"zone-{i:060}": Sight(9, i, 0) for i in range(9)}
-    word = evidence.Word({"z": (1, 2, 0)}, "z", sights)
-    said = evidence.write(word)
-    assert len(said) <= evidence.LARGEST
-    made = evidence.read(said)
+    sights = {f"zone-{i:060}": ZoneObservation(9, i, 0) for i in range(9)}
+    word = evidence.ZoneHealthReport({"z": (1, 2, 0)}, "z", sights)
+    said = evidence.encode(word)
+    assert len(said) <= evidence.MAX_REPORT_BYTES
+    made = evidence.decode(said)
     assert made is not None
-    assert made.zones == word.zones
-    assert f"zone-{8:060}" in made.sights
-    assert evidence.write(evidence.Word({})) == b""
+    assert made.counts == word.counts
+    assert f"zone-{8:060}" in made.observations
+    assert evidence.encode(evidence.ZoneHealthReport({})) == b""
 
 
 # --- Operators
 
 
-def _controller(posture: Posture = NOTHING, nodes: Nodes = POOLS, **terms: Any) -> ZoneController:
+def _controller(
+    posture: TrafficPolicy = EMPTY_POLICY, nodes: Nodes = POOLS, **terms: Any
+) -> ZoneController:
     controller = ZoneController(ZoneTerms(1, STEP, **terms), random.Random(1))
-    controller.goes_by(1, posture, nodes, 0)
+    controller.apply(1, posture, nodes, 0)
     return controller
 
 
 @pytest.mark.parametrize(
     ("posture", "act", "zone", "said"),
     [
-        (NOTHING, "leave", "z9", "no node is in a zone called 'z9'"),
-        (NOTHING, "return", "z1", "was not left"),
-        (NOTHING, "explode", "z1", "not known"),
-        (NOTHING, "release", "", "nothing to do"),
+        (EMPTY_POLICY, "leave", "z9", "no node is in a zone called 'z9'"),
+        (EMPTY_POLICY, "return", "z1", "was not left"),
+        (EMPTY_POLICY, "explode", "z1", "not known"),
+        (EMPTY_POLICY, "release", "", "nothing to do"),
         (
-            Posture({"z1": rollout.leave("a", "")}),
+            TrafficPolicy({"z1": rollout.leave("a", "")}),
             "leave",
             "z2",
             r"2 zones would be out \(z1, z2\)",
         ),
-        (Posture({"z1": BACK, "z0": BACK}), "leave", "z2", "no zone would be in use as a whole"),
+        (
+            TrafficPolicy({"z1": BACK, "z0": BACK}),
+            "leave",
+            "z2",
+            "no zone would be in use as a whole",
+        ),
     ],
 )
 def test_what_cannot_be_asked_is_told_with_the_next_step(
-    posture: Posture, act: str, zone: str, said: str
+    posture: TrafficPolicy, act: str, zone: str, said: str
 ) -> None:
-    with pytest.raises(PostureError, match=said):
-        _controller(posture).asked(act, zone, "", "ada", None)
+    with pytest.raises(TrafficPolicyError, match=said):
+        _controller(posture).operator_request(act, zone, "", "ada", None)
 
 
 def test_no_pool_is_left_without_nodes() -> None:
     pools = {"p": NODES, "small": {"small/a": "z1"}}
-    with pytest.raises(PostureError, match="pool 'small' has no nodes outside of zone 'z1'"):
-        _controller(nodes=pools).asked("leave", "z1", "", "ada", None)
+    with pytest.raises(TrafficPolicyError, match="pool 'small' has no nodes outside of zone 'z1'"):
+        _controller(nodes=pools).operator_request("leave", "z1", "", "ada", None)
 
 
 def test_who_holds_keeps_what_is_and_an_operators_word_goes_on() -> None:
-    controller = _controller(Posture({"z1": BACK}))
-    words = controller.hear({"g2": evidence.write(evidence.Word({"z1": (1, 100, 0)}))})
+    controller = _controller(TrafficPolicy({"z1": BACK}))
+    words = controller.on_reports(
+        {"g2": evidence.encode(evidence.ZoneHealthReport({"z1": (1, 100, 0)}))}
+    )
     assert controller.look(10 * S, words) is not None
-    controller.goes_by(2, controller.asked("hold", "", "", "ada", None), POOLS, 10 * S)
+    controller.apply(2, controller.operator_request("hold", "", "", "ada", None), POOLS, 10 * S)
     assert controller.look(60 * S, words) is None
-    assert controller.asked("leave", "z1", "", "ada", None).zones["z1"].phase == "out"
+    assert controller.operator_request("leave", "z1", "", "ada", None).zones["z1"].phase == "out"
 
 
 # --- A fleet
@@ -244,9 +255,16 @@
 def _fleet(members: int = 9, seed: int = 1, loss: float = 0.0, act: bool = False) -> World:
     nodes = {str(i): f"z{i % 3}" for i in range(12)}
     world = World(
-        seed, members, min(5, members), every=S // 50, first=range(12), acts=12, zones=nodes,
-        step=STEP, act=act,
-    )  # fmt: skip
+        seed,
+        members,
+        min(5, members),
+        every=S // 50,
+        first=range(12),
+        acts=12,
+        zones=nodes,
+        step=STEP,
+        act=act,
+    )
     world.start()
     world.kernel.run(8 * S)
     world.network.loss = loss
@@ -263,7 +281,7 @@
 def _ask(world: World, name: str, act: str, zone: str) -> None:
     process = world.processes[name]
     assert process.controller is not None
-    process.pose_zones(process.controller.asked(act, zone, "", "ada", None))
+    process.pose_zones(process.controller.operator_request(act, zone, "", "ada", None))
 
 
 def _out(world: World, zone: str) -> list[int]:
@@ -304,7 +322,9 @@
     _go_on(world, 60, lambda: least.append(min(_out(world, "z1"))))
     assert min(least) == 3  # no more than the one node of the first step
     relapses = [
-        p.controller.posture.zones["z1"].relapses for p in world.processes.values() if p.controller
+        p.controller.traffic_policy.zones["z1"].failed_recoveries
+        for p in world.processes.values()
+        if p.controller
     ]
     assert min(relapses) >= 2
     world.frozen.clear()
@@ -316,7 +336,7 @@
     world = _fleet()
     sick = world.processes["g5"].controller
     assert sick is not None
-    monkeypatch.setattr(sick, "saw", functools.partial(_as_failed, sick.saw))
+    monkeypatch.setattr(sick, "record", functools.partial(_as_failed, sick.record))
     _ask(world, "g1", "leave", "z1")
     _go_on(world, 2)
     _ask(world, "g1", "return", "z1")
@@ -333,7 +353,7 @@
     _ask(world, "g2", "leave", "z2")
     _go_on(world, 2)
     assert _out(world, "z2") == [4] * 6
-    head = world.truth.latest
+    head = world.checker.latest
     assert head is not None
     assert head.pending is not None
     for name in ("g7", "g8", "g9"):
@@ -359,8 +379,8 @@
 # --- What a zone is taken for
 
 SIZES = {"z0": 10, "z1": 10, "z2": 10}
-GOOD, BAD, HALF = Sight(10, 0, 0), Sight(10, 10, 0), Sight(10, 4, 0)
-Row = tuple[str, Sight, Sight, Sight]
+GOOD, BAD, HALF = ZoneObservation(10, 0, 0), ZoneObservation(10, 10, 0), ZoneObservation(10, 4, 0)
+Row = tuple[str, ZoneObservation, ZoneObservation, ZoneObservation]
 
 
 def _reports(*rows: Row) -> list[Report]:
@@ -386,21 +406,30 @@
         ([("z0", GOOD, GOOD, BAD), ("z1", GOOD, GOOD, GOOD)] * 2, (Kind.WELL, Kind.WELL, Kind.CUT)),
         ([("z0", GOOD, HALF, GOOD), ("z1", GOOD, HALF, GOOD)], (Kind.WELL, Kind.GRAY, Kind.WELL)),
         ([("z0", BAD, BAD, BAD), ("z1", BAD, BAD, BAD)], (Kind.EVERYWHERE,) * 3),
-        ([("z0", GOOD, Sight(10, 1, 8), GOOD)] * 2, (Kind.WELL, Kind.FULL, Kind.WELL)),
+        ([("z0", GOOD, ZoneObservation(10, 1, 8), GOOD)] * 2, (Kind.WELL, Kind.FULL, Kind.WELL)),
         # One that sees all fail is sick, and one that lies of one zone is outvoted.
         ([*ALL_WELL, ("z0", BAD, BAD, BAD)], (Kind.WELL, Kind.WELL, Kind.WELL)),
         # Who has not asked since most have seen it fail is no witness; at night few have asked.
-        ([*LOST_Z2, ("z2", GOOD, GOOD, Sight(10, 0, 0, 9))], (Kind.WELL, Kind.WELL, Kind.GONE)),
         (
-            [*LOST_Z2, *[("z2", GOOD, GOOD, Sight(10, 0, 0, 9))] * 4],
+            [*LOST_Z2, ("z2", GOOD, GOOD, ZoneObservation(10, 0, 0, 9))],
+            (Kind.WELL, Kind.WELL, Kind.GONE),
+        ),
+        (
+            [*LOST_Z2, *[("z2", GOOD, GOOD, ZoneObservation(10, 0, 0, 9))] * 4],
             (Kind.WELL, Kind.WELL, Kind.CUT),
         ),
         # The same of one who met a single bad node then; one who asks now is heard.
-        ([*LOST_Z2, ("z2", GOOD, GOOD, Sight(3, 1, 0, 7))], (Kind.WELL, Kind.WELL, Kind.GONE)),
-        ([*LOST_Z2, ("z2", GOOD, GOOD, Sight(3, 1, 0, 0))], (Kind.WELL, Kind.WELL, Kind.GRAY)),
-        ([*ALL_WELL * 2, ("z0", GOOD, GOOD, Sight(9999, 9999, 0))], (Kind.WELL,) * 3),
+        (
+            [*LOST_Z2, ("z2", GOOD, GOOD, ZoneObservation(3, 1, 0, 7))],
+            (Kind.WELL, Kind.WELL, Kind.GONE),
+        ),
+        (
+            [*LOST_Z2, ("z2", GOOD, GOOD, ZoneObservation(3, 1, 0, 0))],
+            (Kind.WELL, Kind.WELL, Kind.GRAY),
+        ),
+        ([*ALL_WELL * 2, ("z0", GOOD, GOOD, ZoneObservation(9999, 9999, 0))], (Kind.WELL,) * 3),
         # Nobody knows enough of it.
-        ([("z0", GOOD, GOOD, Sight(1, 1, 0))] * 2, (Kind.WELL, Kind.WELL, Kind.UNKNOWN)),
+        ([("z0", GOOD, GOOD, ZoneObservation(1, 1, 0))] * 2, (Kind.WELL, Kind.WELL, Kind.UNKNOWN)),
         ([("z0", GOOD, GOOD, GOOD)], (Kind.WELL, Kind.WELL, Kind.WELL)),
         ([], (Kind.UNKNOWN,) * 3),
     ],
@@ -422,7 +451,7 @@
     honest = data.draw(st.integers(4, 9))
     liars = data.draw(st.integers(1, honest // 2))
     sight = st.integers(1, 5000).flatmap(
-        lambda known: st.builds(Sight, st.just(known), st.integers(0, known), st.just(0))
+        lambda known: st.builds(ZoneObservation, st.just(known), st.integers(0, known), st.just(0))
     )
     rows: list[Row] = [("z0", GOOD, GOOD, GOOD)] * honest
     rows += [("z0", *(data.draw(sight) for _ in range(3))) for _ in range(liars)]
@@ -433,22 +462,22 @@
 def test_the_last_outcome_counts_until_it_is_forgotten() -> None:
     eyes, nodes = ZoneHealth(), {"a": "z", "b": "z", "c": "y"}
     for node, failed in (("a", True), ("a", False), ("b", True), ("gone", True)):
-        eyes.saw(node, failed, False, 5)
-    assert eyes.sights(nodes, 5) == {"z": Sight(2, 1, 0)}
+        eyes.record(node, failed, False, 5)
+    assert eyes.observations(nodes, 5) == {"z": ZoneObservation(2, 1, 0)}
     eyes.keep(nodes)
-    assert eyes.sights({**nodes, "gone": "y"}, 5) == {"z": Sight(2, 1, 0)}
-    eyes.saw("a", True, False, 6)
-    assert eyes.sights(nodes, 6) == {"z": Sight(2, 2, 0)}
+    assert eyes.observations({**nodes, "gone": "y"}, 5) == {"z": ZoneObservation(2, 1, 0)}
+    eyes.record("a", True, False, 6)
+    assert eyes.observations(nodes, 6) == {"z": ZoneObservation(2, 2, 0)}
     for at, (node, failed) in enumerate([("a", False), ("d", False), ("b", True)], 7):
-        eyes.saw(node, failed, False, at)
+        eyes.record(node, failed, False, at)
     wide = {**nodes, "d": "z"}
-    assert eyes.sights(wide, 10) == {"z": Sight(3, 1, 0)}
-    eyes.saw("a", True, False, 10)  # two have failed since anything there went well
-    assert eyes.sights(wide, 10) == {"z": Sight(2, 2, 0)}
-    eyes.saw("a", False, False, 11)
+    assert eyes.observations(wide, 10) == {"z": ZoneObservation(3, 1, 0)}
+    eyes.record("a", True, False, 10)  # two have failed since anything there went well
+    assert eyes.observations(wide, 10) == {"z": ZoneObservation(2, 2, 0)}
+    eyes.record("a", False, False, 11)
     eyes.forget(frozenset(["b", "d"]))
-    assert eyes.sights(nodes, 11 + 3 * S) == {"z": Sight(1, 0, 0, 3)}
-    assert eyes.sights(nodes, 12 + FORGOTTEN) == {}
+    assert eyes.observations(nodes, 11 + 3 * S) == {"z": ZoneObservation(1, 0, 0, 3)}
+    assert eyes.observations(nodes, 12 + OUTCOME_TTL) == {}
 
 
 # --- Leaving without an operator
@@ -481,7 +510,7 @@
     for name in sick:
         controller = world.processes[name].controller
         assert controller is not None
-        controller.saw = functools.partial(_as_failed, controller.saw)  # type: ignore[method-assign]
+        controller.record = functools.partial(_as_failed, controller.record)  # type: ignore[method-assign]
     world.frozen |= frozen
     _go_on(world, 20)
     for zone in ("z0", "z1", "z2"):
@@ -513,23 +542,23 @@
     assert set(_out(world, "z1") + _out(world, "z0")) == {0}
 
 
-def _said(*sights: Sight) -> dict[str, bytes]:
-    word = evidence.Word({}, "z0", dict(zip(SIZES, sights, strict=True)))
-    return dict.fromkeys(("g1", "g2"), evidence.write(word))
+def _said(*sights: ZoneObservation) -> dict[str, bytes]:
+    word = evidence.ZoneHealthReport({}, "z0", dict(zip(SIZES, sights, strict=True)))
+    return dict.fromkeys(("g1", "g2"), evidence.encode(word))
 
 
 def test_only_so_many_leaves_an_hour_without_an_operator() -> None:
     controller = _controller(act=True, leaves_an_hour=2)
-    words = controller.hear(_said(GOOD, GOOD, BAD))
+    words = controller.on_reports(_said(GOOD, GOOD, BAD))
     now, serial = 0, 1
     for _ in range(2):
         assert controller.leaving(now, words) is None  # it has to last
         found = controller.leaving(now + 2 * S, words)
         assert found is not None
-        for posture in (found[0], NOTHING):
+        for posture in (found[0], EMPTY_POLICY):
             serial, now = serial + 1, now + 10 * S
-            controller.goes_by(serial, posture, POOLS, now)
-            assert controller.leaving(now, controller.hear(_said(GOOD, GOOD, GOOD))) is None
+            controller.apply(serial, posture, POOLS, now)
+            assert controller.leaving(now, controller.on_reports(_said(GOOD, GOOD, GOOD))) is None
     assert controller.leaving(now, words) is None
     assert controller.leaving(now + 2 * S, words) is None
     assert controller.leaving(now + HOUR, words) is not None
@@ -537,7 +566,7 @@
 
 def test_who_only_advises_proposes_nothing_and_shows_what_it_finds() -> None:
     controller = _controller()
-    words = controller.hear(_said(GOOD, GOOD, BAD))
+    words = controller.on_reports(_said(GOOD, GOOD, BAD))
     assert [controller.leaving(at * S, words) for at in range(9)] == [None] * 9
     told = controller.status(9 * S, words)["zones"]["z2"]
     assert (told["finding"], told["sure"]) == ("gone", 1.0)
@@ -566,21 +595,23 @@
 
 
 def _believes_each(patch: Patch) -> None:
-    def fleet(words: Any, zone: str, step: int) -> Since:
-        found = [word.zones[zone] for word in words if zone in word.zones]
+    def fleet(words: Any, zone: str, step: int) -> StepOutcomes:
+        found = [word.counts[zone] for word in words if zone in word.counts]
         said = [(e, f) for its, e, f in found if its == step]
-        return Since(sum(e for e, _ in said), sum(f for _, f in said))
+        return StepOutcomes(sum(e for e, _ in said), sum(f for _, f in said))
 
-    patch.setattr(evidence, "fleet", fleet)
+    patch.setattr(evidence, "aggregate", fleet)
     patch.setattr(rollout, "SURE_BAD", 2)
 
 
 def _waits_for_what_is_pending(patch: Patch) -> None:
     def waiting(version: Any) -> Any:
-        change = pose(version)
-        return lambda now: Step(now, End.STALE) if now and now.pending else change(now)
+        change = propose_traffic_policy(version)
+        return lambda now: (
+            Transition(now, ProposalResult.STALE) if now and now.pending else change(now)
+        )
 
-    patch.setattr("sailhitch.tier.member.pose", waiting)
+    patch.setattr("sailhitch.tier.member.propose_traffic_policy", waiting)
 
 
 @pytest.mark.parametrize(
@@ -588,10 +619,12 @@
     [
         (_steps_without_evidence, test_a_zone_that_fails_again_is_not_returned_to_until_it_is_well),
         (_believes_any, functools.partial(_nobody_leaves, set(), ("g4",))),
-        (_waits_for_what_is_pending,
-         test_a_zone_is_left_while_a_change_waits_and_its_gateways_are_dead),
+        (
+            _waits_for_what_is_pending,
+            test_a_zone_is_left_while_a_change_waits_and_its_gateways_are_dead,
+        ),
     ],
-)  # fmt: skip
+)
 def test_each_safeguard_is_missed(
     mutation: Callable[[Patch], None], case: Callable[[], None], monkeypatch: Patch
 ) -> None:
