--- a/sailhitch/net/config.py
+++ b/sailhitch/net/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway: the environment and one JSON file, as typed values."""
+"""The platform's configuration: the environment and one JSON file, as typed values."""
 
 from __future__ import annotations
 
@@ -11,10 +11,7 @@
 from ..core.connection_settings import ConnectionSettings, idle_lifetime
 from ..core.endpoints import Address, EndpointAddress, EndpointUpdate, parse_host_port
 from ..core.resource_limits import ResourceLimits
-from ..policy_interface import (
-    Endpoint,
-    EndpointState,
-)
+from ..policy_interface import Endpoint, EndpointState
 from ..settings import Settings, SettingsError, parse_settings
 from .shape import Shape, bad_figures, misfits, shape_of
 
@@ -23,8 +20,13 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-# The settings and the load header do not name a report's values alike; both names are known. With
-# each stands what one of its unit is in the module's: times are microseconds there.
+DEFAULT_MEMORY_MB: Final = 192
+DEFAULT_DESCRIPTORS: Final = 1024
+MAX_CORES: Final = 1e6
+MAX_NAME_LENGTH: Final = 200
+MAX_NUMBER: Final = 1e15  # in an entry of the list
+# Settings and load header name a report's values differently, and both names are read. Each has the
+# value's name in `LoadReport`, and the factor to its unit.
 REPORT_NAMES: Final = {
     "queue": ("queue", 1.0),
     "depth": ("queue", 1.0),
@@ -45,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformNames:
-    """What of the settings concerns the sockets side only. Times are microseconds."""
+    """Names of the settings, and limits of connections. Times are microseconds."""
 
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
@@ -59,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a gateway is told at its start."""
+    """The configuration of a gateway."""
 
     name: str
     listen: Address
@@ -71,9 +73,9 @@
     known_endpoints: EndpointUpdate
     settings: Settings
     names: PlatformNames
-    operator: Address | None = None  # where the operators call
-    held_socket: int | None = None  # a descriptor on which clients' connections come, held for us
-    shape: Shape = ""  # of the file, which the next one must have too
+    operator: Address | None = None  # of the operators' endpoint
+    held_socket: int | None = None  # a listening descriptor that the platform holds
+    shape: Shape = ""  # of the file, which the next file must have too
 
     def limits(self) -> ResourceLimits:
         """Return what the process may use."""
@@ -87,14 +89,14 @@
         )
 
     def connection_settings(self) -> ConnectionSettings:
-        """Return how hosts are reached: a connection is kept for less than the host keeps it."""
+        """Return how to connect to hosts; they keep connections for longer than this process."""
         return ConnectionSettings(
             self.names.connect_timeout, idle_lifetime(self.names.idle_timeout)
         )
 
 
 def parse_address(field: str, text: Any) -> Address:
-    """`host:port` with a numeric IPv4 host, as there is no DNS."""
+    """Return the address of `host:port` with a numeric IPv4 host; raises ConfigError."""
     address = parse_host_port(text) if isinstance(text, str) else None
     if address is None:
         raise ConfigError(f"{field}: not an address like 10.0.0.1:3000: {str(text)[:80]!r}")
@@ -102,12 +104,12 @@
 
 
 def parse_entry(value: Any, wire: PlatformNames) -> EndpointAddress:
-    """One entry of discovery's list; raises EntryError."""
+    """Return one entry of discovery's list; raises EntryError."""
     if not isinstance(value, dict):
         raise EntryError("not an object")
     name = value.get("id")
     state = value.get("state")
-    if not isinstance(name, str) or not name or len(name) > 200:
+    if not isinstance(name, str) or not name or len(name) > MAX_NAME_LENGTH:
         raise EntryError("id: not a short text")
     if not isinstance(state, str) or state not in STATES:
         raise EntryError("state: not one of " + ", ".join(STATES))
@@ -118,7 +120,7 @@
         # JSON as Python reads it also knows NaN and Infinity.
         if isinstance(number, bool) or not isinstance(number, int | float):
             raise EntryError(f"{key}: not a number")
-        if not 0 <= number < 1e15:
+        if not 0 <= number < MAX_NUMBER:
             raise EntryError(f"{key}: out of range")
         numbers.append(number)
     weight, cell, started = numbers
@@ -240,59 +242,83 @@
     """
     if not isinstance(value, dict):
         raise ConfigError("EDGE_CONFIG: not a JSON object")
+    settings = _parse_settings(value)
+    limits = _object(value, "limits")
+    allowed = _object(value["settings"], "limits")
+    cores = _parse_cores(limits)
+    names = _parse_names(value["settings"], allowed, settings)
+    seed = _parse_seed(value)
+    known_endpoints = _parse_known_endpoints(value, names)
+    name = env.get("EDGE_NAME") or value.get("name")
+    if not isinstance(name, str) or not name:
+        raise ConfigError("EDGE_NAME: required and missing")
+    listen = env.get("EDGE_LISTEN") or value.get("listen")
+    discovery = env.get("EDGE_DISCOVERY") or value.get("discovery")
+    operator = env.get("EDGE_OPERATOR") or value.get("operator") or None
+    return Config(
+        name=name,
+        listen=parse_address("EDGE_LISTEN", listen),
+        discovery=parse_address("EDGE_DISCOVERY", discovery),
+        seed=seed,
+        cores=cores,
+        memory_mb=_whole(limits, "memory_mb", "limits", DEFAULT_MEMORY_MB),
+        descriptors=_whole(limits, "sockets", "limits", DEFAULT_DESCRIPTORS),
+        known_endpoints=known_endpoints,
+        settings=settings,
+        names=names,
+        operator=None if operator is None else parse_address("EDGE_OPERATOR", operator),
+        held_socket=_descriptor(env.get("EDGE_SOCKET_FD")),
+        shape=shape_of(value),
+    )
+
+
+def _parse_settings(value: dict[str, Any]) -> Settings:
     raw = value.get("settings")
     if raw is None:
         raise ConfigError("settings: required and missing")
     try:
-        settings = parse_settings(raw)
+        return parse_settings(raw)
     except SettingsError as error:
         raise ConfigError(f"settings: {error}") from None
-    limits = _object(value, "limits")
-    allowed = _object(raw, "limits")
+
+
+def _parse_cores(limits: Mapping[str, Any]) -> float:
     cores = limits.get("cores", 1.0)
-    if isinstance(cores, bool) or not isinstance(cores, int | float) or not 0 < cores < 1e6:
+    if isinstance(cores, bool) or not isinstance(cores, int | float) or not 0 < cores < MAX_CORES:
         raise ConfigError(f"limits.cores: not a number above 0: {cores!r}")
-    wire = PlatformNames(
+    return float(cores)
+
+
+def _parse_names(
+    raw: Mapping[str, Any], allowed: Mapping[str, Any], settings: Settings
+) -> PlatformNames:
+    """Return the names of zones, kinds, classes and tenants, and the limits of connections."""
+    return PlatformNames(
         zones={name: i for i, name in enumerate(_names(raw.get("dcs"), "settings.dcs"))},
-        kinds={n: i for i, n in enumerate(_names(raw.get("shapes"), "settings.shapes"))},
+        kinds={name: i for i, name in enumerate(_names(raw.get("shapes"), "settings.shapes"))},
         classes={c.name.encode(): i for i, c in enumerate(settings.classes)},
-        tenants={t.name.encode(): i for i, t in enumerate(settings.tenants)},
+        tenants={tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)},
         connect_timeout=_whole(allowed, "connectTimeout", "settings.limits", 250_000),
         idle_timeout=_whole(allowed, "connIdle", "settings.limits", 15_000_000),
         max_requests=_whole(allowed, "maxOpen", "settings.limits", 20_000),
         longest_deadline=max(c.deadline for c in settings.classes),
     )
+
+
+def _parse_seed(value: dict[str, Any]) -> int:
     seed = value.get("seed", "0")
     try:
-        number = int(seed, 16) if isinstance(seed, str) else int(seed)
+        return int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
         raise ConfigError(f"seed: not hex digits: {str(seed)[:80]!r}") from None
+
+
+def _parse_known_endpoints(value: dict[str, Any], names: PlatformNames) -> EndpointUpdate:
     known = value.get("known", {"version": 0, "full": True, "servers": []})
     try:
-        roster = parse_endpoint_update(known, wire)
+        return parse_endpoint_update(known, names)
     except EntryError as error:
         raise ConfigError(f"known.{error}") from None
-    name = env.get("EDGE_NAME") or value.get("name")
-    if not isinstance(name, str) or not name:
-        raise ConfigError("EDGE_NAME: required and missing")
-    listen = env.get("EDGE_LISTEN") or value.get("listen")
-    discovery = env.get("EDGE_DISCOVERY") or value.get("discovery")
-    operator = env.get("EDGE_OPERATOR") or value.get("operator") or None
-    return Config(
-        name=name,
-        listen=parse_address("EDGE_LISTEN", listen),
-        discovery=parse_address("EDGE_DISCOVERY", discovery),
-        seed=number,
-        cores=float(cores),
-        memory_mb=_whole(limits, "memory_mb", "limits", 192),
-        descriptors=_whole(limits, "sockets", "limits", 1024),
-        known_endpoints=roster,
-        settings=settings,
-        names=wire,
-        operator=None if operator is None else parse_address("EDGE_OPERATOR", operator),
-        held_socket=_descriptor(env.get("EDGE_SOCKET_FD")),
-        shape=shape_of(value),
-    )
 
 
 def reload_config(env: Mapping[str, str], before: Config) -> Config:
