--- a/sailhitch/__main__.py
+++ b/sailhitch/__main__.py
@@ -7,7 +7,7 @@
 import signal
 import socket
 import sys
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Final
 
 import uvloop
 
@@ -29,14 +29,14 @@
 EDGE_LISTEN and EDGE_DISCOVERY; EDGE_OPERATOR is where staff call, and EDGE_SOCKET_FD a descriptor
 that clients come to, held by whoever starts it. SIGHUP makes it read EDGE_CONFIG anew; SIGTERM
 drains it."""
-BACKLOG = 4096
-FIRST_LIST = 0.5  # s; with discovery silent until then it serves by the known list
-MOST_WRONG = 12  # lines about one file
-REREAD = (0.1, 0.4, 1.0)  # s; a file that is still being written can be read a little later
+BACKLOG: Final = 4096
+FIRST_LIST: Final = 0.5  # s; with discovery silent until then it serves by the known list
+MAX_ERROR_LINES: Final = 12  # about one file
+REREAD_AFTER: Final = (0.1, 0.4, 1.0)  # s; a file that is still being written is read again
 
 
 class Reloader:
-    """SIGHUP: goes by the file as it is now, or by the old configuration if it can't be read."""
+    """Applies the file again on SIGHUP, or keeps the old configuration if it can't be read."""
 
     def __init__(self, platform: Platform, log: Log) -> None:
         self.platform = platform
@@ -56,22 +56,20 @@
             wrong = str(error).splitlines() or [type(error).__name__]
             more = f" ({len(wrong)} things are wrong)" if len(wrong) > 1 else ""
             self.log.write(f"SIGHUP: the old configuration stays{more}: {wrong[0]:.200}")
-            for line in wrong[1:MOST_WRONG]:
+            for line in wrong[1:MAX_ERROR_LINES]:
                 self.log.write(f"SIGHUP: also {line:.200}")
-            if tries < len(REREAD):
+            if tries < len(REREAD_AFTER):
                 loop = asyncio.get_running_loop()
-                self._again = loop.call_later(REREAD[tries], self.reload, tries + 1)
+                self._again = loop.call_later(REREAD_AFTER[tries], self.reload, tries + 1)
             return
         host, port = config.discovery
         self.log.write(f"SIGHUP: new configuration, discovery at {host}:{port}")
 
 
 async def serve(config: Config, log: Log, held: socket.socket | None = None) -> None:
-    """Run one gateway until SIGTERM has been honoured; `held` is a socket that clients come to."""
+    """Run one gateway until SIGTERM has been honoured; `held` is the clients' socket, if passed."""
     loop = asyncio.get_running_loop()
     platform = Platform(config, loop, log)
-    core = platform.core
-    discovery = platform.discovery
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -82,64 +80,88 @@
         return platform.listen(config.listen, BACKLOG, held)
 
     listener = await retry_shortage(listen)
-    succession = await _succeed(platform, listener) if held is not None else None
-    operator_server = await _open_operator_server(config, platform, succession)
-    watch = loop.create_task(discovery.run())
+    takeover = await _take_over(platform, listener) if held is not None else None
+    operator_server = await _open_operator_server(config, platform, takeover)
+    watch = loop.create_task(platform.discovery.run())
     loop.add_signal_handler(signal.SIGHUP, Reloader(platform, log).reload)
     heed(signal.SIGHUP)
     if held is None:
         listener.start()
-    log.write(
-        f"sailhitch {__version__} listens on {config.listen[0]}:{config.listen[1]}; "
-        f"cores {config.cores:g}, memory {config.memory_mb} MB, sockets {config.descriptors}, "
-        f"{len(config.known_endpoints.entries)} hosts known"
-    )
+    _log_start(config, log)
     settle_memory()
-    waits = [loop.create_task(e.wait()) for e in (discovery.settled, stop)]
-    await asyncio.wait(waits, timeout=FIRST_LIST, return_when=asyncio.FIRST_COMPLETED)
+    await _wait_for_list(platform, stop)
     if held is not None:
-        listener.start()  # until now whoever comes was another process's to serve
-    core.ready = not stop.is_set()
-    if succession is not None:
-        succession.ready()
+        listener.start()  # until now new clients were served by the predecessor
+    platform.core.ready = not stop.is_set()
+    if takeover is not None:
+        takeover.ready()
     log.write("ready")
     await stop.wait()
     log.write("SIGTERM: draining")
-    if succession is not None and succession.can_pass_on():
-        await succession.pass_on()
+    await _drain(platform, listener, takeover)
+    watch.cancel()
+    _close(platform, operator_server, takeover)
+    # The loop takes its handlers with it, and a signal that comes after it would kill.
+    hold_signals()
+    log.write("drained")
+
+
+def _log_start(config: Config, log: Log) -> None:
+    host, port = config.listen
+    log.write(
+        f"sailhitch {__version__} listens on {host}:{port}; "
+        f"cores {config.cores:g}, memory {config.memory_mb} MB, sockets {config.descriptors}, "
+        f"{len(config.known_endpoints.entries)} hosts known"
+    )
+
+
+async def _wait_for_list(platform: Platform, stop: asyncio.Event) -> None:
+    """Wait for the first list of discovery, or for the end, but not for long."""
+    loop = asyncio.get_running_loop()
+    waits = [loop.create_task(event.wait()) for event in (platform.discovery.settled, stop)]
+    await asyncio.wait(waits, timeout=FIRST_LIST, return_when=asyncio.FIRST_COMPLETED)
+
+
+async def _drain(platform: Platform, listener: Listener, takeover: Takeover | None) -> None:
+    """Pass connections on to a successor, or serve them until they may be closed."""
+    core = platform.core
+    if takeover is not None and takeover.can_pass_on():
+        await takeover.pass_on()
         await finish(core)
     else:
         await drain(core, listener.close)
-    watch.cancel()
+
+
+def _close(
+    platform: Platform, operator_server: OperatorServer | None, takeover: Takeover | None
+) -> None:
+    core = platform.core
     core.log_statistics(core.clock())
     if operator_server is not None:
         operator_server.close()
-    if succession is not None:
-        succession.close()
+    if takeover is not None:
+        takeover.close()
     core.finish()
-    # The loop takes its handlers with it, and one that comes after it would kill.
-    hold_signals()
-    log.write("drained")
 
 
-async def _succeed(platform: Platform, listener: Listener) -> Takeover | None:
-    """Return where the platform holds clients' socket it may start a process beside this one."""
+async def _take_over(platform: Platform, listener: Listener) -> Takeover | None:
+    """Connect to a predecessor, where the platform may start one process beside another."""
     folder = os.environ.get("TMPDIR")
     if not folder:
         platform.core.logger.write("TMPDIR: not set, so no process before or after is known")
         return None
-    # Not before it is asked for: the line that has none of this loads none of it.
+    # Imported here, so that a gateway without a clients' socket does not load it.
     from .handover.files import HandoverFiles
     from .handover.takeover import Takeover
 
-    succession = Takeover(platform, listener, HandoverFiles(folder, platform.config.name))
-    await succession.inherit()
-    succession.open()
-    return succession
+    takeover = Takeover(platform, listener, HandoverFiles(folder, platform.config.name))
+    await takeover.inherit()
+    takeover.open()
+    return takeover
 
 
 async def _open_operator_server(
-    config: Config, platform: Platform, succession: Takeover | None
+    config: Config, platform: Platform, takeover: Takeover | None
 ) -> OperatorServer | None:
     if config.operator is None:
         return None
@@ -147,7 +169,7 @@
     from .control.server import OperatorServer
 
     pool = platform.pool
-    announce = succession.mark_changed if succession else pool.set_maintenance
+    announce = takeover.mark_changed if takeover else pool.set_maintenance
     server = OperatorServer(OperatorHandlers(pool, announce), pool.core.logger)
     address = config.operator
     await retry_shortage(lambda: server.listen(address))
