--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -83,7 +83,7 @@
     how: str, body: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its connection has just had an answer, and rests before it is used again."""
-    monkeypatch.setattr(connection_pool, "REST", 300_000)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY", 300_000)
 
     async def play() -> None:
         async with Server() as host, gate(("a", host.addr)) as it:
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -377,13 +377,13 @@
             client = await it.client()
             core._stats_at = 0
             if part in ("door", "all"):
-                monkeypatch.setattr(core.admission, "sense", broken)
+                monkeypatch.setattr(core.admission, "update_pressure", broken)
             if part in ("hosts", "all"):
                 monkeypatch.setattr(it.hosts, "sweep", broken)
             if part in ("clients", "all"):
                 monkeypatch.setattr(type(next(iter(core.clients))), "sweep", broken)
             if part in ("figures", "all"):
-                monkeypatch.setattr(core.admission, "told", broken)
+                monkeypatch.setattr(core.admission, "summary", broken)
             await until(lambda: core.counters.faults > 0)
             for i in range(3):
                 assert (await client.ask(request(f"d{i}", wait_ms=300)))[0] in (502, 503, 504)
