--- a/sailhitch/net/discovery.py
+++ b/sailhitch/net/discovery.py
@@ -36,7 +36,7 @@
     def __init__(self, pool: Pool, config: Config) -> None:
         self.pool = pool
         self.core = pool.core
-        self.wire = config.names
+        self.names = config.names
         self.address = config.discovery
         self.version = config.known_endpoints.version
         self.settled = asyncio.Event()  # the first call has ended
@@ -84,9 +84,9 @@
 
     def reconfigure(self, config: Config) -> None:
         """Use another configuration's names, address and times."""
-        before = self.wire
-        self.wire = config.names
-        if (before.zones, before.kinds) != (self.wire.zones, self.wire.kinds):
+        before = self.names
+        self.names = config.names
+        if (before.zones, before.kinds) != (self.names.zones, self.names.kinds):
             self._needs_snapshot = True  # the list was read by other names
         if config.settings.needs_watch and not self.is_shared:
             self._wanted.set()  # until now it was watched without being asked
@@ -246,7 +246,7 @@
         if call.status != 200:
             raise CallError(f"status {call.status}")
         try:
-            update = parse_endpoint_update(json.loads(bytes(call.body)), self.wire)
+            update = parse_endpoint_update(json.loads(bytes(call.body)), self.names)
         except (ValueError, RecursionError) as error:
             raise CallError(f"malformed list: {error}", partial=True) from None
         if snapshot and not update.is_snapshot:
--- a/sailhitch/net/intake.py
+++ b/sailhitch/net/intake.py
@@ -1,6 +1,6 @@
-"""What a request's head means: which pool it goes to, its class, its deadline and its key.
+"""Maps a request's head to its pool, class, deadline and idempotency key.
 
-Owned here and by other intakes like it, so that a front need not know who its clients are.
+A front reads heads and an intake interprets them, so that a front need not know its clients.
 """
 
 from __future__ import annotations
@@ -12,16 +12,12 @@
 from ..core.pool import Pool
 from ..core.request_context import RequestContext
 from ..core.response import HeaderField
-from ..settings import (
-    Idempotency,
-    RequestClass,
-    Settings,
-)
+from ..settings import Idempotency, RequestClass, Settings
 from .config import PlatformNames
 from .http import HOP_BY_HOP_FIELDS
 
 READY_PATH: Final = b"/health/ready"
-# What is read for this gateway and goes on in its own form or not at all.
+# Fields that are for this gateway, and are forwarded in its own form or not at all.
 OWN: Final = HOP_BY_HOP_FIELDS | {b"req-deadline-ms"}
 READ: Final = frozenset(
     {
@@ -39,23 +35,23 @@
         b"transfer-encoding",
     }
 )
-# Clients learn of new settings about when this process does; so long either may come first (us).
+# us in which a client may use the settings of before, as it learns of new ones at another time.
 PREVIOUS_CLASSES_TTL: Final = 1_100_000
 STRICTNESS: Final = {Idempotency.SAFE: 0, Idempotency.KEYED: 1, Idempotency.UNSAFE: 2}
-# A second one of these would make it doubtful what was meant.
+# Fields that may come once only: a second one would be ambiguous.
 SINGLE: Final = READ - {b"cookie", b"expect"}
 
 
 class RejectError(Exception):
-    """A request out of form, with the status that says so."""
+    """A malformed request, with the status to respond with."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Head(Protocol):
-    """A request's head as a front has read it. Its framing has been checked."""
+    """A request's head as a front has read it, with its framing checked."""
 
     method: bytes
     url: bytes
@@ -66,63 +62,63 @@
 
 
 class Intake(Protocol):
-    """Reads what a request means."""
+    """Interprets requests."""
 
-    own: frozenset[bytes]  # fields that do not go on to hosts as they came
+    own: frozenset[bytes]  # fields that are not forwarded as received
 
     def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
-        """Fill in the request; False for a question to the gateway itself, which no host gets.
+        """Fill in the request; return False for one to the gateway itself, which no host gets.
 
-        Its answer is the request's `fallback`, or that of the health check where there is none.
-        `found` has the last value of each field in `READ`. Raises RejectError.
+        The response to that is the request's `fallback_response`, or the health check's if there is
+        none. `found` has the last value of each field in `READ`. Raises RejectError.
         """
 
 
 class PreviousClass(NamedTuple):
-    """What a class was before new settings: the effect whose form it came in, and what to do."""
+    """A class before new settings: the form in which requests come, and how to treat them."""
 
-    idempotency: str
+    idempotency: Idempotency
     request_class: RequestClass
 
 
 def previous_classes(
     before: Sequence[RequestClass], after: Sequence[RequestClass]
 ) -> dict[bytes, PreviousClass]:
-    """Classes that go, or whose effect changes, by name.
+    """Return the classes that are removed, or whose idempotency changes, by name.
 
-    A request in a form that has just gone is held to the stricter of both effects: to the old one
-    where that is it, and else to the strictest there is, as a form may lack what the new one needs.
+    A request in the form of before is held to the stricter idempotency of both: to the old one if
+    that is it, and else to the strictest there is, as its form may lack what the new one needs.
     """
-    found = {}
-    now = {kind.name: kind for kind in after}
+    previous = {}
+    current = {request_class.name: request_class for request_class in after}
     for old in before:
-        new = now.get(old.name)
+        new = current.get(old.name)
         if new is None or STRICTNESS[old.idempotency] > STRICTNESS[new.idempotency]:
-            found[old.name.encode()] = PreviousClass(old.idempotency, old)
+            previous[old.name.encode()] = PreviousClass(old.idempotency, old)
         elif new.idempotency != old.idempotency:
-            found[old.name.encode()] = PreviousClass(
+            previous[old.name.encode()] = PreviousClass(
                 old.idempotency, replace(new, idempotency=Idempotency.UNSAFE)
             )
-    return found
+    return previous
 
 
 class PlatformIntake:
-    """Reads the platform's own fields (PROTOCOL): every request must bring them."""
+    """Reads the platform's fields, which every request must have."""
 
     own = OWN
 
-    def __init__(self, pool: Pool, wire: PlatformNames) -> None:
+    def __init__(self, pool: Pool, names: PlatformNames) -> None:
         self.pool = pool
-        self.wire = wire
+        self.names = names
         self.previous: dict[bytes, PreviousClass] = {}
         self.previous_until = 0
 
-    def reconfigure(self, now: int, settings: Settings, wire: PlatformNames) -> list[RequestClass]:
-        """Read by other settings; returns classes that requests may have besides theirs."""
+    def reconfigure(self, now: int, settings: Settings, names: PlatformNames) -> list[RequestClass]:
+        """Use other settings; return the classes that requests may have besides theirs."""
         self.previous = previous_classes(self.pool.settings.classes, settings.classes)
         self.previous_until = now + PREVIOUS_CLASSES_TTL
-        self.wire = wire
-        return [one.request_class for one in self.previous.values()]
+        self.names = names
+        return [previous.request_class for previous in self.previous.values()]
 
     def _previous_class(self, name: bytes) -> PreviousClass | None:
         """How a request of this class may come just after new settings, besides its new form."""
@@ -133,18 +129,18 @@
         return older
 
     def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
-        """As the protocol says; what is missing or out of form is an error."""
+        """Interpret a request by the platform's protocol; raises RejectError."""
         if head.url.partition(b"?")[0] == READY_PATH and b"req-id" not in found:
             return False
         request.pool = self.pool
-        wire = self.wire
+        names = self.names
         request.name = read_name(found.get(b"req-id", b""))
         name = found.get(b"req-kind", b"")
-        number = wire.classes.get(name)
+        number = names.classes.get(name)
         kind = None if number is None else self.pool.settings.classes[number]
-        # Nobody is waited for longer than its class may take.
+        # No client waits for longer than any class may take.
         wait = read_wait(found.get(b"req-deadline-ms", b""))
-        request.wait_ms = min(wait, wire.longest_deadline // 1000)
+        request.wait_ms = min(wait, names.longest_deadline // 1000)
         keyed = found.get(b"idempotency-key")
         if kind is None or not _fits(kind.idempotency, head, keyed):
             older = self._previous_class(name)
@@ -154,7 +150,7 @@
                 raise RejectError(400, "method, body or Idempotency-Key do not fit the class")
             kind = older.request_class
         request.request_class = kind
-        request.tenant = wire.tenants.get(found.get(b"req-owner", b""), len(wire.tenants))
+        request.tenant = names.tenants.get(found.get(b"req-owner", b""), len(names.tenants))
         request.repeat = found.get(b"req-retry") == b"1"
         cost = found.get(b"req-cost", b"")
         if cost.isdigit() and len(cost) < 12:
--- a/tests/test_front_door.py
+++ b/tests/test_front_door.py
@@ -28,7 +28,7 @@
 class Connection:
     """What holds a slot here: it can always be let go."""
 
-    def let_go(self, reason: Reason) -> bool:
+    def close_unless_unread(self, reason: Reason) -> bool:
         return True
 
 
