--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -71,7 +71,7 @@
 
 @contextlib.asynccontextmanager
 async def forwarder(nodes: list[Node]) -> AsyncIterator[tuple[asyncio.subprocess.Process, str]]:
-    """The bare forwarder, taking connections."""
+    """Return the bare forwarder, taking connections."""
     port = free_port()
     program = await asyncio.create_subprocess_exec(
         sys.executable, "-c", FORWARDER, str(port), *(node.addr for node in nodes)
@@ -117,7 +117,7 @@
 
 
 def memory_of(pid: int) -> float:
-    """The most resident megabytes that a process has had."""
+    """Return the most resident megabytes that a process has had."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM:"):
             return int(line.split()[1]) / 1e3
--- a/benchmarks/scale/budgets.py
+++ b/benchmarks/scale/budgets.py
@@ -109,7 +109,7 @@
 
 
 def _gossip_core(figures: Figures) -> float:
-    """The part of a core that gossip takes over a day, at rest and busy."""
+    """Return the part of a core that gossip takes over a day, at rest and busy."""
     busy = busy_share(figures)
     beats = BEATS * ((1 - busy) * figures["rounds.tick_us"] + busy * figures["rounds.busy_tick_us"])
     datagrams = (1 - busy) * figures["play_lease.rest_datagrams_s"] + busy * (
@@ -239,7 +239,7 @@
 
 
 def table(found: Sequence[Verdict]) -> str:
-    """The table, as the page has it."""
+    """Return the table, as the page has it."""
     lines = ["| budget | limit | comes to | how | verdict |", "| --- | --- | --- | --- | --- |"]
     for one in found:
         limit, verdict = readable(one.limit, one.unit), "holds"
--- a/benchmarks/scale/changes.py
+++ b/benchmarks/scale/changes.py
@@ -39,14 +39,14 @@
 
 
 def with_ban(state: State) -> State:
-    """The first node banned, or not any more."""
+    """Return the first node banned, or not any more."""
     name = min(state["nodes"])
     ban = {"by": "scale", "when": 0, "why": "scale"}
     return banned(state, name, None if name in state["bans"] else ban)
 
 
 def altered(kind: str, state: State, number: int) -> State:
-    """The state after a change of this kind."""
+    """Return the state after a change of this kind."""
     return with_weight(state, number) if kind == WEIGHT else with_ban(state)
 
 
@@ -62,7 +62,7 @@
 
 
 async def _held(fleet: Fleet) -> State:
-    """The state that holds: a daemon's, as it gives a ban a time and a name of its own."""
+    """Return the state that holds: a daemon's, as it gives a ban a time and a name of its own."""
     if not fleet.daemons:
         return fleet.state
     daemon = next(iter(fleet.daemons.values()))
--- a/benchmarks/scale/experiments.py
+++ b/benchmarks/scale/experiments.py
@@ -85,7 +85,7 @@
 
 
 async def in_force(fleet: Fleet, serial: int, since: float, within: float) -> dict[str, Any]:
-    """How long it took from a command until its serial was in force everywhere."""
+    """Return how long it took from a command until its serial was in force everywhere."""
     times, behind = await fleet.everywhere(serial, within)
     return {
         "serial": serial,
@@ -150,7 +150,7 @@
 
 
 async def restart(fleet: Fleet, options: Options) -> dict[str, Any]:
-    """A tenth leaves as a drain does, at once, and is there again a second later."""
+    """Return a tenth leaves as a drain does, at once, and is there again a second later."""
     names = [one for one in fleet.others() if int(one[1:]) % TENTH == TENTH - 1]
 
     async def play() -> dict[str, Any]:
@@ -219,7 +219,7 @@
 
 
 async def start(fleet: Fleet, options: Options) -> dict[str, Any]:
-    """All are killed at once, and all started at once, on the disks that they have."""
+    """Return all are killed at once, and all started at once, on the disks that they have."""
 
     async def play() -> dict[str, Any]:
         await asyncio.gather(*(one.end() for one in fleet.daemons.values()))
@@ -265,7 +265,7 @@
 
 
 def newcomer_daemon(daemon: RealDaemon) -> dict[str, Any]:
-    """What a daemon has cost since its start."""
+    """Return what a daemon has cost since its start."""
     return {
         "cpu_s": round(figures.processor_seconds(daemon.pid), 2),
         "rss_mb": round(figures.memory_kb(daemon.pid) / 1024, 1),
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -70,7 +70,7 @@
     sent: tuple[int, int]  # datagrams and bytes, by `tier status`
 
     def since(self, before: Cost | None) -> Cost:
-        """What it has used since; all of it where it did not run or was another process."""
+        """Return what it has used since; all of it where it did not run or was another process."""
         if before is None or before.pid != self.pid:
             return self
         sent = self.sent[0] - before.sent[0], self.sent[1] - before.sent[1]
@@ -187,5 +187,5 @@
 
 
 def now() -> float:
-    """The machine's steady clock, the same in all its processes."""
+    """Return the machine's steady clock, the same in all its processes."""
     return time.monotonic()
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -46,7 +46,7 @@
         return "not linear" if self.quadratic else "line"
 
     def at(self, size: float) -> float:
-        """The cost at a size, whether it was measured or not."""
+        """Return the cost at a size, whether it was measured or not."""
         return self.constant + self.slope * size + self.quadratic * size * size
 
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -145,7 +145,7 @@
         return 0 if name in self.addresses and name[0] == "d" else int(name[1:]) % ZONES
 
     def region_of(self, name: str) -> int:
-        """A member's region, by number."""
+        """Return a member's region, by number."""
         return self.zone_of(name) % REGIONS
 
     def others(self, names: Sequence[str] | None = None) -> list[str]:
@@ -241,7 +241,7 @@
         return list(await asyncio.gather(*(host.do(name, **more) for host in self.hosts)))
 
     def host_of(self, name: str) -> HostProcess:
-        """The process that a hollow gateway is in."""
+        """Return the process that a hollow gateway is in."""
         return self.hosts[self.hollow.index(name) % len(self.hosts)]
 
     async def kill(self, names: Sequence[str]) -> None:
@@ -291,11 +291,11 @@
         return out
 
     async def all_in(self) -> bool:
-        """Whether all that run may act."""
+        """Return whether all that run may act."""
         return not await self.who_is_out()
 
     async def in_force(self, serial: int) -> tuple[list[float], list[str]]:
-        """When those that run came to act by this serial, and who does not yet."""
+        """Return when those that run came to act by this serial, and who does not yet."""
         said = await self.all_hosts("force", serial=serial)
         found = {name: at for one in said for name, at in one.items()}
         times = list(found.values())
@@ -373,7 +373,7 @@
         )
 
     async def _costs(self, last: bool = False) -> dict[str, figures.Cost]:
-        """What daemons have used; what asking them costs falls outside of two looks."""
+        """Return what daemons have used; what asking them costs falls outside of two looks."""
         alive = [(name, one) for name, one in self.daemons.items() if one.runs()]
         processor = {name: figures.processor_seconds(one.pid) for name, one in alive}
         found = {}
--- a/benchmarks/scale/full_state.py
+++ b/benchmarks/scale/full_state.py
@@ -105,7 +105,7 @@
     regions: int = REGIONS,
     zones: int = ZONES,
 ) -> dict[str, Any]:
-    """The value of gateway `gateway`'s operator file, as `parse_value` takes it.
+    """Return the value of gateway `gateway`'s operator file, as `parse_value` takes it.
 
     `members` are the names and UDP addresses of the whole tier; with none there is no `[tier]`.
     Raises FractionError, or ValueError for regions and zones that do not go together.
@@ -135,7 +135,7 @@
 
 
 def state(fraction: float) -> State:
-    """The state that the file of this fraction asks for."""
+    """Return the state that the file of this fraction asks for."""
     return from_file(parse_value(operator_file(fraction, (), (), "g1", "state", "tier.key")))
 
 
@@ -152,7 +152,7 @@
 
 
 def _shared_parts(fraction: float, zone_names: Sequence[str]) -> dict[str, Any]:
-    """What is the same in all gateways' files."""
+    """Return what is the same in all gateways' files."""
     services = [_service_name(i) for i in range(scaled(SERVICES, fraction))]
     tenants = _tenants(scaled(TENANTS, fraction))
     return {
--- a/benchmarks/scale/gateway_slopes.py
+++ b/benchmarks/scale/gateway_slopes.py
@@ -55,7 +55,7 @@
 
 
 def written_state(fraction: float, folder: Path) -> Path:
-    """Where a state of this fraction is, as a text."""
+    """Return where a state of this fraction is, as a text."""
     path = folder / "state.json"
     process = get_context("spawn").Process(target=_write_state, args=(fraction, str(path)))
     process.start()
@@ -65,7 +65,7 @@
 
 
 def switch(fraction: float) -> dict[str, float]:
-    """A gateway takes up a state, and then one in which one weight differs."""
+    """Return a gateway takes up a state, and then one in which one weight differs."""
     return _with_live(fraction, _switch)
 
 
@@ -91,7 +91,7 @@
 
 
 def stall(fraction: float) -> dict[str, float]:
-    """How long the loop has no turn while a gateway goes to a state with another weight."""
+    """Return how long the loop has no turn while a gateway goes to a state with another weight."""
     return _with_live(fraction, _stall)
 
 
@@ -311,7 +311,7 @@
 
 
 def _run(*arguments: str, expected: int) -> tuple[float, int, float]:
-    """A command's processor seconds, most resident bytes, and wall seconds."""
+    """Return a command's processor seconds, most resident bytes, and wall seconds."""
     begun = time.perf_counter()
     done = subprocess.run([*_SAILHITCH, *arguments], capture_output=True, text=True, check=False)
     took = time.perf_counter() - begun
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -60,17 +60,17 @@
 
 
 def read_content(file: Path) -> Tree:
-    """What a member proposes or founds a tier with, of the canonical text of a state."""
+    """Return what a member proposes or founds a tier with, of the canonical text of a state."""
     return to_tree(json.loads(file.read_bytes()))
 
 
 def disk_of(content: Tree) -> dict[str, bytes]:
-    """What a member has on its disk of a state."""
+    """Return what a member has on its disk of a state."""
     return ContentStore({}).add(content)[1]
 
 
 def kind_of(message: Message) -> str:
-    """What a message is called in the figures."""
+    """Return what a message is called in the figures."""
     tag = str(message.__struct_config__.tag)
     return KINDS.get(tag, tag)
 
@@ -118,7 +118,7 @@
     rng: random.Random = field(default_factory=random.Random)
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether nothing goes between these two."""
+        """Return whether nothing goes between these two."""
         if not self.sides:
             return False
         here, there = self.sides.get(one), self.sides.get(other)
@@ -205,13 +205,13 @@
     # --- What the rig asks
 
     def is_in(self) -> bool:
-        """Whether it may act."""
+        """Return whether it may act."""
         return (
             self.member is not None and self.member.member_status(steady()) is MemberStatus.ACTIVE
         )
 
     def active(self) -> int:
-        """The serial that it acts by; 0: none."""
+        """Return the serial that it acts by; 0: none."""
         return self.serials[-1][1] if self.serials else 0
 
     def in_force_at(self, serial: int) -> float | None:
--- a/benchmarks/scale/host.py
+++ b/benchmarks/scale/host.py
@@ -51,11 +51,11 @@
         }
 
     def mine(self, request: dict[str, Any]) -> list[HollowGateway]:
-        """Those of a command's members that are of this process."""
+        """Return those of a command's members that are of this process."""
         return [self.gateways[name] for name in request["who"] if name in self.gateways]
 
     def running(self) -> list[HollowGateway]:
-        """Those that are not killed."""
+        """Return those that are not killed."""
         return [one for one in self.gateways.values() if one.member is not None]
 
     async def start(self, request: dict[str, Any]) -> None:
@@ -101,12 +101,12 @@
         return {"end": end, "serial": serial}
 
     async def force(self, request: dict[str, Any]) -> dict[str, float]:
-        """Those that run and act by a serial, and when they came to."""
+        """Return those that run and act by a serial, and when they came to."""
         found = {one.name: one.in_force_at(request["serial"]) for one in self.running()}
         return {name: at for name, at in found.items() if at is not None}
 
     async def state(self, request: dict[str, Any]) -> dict[str, Any]:
-        """How many run, how many may act, by what, and what they keep."""
+        """Return how many run, how many may act, by what, and what they keep."""
         running = self.running()
         return {
             "running": len(running),
@@ -121,7 +121,7 @@
         return sum(n for (_, way, _, kind), n in counts.items() if (way, kind) == ("sent", GOSSIP))
 
     async def figures(self, request: dict[str, Any]) -> dict[str, Any]:
-        """All counts so far, and how late beats came since the last time that was asked."""
+        """Return all counts so far, and how late beats came since the last time that was asked."""
         late = sorted(self.plan.lateness)
         self.plan.lateness.clear()
         return {
@@ -133,7 +133,7 @@
         }
 
     def kept(self) -> dict[str, int]:
-        """What all have written to their disks so far."""
+        """Return what all have written to their disks so far."""
         whole = sum((one.kept for one in self.gateways.values()), Kept())
         return asdict(whole)
 
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -150,11 +150,11 @@
             await asyncio.sleep(LOOK)
 
     def in_force_at(self, serial: int) -> float | None:
-        """When it was seen to go by this serial or a later one."""
+        """Return when it was seen to go by this serial or a later one."""
         return next((at for at, one in self.serials if one >= serial), None)
 
     async def is_in(self) -> bool:
-        """Whether it may act."""
+        """Return whether it may act."""
         return bool((await self.status()).get("standing") == "in")
 
     async def end(self, number: int = signal.SIGKILL) -> None:
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -15,7 +15,7 @@
 
 
 def machine() -> dict[str, Any]:
-    """What a run was measured on."""
+    """Return what a run was measured on."""
     return {
         "cores": os.cpu_count(),
         "memory_mb": machine_memory_kb() // 1024,
@@ -26,7 +26,7 @@
 
 
 def commit() -> dict[str, Any]:
-    """The commit that is measured, and whether the tree differs from it."""
+    """Return the commit that is measured, and whether the tree differs from it."""
     try:
         head = _git("rev-parse", "HEAD").strip()
         return {"commit": head, "dirty": bool(_git("status", "--porcelain", "-uno").strip())}
@@ -146,7 +146,7 @@
 
 
 def table(results: Sequence[dict[str, Any]]) -> str:
-    """All windows of some results, as text."""
+    """Return all windows of some results, as text."""
     rows = [list(HEADS)]
     for result in results:
         rows += [row(result, path, part) for path, part in windows(result["figures"])]
@@ -162,7 +162,7 @@
 
 
 def _label(result: dict[str, Any], path: str) -> str:
-    """What a line of the chart is of: all that differs between runs but the members."""
+    """Return what a line of the chart is of: all that differs between runs but the members."""
     faults = f", loss {result['loss']}, dead {result['dead']}" * bool(
         result["loss"] or result["dead"]
     )
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -48,7 +48,7 @@
     values: Mapping[str, tuple[float, ...]]
 
     def fit(self, key: str) -> Fit:
-        """The fit of one figure. Raises FitError."""
+        """Return the fit of one figure. Raises FitError."""
         return fit_cost(self.sizes, self.values[key])
 
     def at_full(self, key: str) -> float:
@@ -59,7 +59,7 @@
         return self.fit(key).at(full)
 
     def as_json(self) -> dict[str, Any]:
-        """All of it, with its fits, for a file."""
+        """Return all of it, with its fits, for a file."""
         measurement = MEASUREMENTS[self.name]
         figures = {}
         for figure in measurement.figures:
@@ -109,7 +109,7 @@
 
 
 def readable(value: float, unit: str) -> str:
-    """A figure with three digits, and bytes in the unit that suits them."""
+    """Return a figure with three digits, and bytes in the unit that suits them."""
     prefix = ""
     if unit.startswith("B"):
         while abs(value) >= 1000 and prefix != "G":
@@ -119,7 +119,7 @@
 
 
 def table(results: Iterable[Result]) -> str:
-    """A line for each figure, as the page has them."""
+    """Return a line for each figure, as the page has them."""
     lines = [HEADING]
     for result in results:
         figures = MEASUREMENTS[result.name].figures
@@ -149,7 +149,7 @@
 
 
 def circumstances() -> dict[str, Any]:
-    """The machine and the commit that figures are of."""
+    """Return the machine and the commit that figures are of."""
     commit = subprocess.run(
         ["git", "rev-parse", "HEAD"], capture_output=True, text=True, check=False
     ).stdout.strip()
--- a/benchmarks/scale/state_slopes.py
+++ b/benchmarks/scale/state_slopes.py
@@ -45,14 +45,14 @@
 
 
 def one_weight_changed(state: State) -> State:
-    """The state with another weight of one host, as a change of one weight gives it."""
+    """Return the state with another weight of one host, as a change of one weight gives it."""
     name = next(iter(state["nodes"]))
     node = {**state["nodes"][name], "weight": state["nodes"][name]["weight"] + 0.5}
     return {**state, "nodes": {**state["nodes"], name: node}}
 
 
 def service_changed(state: State) -> State:
-    """The state with other weights of all hosts of one service."""
+    """Return the state with other weights of all hosts of one service."""
     pool = next(iter(state["pools"]))
     nodes = {
         name: {**node, "weight": node["weight"] + 0.5} if name.startswith(f"{pool}/") else node
@@ -62,13 +62,13 @@
 
 
 def copied(state: State) -> State:
-    """The state with objects of its own, as it comes from the admin socket."""
+    """Return the state with objects of its own, as it comes from the admin socket."""
     copy: State = json.loads(canonical(state))
     return copy
 
 
 def text(fraction: float) -> dict[str, float]:
-    """The canonical text, and its packing."""
+    """Return the canonical text, and its packing."""
     state = full_state.state(fraction)
     made = canonical(state)
     return {
@@ -82,7 +82,7 @@
 
 
 def read_file(fraction: float) -> dict[str, float]:
-    """An operator file, from TOML to a state."""
+    """Return an operator file, from TOML to a state."""
     value = full_state.operator_file(fraction, (), (), "g1", "state", "tier.key")
     toml = toml_text(value)
     checked = parse_value(value)
@@ -222,7 +222,7 @@
 def _asked(
     store: ContentStore, now: int, rng: random.Random, others: list[list[str]] | None
 ) -> list[tuple[str, PageRequest]]:
-    """What a store asks whom for now, at a beat or after an answer."""
+    """Return what a store asks whom for now, at a beat or after an answer."""
     return [
         (source, request)
         for source, request in store.requests(now, rng, others)
@@ -243,7 +243,7 @@
 
 
 def routes(fraction: float) -> dict[str, float]:
-    """The lookup table of routes."""
+    """Return the lookup table of routes."""
     from sailhitch.daemon.routes import RouteQuery, Routes
 
     made = parse_value(full_state.operator_file(fraction, (), (), "g1", "state", "tier.key"))
--- a/benchmarks/scale/tier_slopes.py
+++ b/benchmarks/scale/tier_slopes.py
@@ -107,7 +107,7 @@
                 core.on_message(effect.to, Ack(effect.message.number), self.now)
 
     def records(self, names: Sequence[str], confirmed: int) -> list[MemberRecord]:
-        """The next word of members that are records."""
+        """Return the next word of members that are records."""
         self.beats += 1
         return [MemberRecord(name, 1, 7, self.beats, confirmed, "") for name in names]
 
@@ -235,7 +235,7 @@
 
 
 def table(members: float) -> dict[str, float]:
-    """What a member keeps of the others, and the list of members that each version names."""
+    """Return what a member keeps of the others, and the list of members that each version names."""
     names = [f"gw-{i:04d}" for i in range(int(members))]
     said = msgspec.msgpack.encode([MemberRecord(name, 1, 1 << 40, 9, 9, "") for name in names])
 
@@ -306,7 +306,7 @@
 
 
 def play(members: int, lease: int | None) -> dict[str, float]:
-    """A tier at rest, and one change of it that contradicts, until all is at rest again."""
+    """Return a tier at rest, and one change of it that contradicts, until all is at rest again."""
     world = World(1, members, VOTERS, lease, beat=BEAT, every=SECOND)
     tally = Tally(world)
     world.start()
@@ -365,7 +365,7 @@
 
 
 def play_with_lease(members: float) -> dict[str, float]:
-    """A play in which members ask the voters for leases."""
+    """Return a play in which members ask the voters for leases."""
     return play(int(members), LEASE)
 
 
--- a/benchmarks/state_difference.py
+++ b/benchmarks/state_difference.py
@@ -97,7 +97,7 @@
 
 
 def with_weights(state: State, names: list[str], weight: float) -> State:
-    """The state with another weight for these nodes, sharing the rest."""
+    """Return the state with another weight for these nodes, sharing the rest."""
     nodes = dict(state["nodes"])
     for name in names:
         nodes[name] = {**nodes[name], "weight": weight}
--- a/benchmarks/tier_cpu.py
+++ b/benchmarks/tier_cpu.py
@@ -36,7 +36,7 @@
 
 
 async def idle(members: int, seconds: float) -> list[float]:
-    """The part of a core that each daemon of an idle tier uses."""
+    """Return the part of a core that each daemon of an idle tier uses."""
     scenario = Scenario(name="idle", gateways=members, clients=0, voters=min(5, members))
     with tempfile.TemporaryDirectory(prefix="sailhitch-") as folder:
         lab = Lab(scenario, Path(folder), lambda text: None)
--- a/benchmarks/tier_seeds.py
+++ b/benchmarks/tier_seeds.py
@@ -23,12 +23,12 @@
 
 
 def play(seed: int) -> tuple[int, str | None]:
-    """A seed, and the promise that it breaks."""
+    """Return a seed, and the promise that it breaks."""
     return seed, find_violation(draw_scenario(seed))
 
 
 def play_with_death(seed: int) -> tuple[int, str | None]:
-    """The same where a member is killed for good."""
+    """Return the same where a member is killed for good."""
     return seed, find_violation(draw_scenario_with_death(seed))
 
 
