--- /dev/null
+++ b/sailhitch/daemon/cli_gateway.py
@@ -0,0 +1,97 @@
+"""Requests of a command to the running gateway, and the parts of its replies that are printed."""
+
+from __future__ import annotations
+
+import argparse
+import datetime
+import sys
+import time
+from collections.abc import Mapping
+from typing import Any, Final
+
+from .admin import ask
+from .cli_outcome import CommandError
+from .schema import OperatorFile
+
+POLL_INTERVAL: Final = 0.3  # s between two requests for what is pending
+
+
+def admin_socket(options: argparse.Namespace, operator_file: OperatorFile | None) -> str:
+    """Return the path of the admin socket: the option's, or the file's; raises CommandError."""
+    path = options.admin or (operator_file.gateway.admin if operator_file is not None else None)
+    if not path:
+        raise CommandError("which gateway? give --admin SOCKET, or set SAILHITCH_ADMIN")
+    return str(path)
+
+
+def request_reply(
+    options: argparse.Namespace, operator_file: OperatorFile | None, request: Mapping[str, Any]
+) -> dict[str, Any]:
+    """Send a request; return the reply if the gateway did it, else raise CommandError."""
+    reply = ask(admin_socket(options, operator_file), request)
+    check_done(reply)
+    return reply
+
+
+def check_done(reply: Mapping[str, Any]) -> None:
+    """Raise CommandError with the gateway's reason if the reply is an error."""
+    if not reply.get("ok"):
+        raise CommandError(str(reply.get("error", "refused, with no reason given")))
+
+
+def request_live_state(
+    options: argparse.Namespace, operator_file: OperatorFile | None
+) -> dict[str, Any]:
+    """Return the reply with the gateway's live state."""
+    return request_reply(options, operator_file, {"op": "state"})
+
+
+def request_history(options: argparse.Namespace) -> list[dict[str, Any]]:
+    """Return the gateway's applied states, oldest first, without their contents."""
+    history: list[dict[str, Any]] = request_reply(options, None, {"op": "history"})["history"]
+    return history
+
+
+def wait_if_asked(options: argparse.Namespace, reply: dict[str, Any]) -> dict[str, Any]:
+    """Wait for a pending change if `--wait` was given; return the final reply."""
+    if reply.get("pending") and options.wait:
+        return _wait_until_active(options, reply["serial"])
+    return reply
+
+
+def _wait_until_active(options: argparse.Namespace, serial: int) -> dict[str, Any]:
+    """Wait until a pending version is active, or is pending no more; print whom it waits for."""
+    last_printed = ""
+    while True:
+        status = request_reply(options, None, {"op": "tier", "act": "status"})
+        if status["pending"] != serial:
+            break
+        text = _confirmation_progress(serial, status)
+        if text != last_printed:
+            print(f"sailhitch: {text}", file=sys.stderr, flush=True)
+        last_printed = text
+        time.sleep(POLL_INTERVAL)
+    applied_serials = [record["serial"] for record in request_history(options)]
+    if serial != status["active"] and serial not in applied_serials:
+        raise CommandError(f"serial {serial} was withdrawn")
+    return {"ok": True, "serial": serial}
+
+
+def _confirmation_progress(serial: int, status: Mapping[str, Any]) -> str:
+    waiting_for = status["waiting_for"]
+    member_count = sum(bool(member["inside"]) for member in status["members"])
+    return (
+        f"serial {serial}: {member_count - len(waiting_for)} of {member_count} "
+        f"have confirmed; waits for {', '.join(waiting_for) or 'nobody'}"
+    )
+
+
+def describe_outcome(reply: Mapping[str, Any]) -> str:
+    """Return the serial of a change that is active, or why it is pending."""
+    return str(reply["error"]) if reply.get("pending") else f"serial {reply['serial']}"
+
+
+def format_time(record: Mapping[str, Any]) -> str:
+    """Return when a state was applied or a node banned, for printing."""
+    when = datetime.datetime.fromtimestamp(record["when"] / 1e6, datetime.UTC)
+    return when.strftime("%Y-%m-%d %H:%M:%S UTC")
--- a/tests/test_plan_identity.py
+++ b/tests/test_plan_identity.py
@@ -11,6 +11,7 @@
 import pytest
 
 from sailhitch.daemon import cli
+from sailhitch.daemon.cli_gateway import request_live_state
 from sailhitch.daemon.plan import (
     MovedError,
     PlanError,
@@ -86,10 +87,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """One that tells no identity, as it was not restarted since the upgrade."""
-    real = cli._live
 
     def without_identity(options: Any, file: OperatorFile | None) -> Mapping[str, Any]:
-        answer = dict(real(options, file))
+        answer = dict(request_live_state(options, file))
         del answer["identity"]
         return answer
 
@@ -106,7 +106,7 @@
             made_now = await plan(it)
             assert made_now["format"] == 2
             assert made_now["base"] == identity(it.live.applied.state)
-            monkeypatch.setattr(cli, "_live", without_identity)
+            monkeypatch.setattr("sailhitch.daemon.cli_change.request_live_state", without_identity)
             assert (await plan(it))["format"] == 1
             capsys.readouterr()
             code = await asyncio.to_thread(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -405,7 +405,7 @@
 from pathlib import Path
 import sailhitch.daemon.store as module
 from tests.test_store import _keep, _states
-module.KEPT = 2
+module.MAX_STATES = 2
 store = module.Store(Path(sys.argv[1]), "g1")
 kept = list(_states(4))
 def step(name):
