--- /dev/null
+++ b/sailhitch/daemon/schema_checks.py
@@ -0,0 +1,147 @@
+"""Checks of the operator file that concern several fields: names, addresses and references."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import Final
+
+from .routes import Match, Route, tied
+from .schema_errors import suggest_name
+from .schema_fields import format_duration
+from .schema_models import GatewayPart, OperatorFile, RoutePart, TierPart, ZonesPart
+
+MIN_LEASE: Final = 1_000_000  # microseconds; allows several reads of the voters, and a slow disk
+
+
+def find_contradictions(operator_file: OperatorFile) -> Iterator[str]:
+    """Yield a line for each contradiction between fields that are valid by themselves."""
+    for kind in ("listeners", "classes", "tenants", "pools", "routes"):
+        yield from _duplicates(kind, "name", [part.name for part in getattr(operator_file, kind)])
+    yield from _duplicates(
+        "listeners", "address", [listener.address for listener in operator_file.listeners]
+    )
+    yield from _node_contradictions(operator_file)
+    if operator_file.tier is not None:
+        yield from _tier_contradictions(operator_file.gateway, operator_file.tier)
+    if operator_file.zones is not None:
+        yield from _zones_contradictions(
+            operator_file.gateway, operator_file.tier, operator_file.zones
+        )
+    for i, cls in enumerate(operator_file.classes):
+        if cls.aim > cls.deadline:
+            yield f"classes[{i}].aim: longer than the deadline"
+    yield from _route_contradictions(operator_file)
+
+
+def _duplicates(kind: str, field: str, values: list[str]) -> Iterator[str]:
+    first_index: dict[str, int] = {}
+    for i, value in enumerate(values):
+        if value in first_index:
+            yield f"{kind}[{i}].{field}: {value!r} is that of {kind}[{first_index[value]}] too"
+        first_index.setdefault(value, i)
+
+
+def _node_contradictions(operator_file: OperatorFile) -> Iterator[str]:
+    """Yield ids and addresses of nodes that occur twice, over all pools.
+
+    A node in two pools would get its full rate from each, as neither knows of the other.
+    """
+    ids: dict[str, str] = {}
+    addresses: dict[str, str] = {}
+    for i, pool in enumerate(operator_file.pools):
+        for j, node in enumerate(pool.nodes):
+            path = f"pools[{i}].nodes[{j}]"
+            if node.id in ids:
+                yield f"{path}.id: {node.id!r} is that of {ids[node.id]} too"
+            if node.address in addresses:
+                yield f"{path}.address: {node.address!r} is that of {addresses[node.address]} too"
+            ids.setdefault(node.id, path)
+            addresses.setdefault(node.address, path)
+
+
+def _zones_contradictions(
+    gateway: GatewayPart, tier: TierPart | None, zones: ZonesPart
+) -> Iterator[str]:
+    if tier is None:
+        yield "zones: needs a [tier]: a gateway alone has nobody to leave a zone with"
+    min_step = gateway.cold_time * 3 // 2  # by then all gateways treat its nodes as warm
+    if zones.step is not None and zones.step < min_step:
+        yield (
+            f"zones.step: {format_duration(zones.step)} is less than "
+            f"{format_duration(min_step)}, one and a half times gateway.cold_time: nodes of a step "
+            "would not be warm at its end"
+        )
+
+
+def _tier_contradictions(gateway: GatewayPart, tier: TierPart) -> Iterator[str]:
+    names = [member.name for member in tier.members]
+    yield from _duplicates("tier.members", "name", names)
+    yield from _duplicates("tier.members", "address", [member.address for member in tier.members])
+    if gateway.name not in names:
+        yield f"tier.members: this gateway, {gateway.name!r}, is not among them"
+    if gateway.state_dir is None:
+        yield "gateway.state_dir: required in a tier: a member keeps there what it has said"
+    for i, name in enumerate(tier.voters):
+        yield from _unknown_reference(f"tier.voters[{i}]", "member", name, names)
+        if name in tier.voters[:i]:
+            yield f"tier.voters[{i}]: {name!r} is there already"
+    if len(tier.voters) % 2 == 0:
+        yield (
+            f"tier.voters: {len(tier.voters)} of them bear no more failures than "
+            f"{len(tier.voters) - 1}: name an odd number, 3 or 5 in different zones"
+        )
+    if tier.lease is not None and not MIN_LEASE <= tier.lease <= tier.agree_within // 2:
+        yield (
+            f"tier.lease: {format_duration(tier.lease)} is not between "
+            f"{format_duration(MIN_LEASE)} and half of agree_within"
+        )
+
+
+def _route_contradictions(operator_file: OperatorFile) -> Iterator[str]:
+    classes = [cls.name for cls in operator_file.classes]
+    pools = [pool.name for pool in operator_file.pools]
+    tenants = [tenant.name for tenant in operator_file.tenants]
+    for i, route in enumerate(operator_file.routes):
+        path = f"routes[{i}]"
+        yield from _unknown_reference(f"{path}.class", "class", route.class_, classes)
+        if route.match.class_ is not None:
+            yield from _unknown_reference(
+                f"{path}.match.class", "class", route.match.class_, classes
+            )
+        if route.match.tenant is not None:
+            yield from _unknown_reference(
+                f"{path}.match.tenant", "tenant", route.match.tenant, tenants
+            )
+        for pool in route.pools:
+            yield from _unknown_reference(f"{path}.pools", "pool", pool, pools)
+        if sum(route.pools.values()) <= 0:
+            yield f"{path}.pools: no pool has a weight above 0"
+    indices = {route.name: i for i, route in enumerate(operator_file.routes)}
+    for first, second in tied([to_route(route) for route in operator_file.routes]):
+        yield (
+            f"routes[{indices[second.name]}].match: a request can match it and "
+            f"routes[{indices[first.name]}] ({first.name!r}) equally well; make one more specific"
+        )
+
+
+def _unknown_reference(path: str, kind: str, name: str, known: list[str]) -> Iterator[str]:
+    if name not in known:
+        yield f"{path}: no {kind} is called {name!r}{suggest_name(name, known)}"
+
+
+def to_route(part: RoutePart) -> Route:
+    """Return a route as the lookup of routes has it."""
+    match = part.match
+    return Route(
+        part.name,
+        Match(
+            path_prefix=match.path_prefix,
+            host=match.host,
+            methods=frozenset(match.methods),
+            header=tuple(sorted((name.lower(), value) for name, value in match.header.items())),
+            cls=match.class_,
+            tenant=match.tenant,
+        ),
+        part.class_,
+        tuple(sorted(part.pools.items())),
+    )
--- /dev/null
+++ b/sailhitch/daemon/schema_errors.py
@@ -0,0 +1,89 @@
+"""Errors in an operator file: their texts, each with the path of its field."""
+
+from __future__ import annotations
+
+import difflib
+from collections.abc import Iterable
+from typing import Final
+
+from pydantic_core import ErrorDetails
+
+from .schema_models import (
+    ClassPart,
+    GatewayPart,
+    ListenerPart,
+    MatchPart,
+    NodePart,
+    OperatorFile,
+    Part,
+    PoolPart,
+    RoutePart,
+    TenantPart,
+    TierMemberPart,
+    TierPart,
+    ZonesPart,
+)
+
+FieldPath = list[int | str]
+"""The keys and list indices that lead from the top of the file to a field."""
+
+_MODELS: Final[dict[str, type[Part]]] = {
+    "gateway": GatewayPart,
+    "listeners": ListenerPart,
+    "classes": ClassPart,
+    "tenants": TenantPart,
+    "pools": PoolPart,
+    "nodes": NodePart,
+    "routes": RoutePart,
+    "match": MatchPart,
+    "tier": TierPart,
+    "zones": ZonesPart,
+    "members": TierMemberPart,
+}
+
+
+class FileError(ValueError):
+    """The file can't be used; `problems` has one line for each thing wrong with it."""
+
+    def __init__(self, problems: list[str]) -> None:
+        super().__init__("\n".join(problems))
+        self.problems = problems
+
+
+def describe_error(error: ErrorDetails) -> str:
+    """Return one of pydantic's errors as a line, with the path as the file has it."""
+    keys = field_path(error)
+    path = format_path(keys)
+    if error["type"] == "extra_forbidden":
+        return f"{path}: unknown key{suggest_name(str(keys[-1]), _known_keys(keys[:-1]))}"
+    if error["type"] == "missing":
+        return f"{path}: required and missing"
+    text = error["msg"].removeprefix("Value error, ")
+    shown = repr(error["input"])
+    return f"{path}: {text}: {shown[:80]}"
+
+
+def field_path(error: ErrorDetails) -> FieldPath:
+    """Return where in the file an error is; pydantic marks an invalid key by an item more."""
+    return [key for key in error["loc"] if key != "[key]"]
+
+
+def format_path(keys: FieldPath) -> str:
+    """Return a path as an error shows it, such as `pools[0].nodes[1].id`."""
+    text = ""
+    for key in keys:
+        text += f"[{key}]" if isinstance(key, int) else f".{key}" if text else key
+    return text or "file"
+
+
+def _known_keys(keys: FieldPath) -> list[str]:
+    """Return the keys that a table of the file may have."""
+    names = [key for key in keys if isinstance(key, str)]
+    model = _MODELS.get(names[-1], OperatorFile) if names else OperatorFile
+    return [field.alias or name for name, field in model.model_fields.items()]
+
+
+def suggest_name(name: str, known: Iterable[str]) -> str:
+    """Return a question after the known name that is most like one; empty if none is."""
+    matches = difflib.get_close_matches(name, list(known), 1, 0.5)
+    return f" (did you mean {matches[0]!r}?)" if matches else ""
--- /dev/null
+++ b/sailhitch/daemon/schema_models.py
@@ -0,0 +1,167 @@
+"""The operator file's tables as models: their fields, defaults and limits of one field."""
+
+from __future__ import annotations
+
+from typing import Annotated, Final, Literal
+
+from pydantic import BaseModel, ConfigDict, Field, ValidationInfo, field_validator
+
+from .schema_fields import (
+    Duration,
+    HeaderName,
+    Host,
+    Listen,
+    Methods,
+    Name,
+    PathPrefix,
+    Share,
+    Weight,
+)
+
+VERSION: Final = 1  # of the file's form
+# Of a tier: 1,700 are asked for in two years.
+MOST_MEMBERS: Final = 2_000
+
+
+class Part(BaseModel):
+    """A table of the file; unknown keys are errors, and no value is converted."""
+
+    model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
+
+
+class GatewayPart(Part):
+    """The gateway itself; fixed for the life of the process."""
+
+    name: Name
+    state_dir: str | None = None
+    admin: str | None = None
+    zone: str = ""
+    memory_mb: Annotated[int, Field(ge=40, le=1 << 20)] = 256
+    sockets: Annotated[int, Field(ge=64, le=1 << 20)] = 1024
+    gateways: Annotated[int, Field(ge=1, le=10_000)] = 1
+    number: Annotated[int, Field(ge=0)] | None = None
+    max_attempts: Annotated[int, Field(ge=1, le=20)] = 3
+    retry_after: Duration = 1_000_000
+    drain_grace: Duration = 1_000_000
+    cold_time: Duration = 5_000_000
+    cold_share: Annotated[float, Field(gt=0, le=1, allow_inf_nan=False)] = 0.3
+    rate: Annotated[float, Field(gt=0, le=1e9, allow_inf_nan=False)] | None = None
+
+    @field_validator("number")
+    @classmethod
+    def _check_number(cls, number: int | None, info: ValidationInfo) -> int | None:
+        if number is not None and number >= info.data.get("gateways", number + 1):
+            raise ValueError("not below `gateways`: they are numbered from 0")
+        return number
+
+
+class ListenerPart(Part):
+    """Where clients connect."""
+
+    name: Name
+    address: Listen
+    protocol: Literal["http1"] = "http1"
+
+
+class ClassPart(Part):
+    """A class of requests: its idempotency, latency objective, deadline and priority."""
+
+    name: Name
+    effect: Literal["safe", "keyed", "unsafe"] | None = None
+    aim: Duration
+    deadline: Duration
+    worth: Annotated[float, Field(gt=0, le=1e6, allow_inf_nan=False)] = 1.0
+    late_worth: Share = 0.0
+    dedup: Literal["pool", "zone", "cell"] = "cell"
+    window: Duration | None = None
+
+    def remembered(self) -> int:
+        """Return how long nodes remember a key, in microseconds."""
+        return self.deadline if self.window is None else self.window
+
+
+class TenantPart(Part):
+    """A tenant, and its quota as a share of the gateway's rate."""
+
+    name: Name
+    share: Annotated[float, Field(gt=0, le=1, allow_inf_nan=False)]
+
+
+class NodePart(Part):
+    """A node of a pool."""
+
+    id: Name
+    address: Listen
+    zone: str = ""
+    cell: str = ""
+    weight: Weight = 1.0
+
+
+class PoolPart(Part):
+    """Nodes that serve the same requests."""
+
+    name: Name
+    nodes: list[NodePart] = []
+    connect_timeout: Duration = 250_000
+    idle_timeout: Duration = 15_000_000
+
+
+class MatchPart(Part):
+    """The conditions under which a route matches a request; a missing one always holds."""
+
+    path_prefix: PathPrefix = "/"
+    host: Host | None = None
+    methods: Methods = []
+    header: dict[HeaderName, str] = {}
+    class_: Annotated[str | None, Field(alias="class")] = None
+    tenant: str | None = None
+
+
+class RoutePart(Part):
+    """Which pools requests go to, and under which class."""
+
+    name: Name
+    match: MatchPart = MatchPart()
+    class_: Annotated[str, Field(alias="class")]
+    pools: Annotated[dict[str, Share], Field(min_length=1)]
+
+
+class TierMemberPart(Part):
+    """A gateway of the tier, and the UDP address that it receives messages at."""
+
+    name: Name
+    address: Listen
+
+
+class TierPart(Part):
+    """The tier that this gateway is a member of; fixed for the life of the process."""
+
+    name: Name
+    members: Annotated[list[TierMemberPart], Field(min_length=1, max_length=MOST_MEMBERS)]
+    voters: Annotated[list[str], Field(min_length=1, max_length=7)]
+    key_file: str
+    agree_within: Duration = 10_000_000
+    lease: Duration | None = None
+
+
+class ZonesPart(Part):
+    """How the fleet leaves zones; fixed for the life of the process."""
+
+    mode: Literal["off", "advise", "act"] = "advise"
+    max_out: Annotated[int, Field(ge=1, le=100)] = 1
+    step: Duration | None = None
+    leaves_an_hour: Annotated[int, Field(ge=0, le=100)] = 4
+
+
+class OperatorFile(Part):
+    """The whole operator file."""
+
+    version: Literal[1]
+    gateway: GatewayPart
+    tier: TierPart | None = None
+    zones: ZonesPart | None = None
+    listeners: list[ListenerPart] = []
+    classes: list[ClassPart] = []
+    tenants: list[TenantPart] = []
+    pools: list[PoolPart] = []
+    routes: list[RoutePart] = []
