--- a/sailhitch/daemon/cli.py
+++ b/sailhitch/daemon/cli.py
@@ -16,7 +16,7 @@
 import sys
 from collections.abc import Sequence
 
-from .admin import AdminError
+from .admin_client import AdminError
 from .cli_outcome import CHANGES, DONE, ERROR, REFUSED, CommandError
 from .cli_parser import build_parser
 from .plan import PlanError
--- a/sailhitch/daemon/cli_change.py
+++ b/sailhitch/daemon/cli_change.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from .admin import MOVED, ask
+from .admin_client import ask
+from .admin_replies import MOVED
 from .cli_gateway import (
     admin_socket,
     check_done,
--- a/sailhitch/daemon/cli_gateway.py
+++ b/sailhitch/daemon/cli_gateway.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import Any, Final
 
-from .admin import ask
+from .admin_client import ask
 from .cli_outcome import CommandError
 from .schema import OperatorFile
 
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -845,7 +845,7 @@
 def test_an_admin_client_that_says_nothing_is_let_go(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("sailhitch.daemon.admin.PATIENCE", 0.2)
+    monkeypatch.setattr("sailhitch.daemon.admin.CLIENT_TIMEOUT", 0.2)
 
     async def act(it: Inside) -> None:
         silent = [await asyncio.open_unix_connection(str(it.admin.path)) for _ in range(12)]
