--- a/sailhitch/control/handlers.py
+++ b/sailhitch/control/handlers.py
@@ -6,16 +6,21 @@
 
 from ..core.pool import Pool
 
+MaintenanceAnnouncer = Callable[[str, bool], None]
+"""Called with a host's id, and whether it is taken out."""
+
 
 class OperatorHandlers:
     """The operators' actions on one pool.
 
-    `announce(host, out)` tells the pool, and every other process concerned, that a host is taken
+    `announce(host, out)` notifies the pool, and every other process concerned, that a host is taken
     out for maintenance or put back.
     """
 
-    def __init__(self, pool: Pool, announce: Callable[[str, bool], None]) -> None:
-        self.pool, self.core, self.announce = pool, pool.core, announce
+    def __init__(self, pool: Pool, announce: MaintenanceAnnouncer) -> None:
+        self.pool = pool
+        self.core = pool.core
+        self.announce = announce
 
     def serving(self) -> bool:
         """Return whether this process can serve."""
@@ -35,6 +40,6 @@
             return False
         if out != maintenance.is_out(target):
             self.announce(target, out)
-            word = "out for maintenance" if out else "back in use"
-            self.core.logger.write(f"operators: host {target:.80} {word}")
+            status = "out for maintenance" if out else "back in use"
+            self.core.logger.write(f"operators: host {target:.80} {status}")
         return True
--- a/sailhitch/control/requests.py
+++ b/sailhitch/control/requests.py
@@ -19,7 +19,7 @@
 
 
 class OperatorActions(Protocol):
-    """What a request can ask for."""
+    """The actions that a request can execute."""
 
     def serving(self) -> bool:
         """Return whether this process can serve."""
@@ -60,7 +60,7 @@
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> OperatorResponse | None:
-        """Parse bytes; return the response once the request is complete or refused."""
+        """Parse bytes; return the response once the request is complete or rejected."""
         if self.response is not None:
             return self.response
         self._received += len(data)
@@ -78,12 +78,15 @@
         return self.response
 
     def on_url(self, url: bytes) -> None:
+        """Take a piece of the request's target; called by the parser."""
         self._url += url
 
     def on_headers_complete(self) -> None:
+        """Take the method; called by the parser."""
         self.method = self._parser.get_method().decode("latin-1")
 
     def on_message_complete(self) -> None:
+        """Execute the request; called by the parser."""
         if self.response is None:
             self.response = self._execute()
 
@@ -97,14 +100,12 @@
         if methods is None:
             return OperatorResponse(404, "no such call; there are " + ", ".join(METHODS))
         if self.method not in methods:
-            wanted = ", ".join(methods)
-            return OperatorResponse(405, f"{parts.path} takes {wanted}", (("Allow", wanted),))
+            allowed = ", ".join(methods)
+            return OperatorResponse(405, f"{parts.path} takes {allowed}", (("Allow", allowed),))
         if parts.path == STATUS:
-            return (
-                OperatorResponse(200, "serving")
-                if self.actions.serving()
-                else OperatorResponse(503, "not serving")
-            )
+            if self.actions.serving():
+                return OperatorResponse(200, "serving")
+            return OperatorResponse(503, "not serving")
         targets = [value for name, value in query if name == "target"]
         if len(targets) != 1 or not targets[0]:
             return OperatorResponse(
--- a/sailhitch/daemon/plan.py
+++ b/sailhitch/daemon/plan.py
@@ -1,10 +1,10 @@
-"""Plans: the exact changes from one state to another, and what they were made against.
+"""Plans: the exact changes from one state to another, and the state that they were made against.
 
-`apply` does what a plan says and nothing else. It is refused where the live state is not the one
-that the plan was made against, as what it says would mean something else there.
+`apply` makes a plan's changes and no others. It is refused if the live state is not the one that
+the plan was made against, as the changes would have another meaning there.
 
 A plan costs what it changes. The state that it is for is named by the root of its page tree, which
-the gateway has at hand; what it leads to, by a digest of the objects that it changes. Plans of
+the gateway has at hand; its result, by a digest of the objects that it changes. Plans of
 format 1 name both by digests of the whole states, and are still read.
 """
 
@@ -19,13 +19,14 @@
 from .state_tree import to_tree
 
 FORMAT: Final = 2
-WHOLE_DIGESTS: Final = 1  # the format whose digests are of whole states
+FULL_STATE_FORMAT: Final = 1  # its digests are of full states
 ROOT_PREFIX: Final = "tree:"
+MAX_SHOWN_VALUE: Final = 100  # characters
 Action = Literal["add", "remove", "alter"]
 
 
 class PlanError(ValueError):
-    """A text that is no plan, or one that was changed after it was made."""
+    """A text is no plan, was changed after it was made, or does not fit the state."""
 
 
 class MovedError(Exception):
@@ -41,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One object that is added, removed or altered. `fields` has old and new values by name.
+    """An object that is added, removed or altered; `fields` has old and new values by name.
 
-    Of an object that is added all old values are None, of one that is removed all new ones.
+    All old values of an added object are None, as are all new ones of a removed object.
     """
 
     kind: str
@@ -52,13 +53,14 @@
     fields: Mapping[str, tuple[Any, Any]]
 
     def as_json(self) -> dict[str, Any]:
+        """Return the change as a plan's JSON has it."""
         fields = {name: list(pair) for name, pair in self.fields.items()}
         return {"kind": self.kind, "name": self.name, "action": self.action, "fields": fields}
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Changes, and the gateway and state that they are for."""
+    """Changes, and the gateway and the state that they are for."""
 
     gateway: str
     serial: int
@@ -68,11 +70,12 @@
     format: int = FORMAT
 
     def dump(self) -> str:
-        """As a text of its own, with a digest of itself."""
+        """Return the plan as a text, with a digest of itself."""
         body = self.body()
         return json.dumps({**body, "digest": digest(body)}, indent=1) + "\n"
 
     def body(self) -> dict[str, Any]:
+        """Return the plan as JSON, without its digest."""
         return {
             "format": self.format,
             "gateway": self.gateway,
@@ -84,12 +87,12 @@
 
 
 def identity(state: State) -> str:
-    """Return what a plan names a state by: the root of its page tree. Costs the whole state."""
+    """Return the root of a state's page tree, which plans name it by; encodes the full state."""
     return ROOT_PREFIX + to_tree(state).root
 
 
 def diff(old: State, new: State) -> tuple[Change, ...]:
-    """Return what to add, remove and alter, by kind and name."""
+    """Return the changes from one state to another, by kind and name."""
     changes = []
     for kind in KINDS:
         before = old[kind]
@@ -103,15 +106,15 @@
 
 def _change(kind: str, name: str, old: Object | None, new: Object | None) -> Change | None:
     if old is None and new is not None:
-        return Change(kind, name, "add", {f: (None, v) for f, v in new.items()})
+        return Change(kind, name, "add", {field: (None, value) for field, value in new.items()})
     if new is None and old is not None:
-        return Change(kind, name, "remove", {f: (v, None) for f, v in old.items()})
+        return Change(kind, name, "remove", {field: (value, None) for field, value in old.items()})
     assert old is not None
     assert new is not None
     fields = {
-        f: (old.get(f), new.get(f))
-        for f in sorted(old.keys() | new.keys())
-        if old.get(f) != new.get(f) or (f in old) != (f in new)
+        field: (old.get(field), new.get(field))
+        for field in sorted(old.keys() | new.keys())
+        if old.get(field) != new.get(field) or (field in old) != (field in new)
     }
     return Change(kind, name, "alter", fields) if fields else None
 
@@ -119,21 +122,24 @@
 def make_plan(gateway: str, serial: int, old: State, new: State, base: str | None = None) -> Plan:
     """Return the plan from the live state to another.
 
-    `base` is the live state's identity, where the gateway has told it; else it is worked out.
+    `base` is the live state's identity if the gateway has sent it; else it is computed.
     """
     changes = diff(old, new)
-    named = identity(old) if base is None else base
-    return Plan(gateway, serial, named, _result(new, changes), changes)
+    if base is None:
+        base = identity(old)
+    return Plan(gateway, serial, base, _result_digest(new, changes), changes)
 
 
 def make_whole_plan(gateway: str, serial: int, old: State, new: State) -> Plan:
-    """Return a plan for a gateway of the version before, which reads no other: by whole states."""
-    return Plan(gateway, serial, digest(old), digest(new), diff(old, new), WHOLE_DIGESTS)
+    """Return a plan of format 1, the only one that gateways of the version before read."""
+    return Plan(gateway, serial, digest(old), digest(new), diff(old, new), FULL_STATE_FORMAT)
 
 
-def _result(state: State, changes: Sequence[Change]) -> str:
-    """Digest of the changed objects as a state has them; those that have gone are null."""
-    return digest([[one.kind, one.name, state[one.kind].get(one.name)] for one in changes])
+def _result_digest(state: State, changes: Sequence[Change]) -> str:
+    """Return the digest of the changed objects in a state; those that it lacks are null."""
+    return digest(
+        [[change.kind, change.name, state[change.kind].get(change.name)] for change in changes]
+    )
 
 
 def load_plan(text: str | bytes) -> Plan:
@@ -144,24 +150,24 @@
         raise PlanError("not a plan, or cut short: make it anew with `sailhitch plan`") from None
     if not isinstance(value, dict) or "format" not in value:
         raise PlanError("not a plan: make one with `sailhitch plan FILE -o PLAN`")
-    if value["format"] not in (WHOLE_DIGESTS, FORMAT):
+    if value["format"] not in (FULL_STATE_FORMAT, FORMAT):
         raise PlanError(
             f"format {str(value['format'])[:20]} is not {FORMAT}, the one that this program "
             "writes: make the plan anew with this version"
         )
-    said = value.pop("digest", None)
+    stated_digest = value.pop("digest", None)
     try:
-        right = digest(value)
+        actual_digest = digest(value)
     except ValueError:
         raise PlanError("it holds numbers that no plan holds: make it anew") from None
-    if said != right:
+    if stated_digest != actual_digest:
         raise PlanError("it was changed after it was made: make it anew and apply it as it is")
-    return _read(value)
+    return _read_plan(value)
 
 
-def _read(value: Mapping[str, Any]) -> Plan:
+def _read_plan(value: Mapping[str, Any]) -> Plan:
     try:
-        changes = tuple(_read_change(one) for one in value["changes"])
+        changes = tuple(_read_change(change) for change in value["changes"])
         plan = Plan(
             str(value["gateway"]),
             int(value["serial"]),
@@ -184,25 +190,24 @@
 
 
 def apply_changes(state: State, changes: Sequence[Change]) -> State:
-    """Return the state that changes lead to; raises PlanError where one does not fit.
+    """Return the state that results from changes; raises PlanError if one does not fit.
 
-    It shares with `state` what is not changed.
+    Objects that are not changed are shared with `state`.
     """
-    touched = {change.kind for change in changes}
-    copies = {kind: dict(state[kind]) for kind in touched}
+    copies = {kind: dict(state[kind]) for kind in {change.kind for change in changes}}
     for change in changes:
         objects = copies[change.kind]
-        here = f"{change.kind} {change.name}"
+        label = f"{change.kind} {change.name}"
         old = objects.get(change.name)
         if (old is None) != (change.action == "add"):
-            raise PlanError(f"{here}: {'is not there' if old is None else 'is there already'}")
+            raise PlanError(f"{label}: {'is not there' if old is None else 'is there already'}")
         if change.action == "remove":
             del objects[change.name]
             continue
         values = dict(old or {})
         for field, (before, after) in change.fields.items():
             if change.action == "alter" and values.get(field) != before:
-                raise PlanError(f"{here}.{field}: is {values.get(field)!r}, not {before!r}")
+                raise PlanError(f"{label}.{field}: is {values.get(field)!r}, not {before!r}")
             values[field] = after
         objects[change.name] = values
     return {**state, **copies}
@@ -211,32 +216,32 @@
 def check_base(
     plan: Plan, gateway: str, serial: int, state: State, base: str | None = None
 ) -> State:
-    """Return the state that a plan leads to from the live one; raises PlanError or MovedError.
+    """Return the state that results from a plan on the live one; raises PlanError or MovedError.
 
-    `base` is the live state's identity, where it is at hand; else it is worked out.
+    `base` is the live state's identity if it is at hand; else it is computed.
     """
     if plan.gateway != gateway:
         raise PlanError(f"it was made for gateway {plan.gateway!r}, and this is {gateway!r}")
     if plan.serial != serial:
         raise MovedError(plan.serial, serial)
-    whole = plan.format == WHOLE_DIGESTS
-    if whole:
+    is_full_state = plan.format == FULL_STATE_FORMAT
+    if is_full_state:
         base = digest(state)
     elif base is None:
         base = identity(state)
     if plan.base != base:
         raise MovedError(plan.serial, serial)
-    made = apply_changes(state, plan.changes)
-    if plan.result != (digest(made) if whole else _result(made, plan.changes)):
+    result = apply_changes(state, plan.changes)
+    if plan.result != (digest(result) if is_full_state else _result_digest(result, plan.changes)):
         raise PlanError("its changes do not lead where it says: make it anew")
-    return made
+    return result
 
 
 # --- For people
 
 
 def describe(changes: Sequence[Change]) -> list[str]:
-    """Lines for each change, `+` added, `-` removed, `~` altered, with old and new values."""
+    """Return lines for each change (`+` added, `-` removed, `~` altered), with the values."""
     marks = {"add": "+", "remove": "-", "alter": "~"}
     lines = []
     for change in changes:
@@ -250,7 +255,7 @@
 
 
 def summary(changes: Sequence[Change]) -> str:
-    """One line: how many of each."""
+    """Return the number of each kind of change, in one line."""
     count = {"add": 0, "remove": 0, "alter": 0}
     for change in changes:
         count[change.action] += 1
@@ -259,4 +264,4 @@
 
 def _short(value: Any) -> str:
     text = json.dumps(value, sort_keys=True)
-    return text if len(text) <= 100 else text[:97] + "..."
+    return text if len(text) <= MAX_SHOWN_VALUE else text[: MAX_SHOWN_VALUE - 3] + "..."
--- a/sailhitch/daemon/state.py
+++ b/sailhitch/daemon/state.py
@@ -1,7 +1,7 @@
-"""What is wanted of a gateway, in one plain form that can be compared, stored and digested.
+"""The state that a gateway is to have, as plain values that can be compared, stored and digested.
 
 A state is a mapping of kinds ("pools", "nodes", ...) to objects by name, each a mapping of fields
-to plain values as JSON has them. Nodes are called `pool/id`. Order in the file means nothing.
+to plain values as JSON has them. Nodes are named `pool/id`. Order in the file has no meaning.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from .schema import FileError, OperatorFile, parse_value
 
-# The last one is said by hand: no file has it, and no file takes anything of it back.
+# Bans are set by operators' commands: no file has them, and applying a file removes none.
 KINDS: Final = ("listeners", "classes", "tenants", "pools", "nodes", "routes", "bans")
 Object = Mapping[str, Any]
 State = Mapping[str, Mapping[str, Object]]
@@ -23,9 +23,9 @@
 EMPTY: Final[State] = {kind: {} for kind in KINDS}
 
 
-def from_file(made: OperatorFile) -> State:
-    """Return the state that a checked file asks for; what is fixed for the process is not in it."""
-    value = made.model_dump(mode="json", by_alias=True)
+def from_file(operator_file: OperatorFile) -> State:
+    """Return the state that a checked file asks for, without what is fixed for the process."""
+    value = operator_file.model_dump(mode="json", by_alias=True)
     state: dict[str, dict[str, dict[str, Any]]] = {kind: {} for kind in KINDS}
     for kind in ("listeners", "classes", "tenants", "routes"):
         for part in value[kind]:
@@ -41,7 +41,7 @@
 def to_file(state: State, gateway: Mapping[str, Any]) -> OperatorFile:
     """Return the checked file that asks for a state, with this gateway part. Raises FileError.
 
-    A plan that has been edited, or a state from disk, is held to the same rules as a file.
+    This checks a plan that was edited, or a state from disk, by the same rules as a file.
     """
     value: dict[str, Any] = {"version": 1, "gateway": dict(gateway)}
     for kind in ("listeners", "classes", "tenants", "pools", "routes"):
@@ -58,12 +58,12 @@
 
 
 def with_bans(state: State, live: State) -> State:
-    """Return a state with another's bans: a file says nothing of them, and undoes none."""
+    """Return a state with the live one's bans, as a file neither sets nor lifts any."""
     return {**state, "bans": live["bans"]}
 
 
 def banned(state: State, node: str, ban: dict[str, Any] | None) -> State:
-    """A state in which a node is banned, or (None) is not. Said twice, the first word stays."""
+    """Return a state in which a node is banned, or (None) is not; an earlier ban is kept."""
     bans = dict(state["bans"])
     if ban is None:
         bans.pop(node, None)
@@ -73,14 +73,14 @@
 
 
 def unshared(old: Mapping[str, Any], new: Mapping[str, Any]) -> Iterator[str]:
-    """Return the names for which two mappings do not have the same object, or one has none."""
+    """Yield the names for which two mappings do not have the same object, or one has none."""
     if all(map(operator.eq, old, new)):
-        # One was copied from the other, perhaps with names added: no look-up of each is needed.
+        # One was copied from the other, perhaps with names added: saves a lookup of each name.
         yield from compress(new, map(operator.is_not, old.values(), new.values()))
         yield from islice(new, len(old), None)
         yield from islice(old, len(new), None)
         return
-    yield from (name for name, value in new.items() if old.get(name, _NOTHING) is not value)
+    yield from (name for name, value in new.items() if old.get(name, _MISSING) is not value)
     yield from old.keys() - new.keys()
 
 
@@ -92,19 +92,19 @@
     if old is new:
         return []
     return sorted(
-        name for name in unshared(old, new) if old.get(name, _NOTHING) != new.get(name, _NOTHING)
+        name for name in unshared(old, new) if old.get(name, _MISSING) != new.get(name, _MISSING)
     )
 
 
-_NOTHING: Final = object()
+_MISSING: Final = object()
 _ENCODER: Final = json.JSONEncoder(sort_keys=True, separators=(",", ":"), allow_nan=False)
 
 
 def canonical(value: Any) -> bytes:
-    """One text for one value: sorted keys, no blanks, no NaN."""
+    """Return the one JSON text of a value: sorted keys, no blanks, no NaN."""
     return _ENCODER.encode(value).encode()
 
 
 def digest(value: Any) -> str:
-    """SHA-256 of the canonical text, in hex."""
+    """Return the SHA-256 of a value's canonical text, in hex."""
     return hashlib.sha256(canonical(value)).hexdigest()
--- a/sailhitch/daemon/state_tree.py
+++ b/sailhitch/daemon/state_tree.py
@@ -1,10 +1,10 @@
-"""A state as the entries of a page tree, and back (`sailhitch.pages`).
+"""Convert a state to the entries of a page tree (`sailhitch.pages`), and back.
 
 Each object of a state is one entry: its canonical JSON under a key of its kind and name. Nodes of
-one pool are one group, so that they lie next to each other in the tree and a change of one service
-touches few pages; so are its bans. Each other kind is one group: like entries pack well.
+one pool are one group, so that they are next to each other in the tree and a change of one service
+changes few pages; so are its bans. Each other kind is one group: similar entries compress well.
 
-The same state gives the same root. A state that was made from another costs what differs: objects
+The same state gives the same root. A state derived from another costs what differs: objects
 that both share (the same object in memory) are neither compared nor encoded, and pages that both
 trees share are not read. A kind with any change is scanned by identity, and copied where it is
 read (`docs/design/state-by-difference.md` has the cost, and why plain dicts are used).
@@ -27,11 +27,11 @@
 
 
 class StateTreeError(ValueError):
-    """A tree with an entry that is of no state; the text names its key."""
+    """A tree has an entry that no state has; the text names its key."""
 
 
 def key_of(kind: str, name: str) -> Key:
-    """The key of an object. Raises StateTreeError for a node's name that is not `pool/id`."""
+    """Return the key of an object; raises StateTreeError for a node not named `pool/id`."""
     if kind not in BY_POOL:
         return Key(kind, name)
     pool, slash, node = name.partition("/")
@@ -54,21 +54,21 @@
 def update_tree(
     source: PageSource, base_root: str, base: Tables, state: Tables, kinds: Kinds = STATE_KINDS
 ) -> Tree:
-    """Return the tree of a state that was made from `base`, with the pages that `base_root` lacks.
+    """Return the tree of a state derived from `base`, with the pages that `base_root` lacks.
 
     `base` must be the state of `base_root`. Raises KeyError or PageError from the source.
     """
     changes: dict[Key, bytes | None] = {}
     for kind in kinds:
-        for name, value in _not_shared(base[kind], state[kind]):
+        for name, value in _changed_values(base[kind], state[kind]):
             changes[key_of(kind, name)] = value
     return update(source, base_root, changes)
 
 
-def _not_shared(
+def _changed_values(
     before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> Iterator[tuple[str, bytes | None]]:
-    """Names whose canonical JSON differs, with the new one; None for those that have gone."""
+    """Yield names whose canonical JSON differs, with the new one; None for removed ones."""
     if before is after:
         return
     for name in unshared(before, after):
@@ -84,7 +84,7 @@
 def state_from(source: PageSource, root: str, kinds: Kinds = STATE_KINDS) -> Tables:
     """Return the whole state of a root.
 
-    Raises StateTreeError for an entry that is of no state, KeyError or PageError from the source.
+    Raises StateTreeError for an entry that no state has, KeyError or PageError from the source.
     """
     state: dict[str, dict[str, Any]] = {kind: {} for kind in kinds}
     for key, value in read_entries(source, root):
@@ -96,7 +96,7 @@
 def changed_state(
     base: Tables, base_root: str, source: PageSource, root: str, kinds: Kinds = STATE_KINDS
 ) -> Tables:
-    """Return the state of a root, from the one of another: what is the same is shared with `base`.
+    """Return the state of a root, read by its difference from `base`; equal objects are shared.
 
     Raises as `state_from`; `source` needs those pages of both that are not in the other.
     """
@@ -114,46 +114,49 @@
 
 
 def changed_names(source: PageSource, old_root: str, new_root: str) -> dict[str, set[str]]:
-    """The names of the objects that differ between two roots, by kind. Raises as `state_from`."""
-    found: dict[str, set[str]] = {kind: set() for kind in KINDS}
+    """Return the names of the objects that differ between two roots, by kind.
+
+    Raises as `state_from`.
+    """
+    names: dict[str, set[str]] = {kind: set() for kind in KINDS}
     for key, _, _ in difference(source, old_root, new_root):
         kind, name = _identify(key, STATE_KINDS)
-        found[kind].add(name)
-    return found
+        names[kind].add(name)
+    return names
 
 
 def _identify(key: Key, kinds: Kinds) -> tuple[str, str]:
-    """Kind and name of an entry; raises StateTreeError."""
+    """Return the kind and name of an entry; raises StateTreeError."""
     kind, _, rest = key.group.partition("/")
     if kind not in kinds:
-        raise StateTreeError(f"{_said(key)}: {kind[:40]!r} is no kind of a state")
+        raise StateTreeError(f"{_describe(key)}: {kind[:40]!r} is no kind of a state")
     name = f"{rest}/{key.name}" if kind in BY_POOL else key.name
     try:
-        right = key_of(kind, name) == key
+        is_valid = key_of(kind, name) == key
     except StateTreeError:
-        right = False
-    if not right:
-        raise StateTreeError(f"{_said(key)}: not the key of any object of {kind!r}")
+        is_valid = False
+    if not is_valid:
+        raise StateTreeError(f"{_describe(key)}: not the key of any object of {kind!r}")
     return kind, name
 
 
-def _decode(key: Key, value: bytes, wanted: type) -> Any:
+def _decode(key: Key, data: bytes, expected_type: type) -> Any:
     try:
-        found = _DECODER.decode(value.decode())
+        value = _DECODER.decode(data.decode())
     except (ValueError, RecursionError):
-        raise StateTreeError(f"{_said(key)}: not JSON") from None
-    if type(found) is not wanted:
-        said = "an object" if wanted is dict else "a whole number"
-        raise StateTreeError(f"{_said(key)}: not {said}, as its kind has them")
-    return found
+        raise StateTreeError(f"{_describe(key)}: not JSON") from None
+    if type(value) is not expected_type:
+        expected = "an object" if expected_type is dict else "a whole number"
+        raise StateTreeError(f"{_describe(key)}: not {expected}, as its kind has them")
+    return value
 
 
-def _refuse(constant: str) -> NoReturn:
+def _reject_constant(constant: str) -> NoReturn:
     raise ValueError(f"{constant} is not JSON")
 
 
-_DECODER: Final = json.JSONDecoder(parse_constant=_refuse)
+_DECODER: Final = json.JSONDecoder(parse_constant=_reject_constant)
 
 
-def _said(key: Key) -> str:
+def _describe(key: Key) -> str:
     return f"entry {key.group[:120]!r} {key.name[:120]!r}"
