--- a/sailhitch/control/server.py
+++ b/sailhitch/control/server.py
@@ -9,20 +9,20 @@
 from ..core.log import Log
 from .requests import OperatorActions, OperatorRequest, OperatorResponse
 
-MAX_CONNECTIONS: Final = 12  # without a response yet; one more closes the oldest
+MAX_CONNECTIONS: Final = 12  # without a response; a further one closes the oldest
 REQUEST_TIMEOUT: Final = 2.5  # s from the connection to the request's last byte
 BACKLOG: Final = 64  # connections that the kernel queues
 
 
 class _OperatorConnection(asyncio.Protocol):
-    """A connection, which carries one request."""
+    """A connection for one request."""
 
     def __init__(self, server: OperatorServer) -> None:
         self.server = server
         self.request = OperatorRequest(server.actions)
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.answered = False
+        self.has_responded = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -36,7 +36,7 @@
         self.server.pending.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:
+        if self.has_responded:
             return
         try:
             response = self.request.feed(data)
@@ -46,19 +46,19 @@
             )
             response = OperatorResponse(500, "the call failed here; the log says why")
         if response is not None:
-            self.answer(response)
+            self.respond(response)
 
-    def answer(self, response: OperatorResponse) -> None:
+    def respond(self, response: OperatorResponse) -> None:
         """Send the response and close; does nothing after the first."""
-        if self.answered or self.transport is None:
+        if self.has_responded or self.transport is None:
             return
-        self.answered = True
+        self.has_responded = True
         self.server.pending.pop(self, None)
         self.transport.write(response.serialize(self.request.method == "HEAD"))
         self.transport.close()
 
     def _time_out(self) -> None:
-        self.answer(OperatorResponse(408, "no whole call came"))
+        self.respond(OperatorResponse(408, "no whole call came"))
 
 
 class OperatorServer:
@@ -88,7 +88,7 @@
         self.pending[connection] = None
         if len(self.pending) > MAX_CONNECTIONS:
             oldest = next(iter(self.pending))
-            oldest.answer(OperatorResponse(408, "no whole call came, and others wait"))
+            oldest.respond(OperatorResponse(408, "no whole call came, and others wait"))
 
     def close(self) -> None:
         """Stop listening."""
--- a/sailhitch/daemon/page_file.py
+++ b/sailhitch/daemon/page_file.py
@@ -1,11 +1,11 @@
-"""Pages of the applied states on disk: one SQLite file, each page once however many states use it.
+"""Pages of the applied states on disk: an SQLite file that has each page once, for all states.
 
-Pages in files of their own were weighed: a state of full size has thousands, each to be synced, and
-letting go of some is no single step. SQLite adds and removes them by transactions with one sync.
+Pages in files of their own were considered: a state of full size has thousands, each to be synced,
+and removing several is not atomic. SQLite adds and removes them in transactions with one sync.
 
 A *root* is a row (serial, digest): a tree that is kept for the applied state of that serial. Each
-page counts its uses, by roots and by the pages that refer to it, and is deleted with the last one.
-So keeping a state and letting go of one cost the pages in which it differs from the others.
+page has a reference count, of roots and of pages that refer to it, and is deleted at zero. So
+keeping a state and releasing one cost the pages in which it differs from the others.
 """
 
 from __future__ import annotations
@@ -19,10 +19,14 @@
 
 FILE: Final = "pages.sqlite3"
 _SCHEMA: Final = (
-    "CREATE TABLE IF NOT EXISTS pages "
-    "(digest BLOB PRIMARY KEY, packed BLOB NOT NULL, uses INTEGER NOT NULL)",
-    "CREATE TABLE IF NOT EXISTS roots "
-    "(serial INTEGER NOT NULL, digest BLOB NOT NULL, PRIMARY KEY (serial, digest))",
+    (
+        "CREATE TABLE IF NOT EXISTS pages "
+        "(digest BLOB PRIMARY KEY, packed BLOB NOT NULL, uses INTEGER NOT NULL)"
+    ),
+    (
+        "CREATE TABLE IF NOT EXISTS roots "
+        "(serial INTEGER NOT NULL, digest BLOB NOT NULL, PRIMARY KEY (serial, digest))"
+    ),
 )
 
 
@@ -38,22 +42,22 @@
 
 
 class PageFile:
-    """The pages of one state directory; a `PageSource`. Its owner holds the directory's lock."""
+    """The pages of one state directory; a `PageSource`. Its owner has the directory's lock."""
 
     def __init__(self, folder: Path) -> None:
-        """Open or create it; raises PageFileError."""
+        """Open or create the file; raises PageFileError."""
         self.path = folder / FILE
         try:
-            # Writers take turns (`Live` switches one at a time), and SQLite serialises readers.
+            # There is one writer at a time (`StateApplier`), and SQLite serialises readers.
             self._db = sqlite3.connect(self.path, timeout=0, check_same_thread=False)
             self._db.execute("PRAGMA journal_mode=DELETE")
-            # EXTRA syncs the folder too: a journal that came back would undo a commit.
+            # EXTRA syncs the directory too: a journal that reappears would undo a commit.
             self._db.execute("PRAGMA synchronous=EXTRA")
             with self._db:
                 for statement in _SCHEMA:
                     self._db.execute(statement)
         except sqlite3.Error as error:
-            raise self._failed(error) from None
+            raise self._to_page_file_error(error) from None
 
     def close(self) -> None:
         """Close the file."""
@@ -66,7 +70,7 @@
                 "SELECT packed FROM pages WHERE digest = ?", (bytes.fromhex(digest),)
             ).fetchone()
         except sqlite3.Error as error:
-            raise self._failed(error) from None
+            raise self._to_page_file_error(error) from None
         if row is None:
             raise KeyError(digest)
         raw = decompress(row[0], MAX_PAGE_BYTES)
@@ -78,13 +82,13 @@
         try:
             rows = self._db.execute("SELECT serial, digest FROM roots").fetchall()
         except sqlite3.Error as error:
-            raise self._failed(error) from None
+            raise self._to_page_file_error(error) from None
         return {Root(serial, digest.hex()) for serial, digest in rows}
 
     def keep(self, serial: int, trees: Collection[Tree], step: Callable[[str], None]) -> list[Root]:
-        """Keep trees for a serial, beside what is kept for it; the roots that were not there.
+        """Keep trees for a serial, beside those kept already; return the roots that are new.
 
-        Pages that a tree does not bring are here already. All of it is on disk when this returns.
+        Pages that a tree does not contain must be in the file. All is on disk when this returns.
         Raises PageFileError, and then nothing has changed.
         """
         try:
@@ -98,56 +102,58 @@
                     if self._add_root(root)
                 ]
         except sqlite3.Error as error:
-            raise self._failed(error) from None
+            raise self._to_page_file_error(error) from None
         step("pages committed")
         return added
 
     def release(self, roots: Iterable[Root]) -> None:
-        """Keep these trees no more, nor pages that no other has; raises PageFileError."""
+        """Remove trees, and the pages that no other tree has; raises PageFileError."""
         try:
             with self._db:
                 for serial, digest in roots:
-                    done = self._db.execute(
+                    cursor = self._db.execute(
                         "DELETE FROM roots WHERE serial = ? AND digest = ?",
                         (serial, bytes.fromhex(digest)),
                     )
-                    if done.rowcount:
+                    if cursor.rowcount:
                         self._release_page(digest)
         except sqlite3.Error as error:
-            raise self._failed(error) from None
+            raise self._to_page_file_error(error) from None
 
     def _add_pages(self, pages: Mapping[str, bytes]) -> None:
-        """Add pages, and count what those that are new refer to."""
-        new = []
+        """Add pages, and count the references of those that are new."""
+        added = []
         for digest, raw in pages.items():
             name = bytes.fromhex(digest)
             packed = compress(raw)
-            # One that is here is written again: it may be damaged.
-            done = self._db.execute("UPDATE pages SET packed = ? WHERE digest = ?", (packed, name))
-            if not done.rowcount:
-                new.append(digest)
+            # A page that is in the file is written again, as it may be damaged.
+            cursor = self._db.execute(
+                "UPDATE pages SET packed = ? WHERE digest = ?", (packed, name)
+            )
+            if not cursor.rowcount:
+                added.append(digest)
                 self._db.execute("INSERT INTO pages VALUES (?, ?, 0)", (name, packed))
-        for digest in new:
+        for digest in added:
             for child in child_digests(pages[digest]):
-                self._use(child)
+                self._add_reference(child)
 
     def _add_root(self, root: Root) -> bool:
-        done = self._db.execute(
+        cursor = self._db.execute(
             "INSERT OR IGNORE INTO roots VALUES (?, ?)", (root.serial, bytes.fromhex(root.digest))
         )
-        if done.rowcount:
-            self._use(root.digest)
-        return bool(done.rowcount)
+        if cursor.rowcount:
+            self._add_reference(root.digest)
+        return bool(cursor.rowcount)
 
-    def _use(self, digest: str) -> None:
-        done = self._db.execute(
+    def _add_reference(self, digest: str) -> None:
+        cursor = self._db.execute(
             "UPDATE pages SET uses = uses + 1 WHERE digest = ?", (bytes.fromhex(digest),)
         )
-        if not done.rowcount:
+        if not cursor.rowcount:
             raise sqlite3.DatabaseError(f"damaged: page {digest} is not there")
 
     def _release_page(self, digest: str) -> None:
-        """Count one use less of a page, and delete what is not used any more."""
+        """Remove a reference to a page, and delete the pages that then have none."""
         unused = [digest]
         while unused:
             digest = unused.pop()
@@ -159,15 +165,16 @@
             if row is None:
                 continue
             self._db.execute("DELETE FROM pages WHERE digest = ?", (name,))
-            # A page that is not what its digest says would let go of pages of others.
+            # A page that does not match its digest would release pages of other trees.
             try:
                 raw = decompress(row[0], MAX_PAGE_BYTES)
                 verify(raw, digest)
                 unused += child_digests(raw)
             except PageError:
-                continue  # damaged: what it referred to stays, as nobody can say what that is
+                continue  # damaged: what it referred to is unknown, and stays
 
-    def _failed(self, error: sqlite3.Error) -> PageFileError:
+    def _to_page_file_error(self, error: sqlite3.Error) -> PageFileError:
+        """Return the error with what an operator can do about it."""
         text = str(error)
         if "locked" in text:
             return PageFileError(f"{self.path}: another process holds it; end that one")
--- a/sailhitch/daemon/store.py
+++ b/sailhitch/daemon/store.py
@@ -1,15 +1,15 @@
-"""The applied states on disk: whole or not there, and the last one holds after a restart.
+"""The applied states on disk: each complete or absent, and the last one is live after a restart.
 
 A state is a small file of its own, the manifest, that names two page trees by their roots: the
-state's, and since when its nodes are new. Their pages are in one file for all (`page_file`), so
-fifty kept states cost what changed between them. Pages are on disk before the manifest; it is
-written under another name, synced and renamed, and the rename is the moment from which it holds.
+state's, and the serials since which its nodes are new. Their pages are in one file for all
+(`page_file`), so fifty kept states cost what changed between them. Pages are on disk before the
+manifest; it is written under another name, synced and renamed, and the rename commits the state.
 Pages that no manifest needs are released after that, or at the next start.
 
-A manifest that is there under its own name is whole, and its pages are there. What is not so (a
-disk that lied, a hand that edited) is found by its digest and never taken for another.
+A manifest under its own name is complete, and its pages are in the file. Damage (a disk that lost
+writes, a file edited by hand) is detected by its digest.
 
-Format 1, of the versions before, has the whole state in the file. It is read and never rewritten.
+Format 1, of the versions before, has the full state in the manifest. It is read, never rewritten.
 """
 
 from __future__ import annotations
@@ -37,15 +37,17 @@
 )
 
 FORMAT: Final = 2
-WHOLE_STATE: Final = 1  # the format of the versions before, with the state in the file
+FULL_STATE_FORMAT: Final = 1  # of the versions before: the state is in the manifest
 MAX_STATES: Final = 50  # states that `plan --to` can go back to
-NEW_SINCE_KINDS: Final[Kinds] = {"born": int}
+NEW_SINCE: Final = "born"  # the kind of the tree, by node the serial that first had it
+NEW_SINCE_KINDS: Final[Kinds] = {NEW_SINCE: int}
 _FILE = re.compile(r"state-(\d{8,12})\.json")
 Step = Callable[[str], None]
+"""Called with the name of each step of a write; tests end the process at one."""
 
 
 def ignore_step(step: str) -> None:
-    """No test is watching."""
+    """Do nothing: the callback where no test observes the steps."""
 
 
 class StoreError(Exception):
@@ -54,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryRecord:
-    """What `history` shows of a state that holds or held."""
+    """A state that is or was live, without its contents, as `history` shows it."""
 
     serial: int
     applied_at: int  # microseconds of the time of day
@@ -64,19 +66,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedState:
-    """A state that holds or held."""
+    """A state that is or was live."""
 
     serial: int
     applied_at: int  # microseconds of the time of day
     applied_by: str
     state: State
     summary: str = ""
-    new_since: Mapping[str, int] = field(
-        default_factory=dict
-    )  # since when a node is new; 0: long ago
+    # By node, the serial that first had it; 0 if it was there at the first start.
+    new_since: Mapping[str, int] = field(default_factory=dict)
 
     def record(self) -> HistoryRecord:
-        """It without its state."""
+        """Return this state without its contents."""
         return HistoryRecord(self.serial, self.applied_at, self.applied_by, self.summary)
 
 
@@ -87,18 +88,19 @@
     state: State
     new_since: Mapping[str, int]
     root: str
-    born_root: str
+    new_since_root: str
 
     def roots(self, serial: int) -> set[Root]:
-        return {Root(serial, self.root), Root(serial, self.born_root)}
+        """Return the roots of both trees, as kept for a serial."""
+        return {Root(serial, self.root), Root(serial, self.new_since_root)}
 
 
 @dataclass(frozen=True, slots=True)
 class _Prepared:
-    """A state that is on disk and does not hold yet."""
+    """A state whose pages and manifest are on disk, not committed yet."""
 
     state: _StoredState
-    added: list[Root]  # kept for it alone
+    added: list[Root]  # kept for this state alone
 
 
 class Store:
@@ -127,31 +129,31 @@
         self._lock: int | None = lock
 
     def close(self) -> None:
-        """Let another process have the directory."""
+        """Close the page file and release the directory's lock."""
         if self._lock is not None:
             self.pages.close()
             os.close(self._lock)
             self._lock = None
 
     def serials(self) -> list[int]:
-        """Of all states that are here, oldest first."""
-        found = (_FILE.fullmatch(name) for name in os.listdir(self.path))
-        return sorted(int(one[1]) for one in found if one)
+        """Return the serials of all states that are kept, oldest first."""
+        matches = (_FILE.fullmatch(name) for name in os.listdir(self.path))
+        return sorted(int(match[1]) for match in matches if match)
 
     def root_of(self, state: State) -> str | None:
-        """Return the root of the state's tree, where this is the one written or read last."""
+        """Return the root of a state's tree if it is the state written or read last, else None."""
         latest = self._latest
         return latest.root if latest is not None and latest.state is state else None
 
     def last(self) -> AppliedState | None:
-        """Return the state that holds, or None before the first; raises StoreError.
+        """Return the live state, or None before the first; raises StoreError.
 
-        Falling back to the one before a damaged one would bring back nodes that were taken
-        out for a reason, with nobody told. Whoever wants that removes the file.
+        This never falls back to the state before a damaged one: that would bring back nodes that
+        were taken out for a reason, unnoticed. Operators who want that remove the file.
         """
         for name in os.listdir(self.path):
             if name.startswith(".state-"):
-                (self.path / name).unlink()  # of an apply that came to nothing
+                (self.path / name).unlink()  # of an apply that was not committed
         self._release_unneeded()
         serials = self.serials()
         if not serials:
@@ -165,45 +167,53 @@
         return self._load(serial)[0]
 
     def _load(self, serial: int) -> tuple[AppliedState, _StoredState | None]:
-        """A state, and as the next one is written against it (not format 1); raises StoreError."""
+        """Return a state, and its base for the next write (not of format 1); raises StoreError."""
         path = self._file(serial)
-        value = self._manifest(serial)
-        if value["format"] == WHOLE_STATE:
-            value["state"].setdefault("bans", {})  # written before there were any
-            state = value["state"]
-            born = value["born"]
-            latest = None
+        manifest = self._manifest(serial)
+        stored = None
+        if manifest["format"] == FULL_STATE_FORMAT:
+            manifest["state"].setdefault("bans", {})  # written before there were any
+            state = manifest["state"]
+            new_since = manifest["born"]
         else:
-            root = value["root"]
-            born_root = value["born_root"]
+            root = manifest["root"]
+            new_since_root = manifest["born_root"]
             try:
-                state, born = self._read_trees(root, born_root)
+                state, new_since = self._read_trees(root, new_since_root)
             except KeyError as error:
-                said = f"{path}: damaged, its page {error} is not in {self.pages.path}"
-                raise StoreError(f"{said}; {self._next_step(serial)}") from None
+                problem = f"{path}: damaged, its page {error} is not in {self.pages.path}"
+                raise StoreError(f"{problem}; {self._next_step(serial)}") from None
             except (PageError, StateTreeError) as error:
-                said = f"{path}: damaged, in {self.pages.path}: {error}"
-                raise StoreError(f"{said}; {self._next_step(serial)}") from None
+                problem = f"{path}: damaged, in {self.pages.path}: {error}"
+                raise StoreError(f"{problem}; {self._next_step(serial)}") from None
             except PageFileError as error:
                 raise StoreError(str(error)) from None
-            latest = _StoredState(state, born, root, born_root)
-        return AppliedState(
-            serial, value["when"], value["by"], state, value["summary"], born
-        ), latest
+            stored = _StoredState(state, new_since, root, new_since_root)
+        applied = AppliedState(
+            serial, manifest["when"], manifest["by"], state, manifest["summary"], new_since
+        )
+        return applied, stored
 
-    def _read_trees(self, root: str, born_root: str) -> tuple[State, Mapping[str, int]]:
-        """Return a state and `born`, by their difference from the latest state."""
+    def _read_trees(self, root: str, new_since_root: str) -> tuple[State, Mapping[str, int]]:
+        """Return a state and its `new_since`, read by their difference from the latest state."""
         pages = self.pages
         latest = self._latest
         if latest is None:
-            return state_from(pages, root), state_from(pages, born_root, NEW_SINCE_KINDS)["born"]
-        state = changed_state(latest.state, latest.root, pages, root)
-        before = {"born": latest.new_since}
-        born = changed_state(before, latest.born_root, pages, born_root, NEW_SINCE_KINDS)
-        return state, born["born"]
+            state = state_from(pages, root)
+            tables = state_from(pages, new_since_root, NEW_SINCE_KINDS)
+        else:
+            state = changed_state(latest.state, latest.root, pages, root)
+            tables = changed_state(
+                {NEW_SINCE: latest.new_since},
+                latest.new_since_root,
+                pages,
+                new_since_root,
+                NEW_SINCE_KINDS,
+            )
+        return state, tables[NEW_SINCE]
 
     def _manifest(self, serial: int) -> dict[str, Any]:
-        """Return what a state's file says; raises StoreError."""
+        """Return the contents of a state's manifest, checked; raises StoreError."""
         path = self._file(serial)
         try:
             value = json.loads(path.read_bytes())
@@ -216,25 +226,28 @@
         if value["format"] > FORMAT:
             step = f"start that one, or {self._next_step(serial)}"
             raise StoreError(f"{path}: written by a newer version; {step}")
-        said = value.pop("digest", None)
-        if said != digest(value) or value["serial"] != serial:
+        stated_digest = value.pop("digest", None)
+        if stated_digest != digest(value) or value["serial"] != serial:
             raise StoreError(f"{path}: damaged, its digest is wrong; {self._next_step(serial)}")
         if value["gateway"] != self.gateway:
             raise StoreError(f"{path}: of gateway {value['gateway']!r}, not {self.gateway!r}")
         return value
 
     def _next_step(self, serial: int) -> str:
-        before = [s for s in self.serials() if s < serial]
-        return f"remove it to go on from serial {before[-1]}" if before else "remove it"
+        """Return what an operator can do about a damaged manifest."""
+        earlier = [kept for kept in self.serials() if kept < serial]
+        return f"remove it to go on from serial {earlier[-1]}" if earlier else "remove it"
 
     def history(self) -> list[HistoryRecord]:
-        """Of all states whose files can be read, oldest first."""
-        found = []
+        """Return all states whose manifests can be read, oldest first, without contents."""
+        records = []
         for serial in self.serials():
             with contextlib.suppress(StoreError):
-                value = self._manifest(serial)
-                found.append(HistoryRecord(serial, value["when"], value["by"], value["summary"]))
-        return found
+                manifest = self._manifest(serial)
+                records.append(
+                    HistoryRecord(serial, manifest["when"], manifest["by"], manifest["summary"])
+                )
+        return records
 
     def _file(self, serial: int) -> Path:
         return self.path / f"state-{serial:08d}.json"
@@ -242,9 +255,9 @@
     # --- Writing
 
     def prepare(self, applied: AppliedState, step: Step) -> Path:
-        """Keep a state's pages, write its manifest under another name, and sync them.
+        """Write a state's pages, and its manifest under another name, and sync them.
 
-        Raises StoreError, with nothing left.
+        Returns the manifest's path. Raises StoreError, and then nothing of the state is kept.
         """
         try:
             trees = self._trees(applied)
@@ -260,34 +273,39 @@
         except StoreError:
             self._discard(added)
             raise
-        latest = _StoredState(applied.state, applied.new_since, trees[0].root, trees[1].root)
-        self._prepared = _Prepared(latest, added)
+        state_tree, new_since_tree = trees
+        stored = _StoredState(
+            applied.state, applied.new_since, state_tree.root, new_since_tree.root
+        )
+        self._prepared = _Prepared(stored, added)
         return path
 
     def _trees(self, applied: AppliedState) -> tuple[Tree, Tree]:
-        """Return the trees of a state and of `born`, by their difference from the latest state."""
-        born = {"born": applied.new_since}
+        """Return the trees of a state and its `new_since`, by difference from the latest state."""
+        tables = {NEW_SINCE: applied.new_since}
         latest = self._latest
         if latest is None:
-            return to_tree(applied.state), to_tree(born, NEW_SINCE_KINDS)
-        before = {"born": latest.new_since}
+            return to_tree(applied.state), to_tree(tables, NEW_SINCE_KINDS)
+        latest_tables = {NEW_SINCE: latest.new_since}
         return (
             update_tree(self.pages, latest.root, latest.state, applied.state),
-            update_tree(self.pages, latest.born_root, before, born, NEW_SINCE_KINDS),
+            update_tree(self.pages, latest.new_since_root, latest_tables, tables, NEW_SINCE_KINDS),
         )
 
     def _write_manifest(self, applied: AppliedState, trees: tuple[Tree, Tree], step: Step) -> Path:
-        value = {
+        state_tree, new_since_tree = trees
+        manifest = {
             "format": FORMAT,
             "gateway": self.gateway,
             "serial": applied.serial,
             "when": applied.applied_at,
             "by": applied.applied_by,
             "summary": applied.summary,
-            "root": trees[0].root,
-            "born_root": trees[1].root,
+            "root": state_tree.root,
+            "born_root": new_since_tree.root,
         }
-        data = json.dumps({**value, "digest": digest(value)}, separators=(",", ":")).encode()
+        signed = {**manifest, "digest": digest(manifest)}
+        data = json.dumps(signed, separators=(",", ":")).encode()
         path = self.path / f".state-{applied.serial:08d}.json.tmp"
         try:
             with open(path, "wb") as file:
@@ -306,7 +324,7 @@
         return path
 
     def commit(self, path: Path, serial: int, step: Step) -> None:
-        """From here on that state holds; raises StoreError, and then the old one does."""
+        """Make the prepared state the live one; raises StoreError, with the old one still live."""
         prepared = self._prepared
         self._prepared = None
         assert prepared is not None
@@ -317,54 +335,57 @@
                 path.unlink()
             self._discard(prepared.added)
             raise StoreError(f"{path}: {error.strerror}") from None
-        self._latest = latest = prepared.state
+        self._latest = prepared.state
         step("renamed")
-        # From here on nothing may look like a failure, or the process would go on under
-        # the old state and start under the new one.
+        # No failure is reported after the rename, or the process would continue with the old
+        # state and restart with the new one.
         with contextlib.suppress(OSError):
             self._sync_folder()
         with contextlib.suppress(OSError):
-            for old in self.serials()[:-MAX_STATES]:
-                self._file(old).unlink()
+            for expired_serial in self.serials()[:-MAX_STATES]:
+                self._file(expired_serial).unlink()
         step("manifests pruned")
         with contextlib.suppress(PageFileError, OSError):
-            here = set(self.serials())
-            self.pages.release(
-                root
-                for root in self.pages.roots()
-                if root.serial not in here
-                or (root.serial == serial and root not in latest.roots(serial))
-            )
+            self._release_replaced(prepared.state.roots(serial), serial)
         step("committed")
 
+    def _release_replaced(self, live_roots: set[Root], serial: int) -> None:
+        """Release trees of states that are not kept, and any but the live ones of its serial."""
+        kept_serials = set(self.serials())
+        self.pages.release(
+            root
+            for root in self.pages.roots()
+            if root.serial not in kept_serials or (root.serial == serial and root not in live_roots)
+        )
+
     def _discard(self, roots: list[Root]) -> None:
-        """Let go of pages of a state that came to nothing; else the next start does."""
+        """Release trees of a state that is not committed; if this fails, the next start does."""
         with contextlib.suppress(PageFileError):
             self.pages.release(roots)
 
     def _release_unneeded(self) -> None:
-        """Release pages that no manifest needs: of applies that were cut short."""
-        here = set(self.serials())
+        """Release pages that no manifest needs: those of applies that were interrupted."""
+        kept_serials = set(self.serials())
         try:
             roots = self.pages.roots()
             needed: dict[int, set[str]] = {}
-            # Only of those that have pages: files of format 1 take long to read.
-            for serial in here & {root.serial for root in roots}:
-                # One that can't be read may need any of its pages, once it is mended.
+            # Only manifests that have pages: those of format 1 take long to read.
+            for serial in kept_serials & {root.serial for root in roots}:
+                # One that can't be read may need any of its pages, once it is repaired.
                 with contextlib.suppress(StoreError):
-                    value = self._manifest(serial)
-                    needed[serial] = {value.get("root", ""), value.get("born_root", "")}
+                    manifest = self._manifest(serial)
+                    needed[serial] = {manifest.get("root", ""), manifest.get("born_root", "")}
             self.pages.release(
                 root
                 for root in roots
-                if root.serial not in here
+                if root.serial not in kept_serials
                 or (root.serial in needed and root.digest not in needed[root.serial])
             )
         except PageFileError as error:
             raise StoreError(str(error)) from None
 
     def _sync_folder(self) -> None:
-        """Make a name outlast the machine; for every process it is there already."""
+        """Sync the directory, so that a rename survives a crash of the machine."""
         folder = os.open(self.path, os.O_RDONLY)
         try:
             os.fsync(folder)
