--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -24,10 +24,10 @@
         with pytest.raises(SystemExit) as caught:
             main(arguments)
         assert caught.value.code == 0
-    said = capsys.readouterr().out
-    assert "Exit codes: 0 done, 1 error, 2 `plan` found changes, 3 `apply` was refused." in said
+    printed = capsys.readouterr().out
+    assert "Exit codes: 0 done, 1 error, 2 `plan` found changes, 3 `apply` was refused." in printed
     for command in ("run", "check", "state", "plan", "apply", "history", "hosts"):
-        assert f"\n    {command} " in said
+        assert f"\n    {command} " in printed
 
 
 @pytest.mark.parametrize("arguments", [[], ["explode"], ["check"], ["apply"]])
@@ -43,9 +43,9 @@
     path = tmp_path / "g.toml"
     path.write_text(FILE)
     assert main(["check", str(path)]) == 0
-    said = capsys.readouterr()
-    assert "good; 1 listeners, 2 classes, 1 tenants, 2 pools, 3 nodes, 2 routes" in said.out
-    assert "shares hold only where gateway.rate" in said.err
+    printed = capsys.readouterr()
+    assert "good; 1 listeners, 2 classes, 1 tenants, 2 pools, 3 nodes, 2 routes" in printed.out
+    assert "shares hold only where gateway.rate" in printed.err
     path.write_text(FILE.replace("worth", "wroth").replace('"g1"', '""'))
     assert main(["check", str(path)]) == 1
     assert len(capsys.readouterr().err.splitlines()) == 2
@@ -71,18 +71,18 @@
     path = tmp_path / "g.toml"
     command = [sys.executable, "-m", "sailhitch.daemon.cli", "run", str(path)]
     path.write_text("version = 1\n")
-    found = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
-    assert (found.returncode, "gateway: required and missing" in found.stderr) == (1, True)
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
+    assert (completed.returncode, "gateway: required and missing" in completed.stderr) == (1, True)
     import socket
 
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         path.write_text(toml_text(file_value([pool("p", {})], taken.getsockname()[1])))
-        found = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
-    assert found.returncode == 1
-    assert "listeners[0] 'web'" in found.stderr
-    assert "in use" in found.stderr
+        completed = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
+    assert completed.returncode == 1
+    assert "listeners[0] 'web'" in completed.stderr
+    assert "in use" in completed.stderr
 
 
 def test_run_tells_a_machine_when_it_is_ready_and_serves_the_socket_it_is_given(
@@ -119,8 +119,8 @@
 
     async def command(it: Inside, *arguments: str) -> tuple[int, str, str]:
         code = await asyncio.to_thread(main, [*arguments, "--admin", str(it.admin.path)])
-        said = capsys.readouterr()
-        return code, said.out, said.err
+        printed = capsys.readouterr()
+        return code, printed.out, printed.err
 
     async def work() -> None:
         async with Node() as a, Node() as b:
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -30,14 +30,14 @@
 
 
 def test_a_whole_file_is_read() -> None:
-    made = parse_text(FILE)
-    assert made.classes[1].aim == 2_500_000
-    assert made.pools[0].nodes[0].zone == "abuja-1"
-    assert made.routes[0].match.methods == ["POST"]
+    operator_file = parse_text(FILE)
+    assert operator_file.classes[1].aim == 2_500_000
+    assert operator_file.pools[0].nodes[0].zone == "abuja-1"
+    assert operator_file.routes[0].match.methods == ["POST"]
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ('name = "g1"', 'nmae = "g1"', "gateway.nmae: unknown key (did you mean 'name'?)"),
         ("worth = 3.0", "wroth = 3.0", "classes[1].wroth: unknown key (did you mean 'worth'?)"),
@@ -70,9 +70,9 @@
         ("version = 1", "", "version: required and missing"),
     ],
 )
-def test_an_error_names_its_field(old: str, new: str, said: str) -> None:
-    found = changed(old, new)
-    assert any(line.startswith(said) for line in found), found
+def test_an_error_names_its_field(old: str, new: str, expected: str) -> None:
+    errors = changed(old, new)
+    assert any(line.startswith(expected) for line in errors), errors
 
 
 def test_all_errors_come_at_once() -> None:
@@ -85,8 +85,8 @@
 def test_what_contradicts_itself_is_told_beside_what_is_out_of_form() -> None:
     text = FILE.replace("weight = 1.0", "weight = nan").replace("worth", "wroth")
     text = text.replace('"n2"', '"n1"').replace("next = 0.05", "nxet = 1.0").replace(":9011", ":x")
-    said = problems(text)
-    starts = [line.partition(":")[0] for line in said]
+    errors = problems(text)
+    starts = [line.partition(":")[0] for line in errors]
     assert starts == [
         "classes[1].wroth",
         "pools[0].nodes[0].weight",
@@ -95,20 +95,20 @@
         "routes[0].pools",
     ]
     # Of a class whose name is out of form nobody is said to name it wrongly.
-    said = problems(FILE.replace('name = "payout"', 'name = "pay out"'))
-    assert len(said) == 1
-    assert said[0].startswith("classes[1].name: not a name")
+    errors = problems(FILE.replace('name = "payout"', 'name = "pay out"'))
+    assert len(errors) == 1
+    assert errors[0].startswith("classes[1].name: not a name")
 
 
 def test_two_routes_that_could_tie_are_named() -> None:
     again = '[[routes]]\nname = "other"\nmatch = { path_prefix = "/payouts/", methods = ["PUT", '
     again += '"POST"] }\nclass = "page"\npools = { claims = 1.0 }\n'
-    (said,) = problems(FILE + again)
-    assert said.startswith("routes[2].match: a request can match it and routes[0] ('payouts')")
+    (error,) = problems(FILE + again)
+    assert error.startswith("routes[2].match: a request can match it and routes[0] ('payouts')")
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "expected"),
     [
         (b"a = [", "not TOML"),
         (b"version = 1\n\xff = 2", "line 2: not UTF-8"),
@@ -116,13 +116,13 @@
         (b"", "version: required and missing"),
     ],
 )
-def test_a_file_that_cannot_be_read_says_why(data: bytes, said: str, tmp_path: Path) -> None:
+def test_a_file_that_cannot_be_read_says_why(data: bytes, expected: str, tmp_path: Path) -> None:
     path = tmp_path / "file.toml"
     path.write_bytes(data)
     with pytest.raises(FileError) as caught:
         load_file(path)
     assert str(path) in caught.value.problems[0]
-    assert any(said in line for line in caught.value.problems)
+    assert any(expected in line for line in caught.value.problems)
 
 
 def test_a_file_that_is_not_there_or_endless_is_refused(tmp_path: Path) -> None:
@@ -135,24 +135,24 @@
 @settings(max_examples=60)
 @given(values())
 def test_a_state_says_all_that_the_file_says(value: dict[str, object]) -> None:
-    made = parse_value(value)
-    state = from_file(made)
+    operator_file = parse_value(value)
+    state = from_file(operator_file)
     again = to_file(state, {"name": "g1"})
     assert from_file(again) == state
     assert digest(from_file(again)) == digest(state)
 
 
 def test_the_order_of_a_file_means_nothing() -> None:
-    made = parse_text(FILE)
-    value = made.model_dump(mode="json", by_alias=True)
+    operator_file = parse_text(FILE)
+    value = operator_file.model_dump(mode="json", by_alias=True)
     for kind in ("classes", "pools", "routes"):
         value[kind].reverse()
-    assert digest(from_file(parse_value(value))) == digest(from_file(made))
+    assert digest(from_file(parse_value(value))) == digest(from_file(operator_file))
 
 
 def test_a_state_from_disk_is_held_to_the_files_rules() -> None:
-    made = parse_text(FILE)
-    state = {kind: dict(objects) for kind, objects in from_file(made).items()}
+    operator_file = parse_text(FILE)
+    state = {kind: dict(objects) for kind, objects in from_file(operator_file).items()}
     state["nodes"]["nowhere/n9"] = dict(state["nodes"]["claims/n1"])
     with pytest.raises(FileError, match="no pool is called 'nowhere'"):
         to_file(state, {"name": "g1"})
@@ -163,11 +163,11 @@
 
 
 @pytest.mark.parametrize(
-    ("time", "said"),
+    ("time", "expected"),
     [(2_000_000, "2s"), (2_500_000, "2500ms"), (1500, "1500us"), (60_000_000, "60s")],
 )
-def test_a_duration_is_said_as_the_file_would(time: int, said: str) -> None:
-    assert format_duration(time) == said
+def test_a_duration_is_said_as_the_file_would(time: int, expected: str) -> None:
+    assert format_duration(time) == expected
 
 
 def test_one_value_has_one_text() -> None:
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -115,11 +115,11 @@
 
 
 def test_a_plan_is_refused_once_the_state_has_moved() -> None:
-    made = load_plan(json.dumps(plan()))
+    result = load_plan(json.dumps(plan()))
     with pytest.raises(MovedError, match="serial 7, and the live state is 8"):
-        check_base(made, "g1", 8, A)
+        check_base(result, "g1", 8, A)
     with pytest.raises(MovedError):
-        check_base(made, "g1", 7, B)
+        check_base(result, "g1", 7, B)
 
 
 def test_changes_that_do_not_fit_are_named() -> None:
@@ -133,8 +133,8 @@
 
 
 def test_a_plan_that_does_not_lead_where_it_says_is_refused() -> None:
-    made = make_plan("g1", 7, A, B)
-    lying = Plan(made.gateway, made.serial, made.base, digest(A), made.changes)
+    result = make_plan("g1", 7, A, B)
+    lying = Plan(result.gateway, result.serial, result.base, digest(A), result.changes)
     with pytest.raises(PlanError, match="do not lead where it says"):
         check_base(lying, "g1", 7, A)
     of_whole = make_whole_plan("g1", 7, A, B)
@@ -146,27 +146,27 @@
 def test_a_plan_of_the_version_before_is_held_to_the_whole_states() -> None:
     text = make_whole_plan("g1", 7, A, B).dump()
     assert json.loads(text)["format"] == 1
-    made = load_plan(text)
-    assert (made.base, made.result) == (digest(A), digest(B))
-    assert check_base(made, "g1", 7, A) == B
+    result = load_plan(text)
+    assert (result.base, result.result) == (digest(A), digest(B))
+    assert check_base(result, "g1", 7, A) == B
     with pytest.raises(MovedError):
-        check_base(made, "g1", 7, B)
+        check_base(result, "g1", 7, B)
     with pytest.raises(MovedError):
-        check_base(made, "g1", 8, A)
+        check_base(result, "g1", 8, A)
 
 
 def test_a_plan_by_the_identity_that_the_gateway_told_is_the_one_that_is_worked_out() -> None:
-    told = make_plan("g1", 7, A, B, identity(A))
-    assert told == make_plan("g1", 7, A, B)
-    assert check_base(told, "g1", 7, A, identity(A)) == B
+    plan_with_identity = make_plan("g1", 7, A, B, identity(A))
+    assert plan_with_identity == make_plan("g1", 7, A, B)
+    assert check_base(plan_with_identity, "g1", 7, A, identity(A)) == B
     with pytest.raises(MovedError):
-        check_base(told, "g1", 7, A, identity(B))
+        check_base(plan_with_identity, "g1", 7, A, identity(B))
 
 
 def test_what_a_plan_does_not_change_is_shared_with_the_live_state() -> None:
-    made = check_base(make_plan("g1", 7, A, B), "g1", 7, A)
-    assert made["nodes"] is A["nodes"]
-    assert made["routes"]["payouts"] is not A["routes"]["payouts"]
+    result = check_base(make_plan("g1", 7, A, B), "g1", 7, A)
+    assert result["nodes"] is A["nodes"]
+    assert result["routes"]["payouts"] is not A["routes"]["payouts"]
     assert all(
-        made["routes"][name] is A["routes"][name] for name in A["routes"].keys() - {"payouts"}
+        result["routes"][name] is A["routes"][name] for name in A["routes"].keys() - {"payouts"}
     )
--- a/tests/test_plan_identity.py
+++ b/tests/test_plan_identity.py
@@ -38,13 +38,13 @@
     async def work() -> None:
         port = free_port()
         async with inside(tmp_path, _with_pools("p", port=port), stored=stored) as it:
-            told = []
+            identities = []
             for names in (("p",), ("p", "q"), ("p",)):
                 await it.go(_with_pools(*names, port=port))
                 answer = await _ask(it, {"op": "state"})
                 assert answer["identity"] == identity(answer["state"])
-                told.append(answer["identity"])
-            assert told[0] == told[2] != told[1]
+                identities.append(answer["identity"])
+            assert identities[0] == identities[2] != identities[1]
 
     run(work)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -43,8 +43,8 @@
 
 
 def _applied(serial: int, state: State) -> AppliedState:
-    born = {name: 7 + i for i, name in enumerate(state["nodes"])}
-    return AppliedState(serial, 1_000 + serial, "t", state, f"change {serial}", born)
+    new_since = {name: 7 + i for i, name in enumerate(state["nodes"])}
+    return AppliedState(serial, 1_000 + serial, "t", state, f"change {serial}", new_since)
 
 
 def _keep(store: Store, applied: AppliedState, step: Callable[[str], None] = ignore_step) -> None:
@@ -100,31 +100,31 @@
 
 
 def test_states_are_read_back_as_they_were_also_by_another_process(store: Store) -> None:
-    kept = list(_states(8))
-    for one in kept:
+    states = list(_states(8))
+    for one in states:
         _keep(store, one)
-    for one in kept:
+    for one in states:
         assert store.read(one.serial) == one
     again = _again(store)
-    for one in kept:
+    for one in states:
         assert again.read(one.serial) == one
-    assert again.last() == kept[-1]
-    for one in kept:
+    assert again.last() == states[-1]
+    for one in states:
         assert again.read(one.serial) == one
-    assert again.history() == [one.record() for one in kept]
+    assert again.history() == [one.record() for one in states]
     again.close()
 
 
 def test_a_state_that_was_held_by_nobody_here_is_kept_whole(store: Store) -> None:
     """After a restart without reading, or a change that shares no object with the last."""
-    kept = list(_states(3))
-    _keep(store, kept[0])
+    states = list(_states(3))
+    _keep(store, states[0])
     again = _again(store)
-    _keep(again, kept[1])
-    copy = json.loads(json.dumps(kept[2].state))
-    _keep(again, AppliedState(3, 1, "t", copy, "", dict(kept[2].new_since)))
-    assert again.read(2) == kept[1]
-    assert again.read(3).state == kept[2].state
+    _keep(again, states[1])
+    copy = json.loads(json.dumps(states[2].state))
+    _keep(again, AppliedState(3, 1, "t", copy, "", dict(states[2].new_since)))
+    assert again.read(2) == states[1]
+    assert again.read(3).state == states[2].state
     assert _pages_here(again) == _reachable(again)
     again.close()
 
@@ -152,13 +152,13 @@
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sailhitch.daemon.store.MAX_STATES", 3)
-    kept = list(_states(9))
-    for one in kept:
+    states = list(_states(9))
+    for one in states:
         _keep(store, one)
         assert _pages_here(store) == _reachable(store)
     assert store.serials() == [7, 8, 9]
     assert {root.serial for root in store.pages.roots()} == {7, 8, 9}
-    for one in kept[-3:]:
+    for one in states[-3:]:
         assert store.read(one.serial) == one
 
 
@@ -208,16 +208,16 @@
 
 
 def test_files_of_the_version_before_are_read_and_never_rewritten(store: Store) -> None:
-    kept = list(_states(4))
-    files = [_write_whole(store.path, one) for one in kept[:2]]
+    states = list(_states(4))
+    files = [_write_whole(store.path, one) for one in states[:2]]
     before = [file.read_bytes() for file in files]
-    assert store.last() == kept[1]
-    for one in kept[2:]:
+    assert store.last() == states[1]
+    for one in states[2:]:
         _keep(store, one)
     again = _again(store)
-    assert again.last() == kept[3]
-    assert [again.read(one.serial) for one in kept] == kept
-    assert again.history() == [one.record() for one in kept]
+    assert again.last() == states[3]
+    assert [again.read(one.serial) for one in states] == states
+    assert again.history() == [one.record() for one in states]
     assert [file.read_bytes() for file in files] == before
     files[0].write_bytes(before[0].replace(b"change 1", b"change 9"))
     with pytest.raises(StoreError, match="damaged, its digest is wrong; remove it"):
@@ -229,8 +229,8 @@
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each is a whole state: fifty of them at full size would take half a minute."""
-    kept = list(_states(5))
-    for one in kept[:3]:
+    states = list(_states(5))
+    for one in states[:3]:
         _write_whole(store.path, one)
     real, read = Store._manifest, list[int]()
 
@@ -239,13 +239,13 @@
         return real(one, serial)
 
     monkeypatch.setattr(Store, "_manifest", watched)
-    assert store.last() == kept[2]
+    assert store.last() == states[2]
     assert read == [3]
-    for one in kept[3:]:
+    for one in states[3:]:
         _keep(store, one)
     again = _again(store)
     read.clear()
-    assert again.last() == kept[4]
+    assert again.last() == states[4]
     assert sorted(read) == [4, 5, 5]
     again.close()
 
@@ -270,18 +270,18 @@
     for where in ("hex(digest) = ?", "hex(digest) != ?"):
         fresh = _again(store)
         fresh.close()
-        whole = (store.path / FILE).read_bytes()
+        original = (store.path / FILE).read_bytes()
         _damage(store, f"{statement} WHERE {where}", root.upper())
         damaged = Store(store.path, "g1")
         with pytest.raises(StoreError, match=rf"{said}.*remove it to go on from serial 1"):
             damaged.last()
         damaged.close()
-        (store.path / FILE).write_bytes(whole)
+        (store.path / FILE).write_bytes(original)
 
 
 def test_a_page_is_never_taken_for_another(store: Store) -> None:
-    kept = list(_states(2))
-    for one in kept:
+    states = list(_states(2))
+    for one in states:
         _keep(store, one)
     roots = [
         json.loads((store.path / f"state-0000000{n}.json").read_bytes())["root"] for n in (1, 2)
@@ -299,22 +299,22 @@
         damaged.last()
     # As it is told: the one before is whole, and what is kept next is whole again.
     (store.path / "state-00000002.json").unlink()
-    assert damaged.last() == kept[0]
-    _keep(damaged, kept[1])
-    assert damaged.read(2) == kept[1]
+    assert damaged.last() == states[0]
+    _keep(damaged, states[1])
+    assert damaged.read(2) == states[1]
     again = _again(damaged)
-    assert again.last() == kept[1]
+    assert again.last() == states[1]
     again.close()
 
 
 def test_a_state_kept_whole_mends_pages_that_were_damaged(store: Store) -> None:
-    kept = list(_states(2))
-    _keep(store, kept[0])
+    states = list(_states(2))
+    _keep(store, states[0])
     store.close()
     _damage(store, "UPDATE pages SET packed = x'00'")
     again = Store(store.path, "g1")
-    _keep(again, kept[1])  # it has read nothing, and so writes all of it
-    assert again.read(2) == kept[1]
+    _keep(again, states[1])  # it has read nothing, and so writes all of it
+    assert again.read(2) == states[1]
     again.close()
 
 
@@ -330,8 +330,8 @@
 
 
 def test_a_file_that_takes_no_more_pages_leaves_what_was(store: Store) -> None:
-    kept = list(_states(2))
-    _keep(store, kept[0])
+    states = list(_states(2))
+    _keep(store, states[0])
     before = _pages_here(store)
     store.close()
     full = Store(store.path, "g1")
@@ -342,7 +342,7 @@
         full.prepare(large, ignore_step)
     assert _pages_here(full) == before
     assert full.serials() == [1]
-    assert full.last() == kept[0]
+    assert full.last() == states[0]
     full.pages._db.execute("PRAGMA max_page_count = 1000000")
     _keep(full, large)
     assert full.read(2) == large
@@ -350,23 +350,23 @@
 
 
 def test_an_object_that_no_page_takes_is_refused_and_leaves_what_was(store: Store) -> None:
-    kept = list(_states(2))
-    _keep(store, kept[0])
+    states = list(_states(2))
+    _keep(store, states[0])
     before = _pages_here(store)
-    large = {**kept[1].state, "tenants": {"t": {"share": "x" * MAX_PAGE_BYTES}}}
+    large = {**states[1].state, "tenants": {"t": {"share": "x" * MAX_PAGE_BYTES}}}
     with pytest.raises(StoreError, match="the state can't be kept: "):
         store.prepare(AppliedState(2, 1, "t", large), ignore_step)
     assert _pages_here(store) == before
     assert store.serials() == [1]
-    _keep(store, kept[1])
-    assert store.read(2) == kept[1]
+    _keep(store, states[1])
+    assert store.read(2) == states[1]
 
 
 def test_a_rename_that_fails_leaves_what_was(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = list(_states(2))
-    _keep(store, kept[0])
+    states = list(_states(2))
+    _keep(store, states[0])
     before = _pages_here(store)
-    path = store.prepare(kept[1], ignore_step)
+    path = store.prepare(states[1], ignore_step)
 
     def broken(source: Path, target: Path) -> None:
         raise OSError(5, "Input/output error")
@@ -376,9 +376,9 @@
         with pytest.raises(StoreError, match="Input/output error"):
             store.commit(path, 2, ignore_step)
     assert _pages_here(store) == before
-    assert store.read(1) == kept[0]
-    _keep(store, kept[1])
-    assert store.read(2) == kept[1]
+    assert store.read(1) == states[0]
+    _keep(store, states[1])
+    assert store.read(2) == states[1]
 
 
 def test_a_page_file_adds_no_tree_whose_pages_are_not_all_there(tmp_path: Path) -> None:
@@ -431,7 +431,7 @@
 def test_killed_at_any_step_the_old_or_the_new_state_is_whole_and_nothing_is_left(
     step: str, tmp_path: Path
 ) -> None:
-    path, kept = tmp_path / "state", list(_states(4))
+    path, states = tmp_path / "state", list(_states(4))
     ended = subprocess.run(
         [sys.executable, "-c", KILLED, str(path), step],
         cwd=Path(__file__).parent.parent,
@@ -441,12 +441,12 @@
     assert ended.returncode == -signal.SIGKILL
     store = Store(path, "g1")
     new = STEPS.index(step) >= STEPS.index("renamed")
-    assert store.last() == kept[3 if new else 2]
-    here = store.serials()
-    assert here == ([2, 3, 4] if step == "renamed" else [3, 4] if new else [2, 3])
-    assert {root.serial for root in store.pages.roots()} == set(here)
+    assert store.last() == states[3 if new else 2]
+    kept_serials = store.serials()
+    assert kept_serials == ([2, 3, 4] if step == "renamed" else [3, 4] if new else [2, 3])
+    assert {root.serial for root in store.pages.roots()} == set(kept_serials)
     assert _pages_here(store) == _reachable(store)
-    for serial in here:
-        assert store.read(serial) == kept[serial - 1]
+    for serial in kept_serials:
+        assert store.read(serial) == states[serial - 1]
     assert not [name for name in os.listdir(path) if name.startswith(".")]
     store.close()
--- a/tests/test_tier_rules.py
+++ b/tests/test_tier_rules.py
@@ -61,8 +61,8 @@
 def test_what_contradicts_and_what_merely_differs(change: Change, said: list[str]) -> None:
     other = changed(BASE, change)
     for a, b in ((BASE, other), (other, BASE)):
-        found = contradictions(a, b)
-        assert [line.split(":")[0] for line in found] == said, found
+        lines = contradictions(a, b)
+        assert [line.split(":")[0] for line in lines] == said, lines
 
 
 def test_a_zone_contradicts_only_where_keys_go_by_it() -> None:
@@ -140,15 +140,15 @@
     old: State, new: State
 ) -> None:
     """By what is compared, by the pages that differ, and where states share objects or do not."""
-    whole = contradictions(old, new, _all_names(old, new))
-    assert contradictions(old, new) == whole
+    all_lines = contradictions(old, new, _all_names(old, new))
+    assert contradictions(old, new) == all_lines
     before, after = to_tree(old), to_tree(new)
     source = Pages({**before.pages, **after.pages})
     changed = changed_names(source, before.root, after.root)
     assert {kind: sorted(names) for kind, names in changed.items()} == differences(old, new)
-    assert contradictions(old, new, changed) == whole
+    assert contradictions(old, new, changed) == all_lines
     sharing = changed_state(old, before.root, source, after.root)
-    assert contradictions(old, sharing, changed) == whole
+    assert contradictions(old, sharing, changed) == all_lines
     assert meet(old, sharing) == meet(old, new)
 
 
@@ -157,9 +157,9 @@
 def test_a_class_that_goes_by_zones_makes_no_unchanged_node_contradict(state: State) -> None:
     zoned = {name: {**cls, "dedup": "zone"} for name, cls in state["classes"].items()}
     other = {**state, "classes": zoned}
-    found = contradictions(state, other, _all_names(state, other))
-    assert not [line for line in found if line.startswith("nodes ")]
-    assert found == contradictions(state, other)
+    lines = contradictions(state, other, _all_names(state, other))
+    assert not [line for line in lines if line.startswith("nodes ")]
+    assert lines == contradictions(state, other)
 
 
 def _zone(state: State, key: str) -> str:
