--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -115,11 +115,11 @@
 
 
 def test_a_plan_is_refused_once_the_state_has_moved() -> None:
-    result = load_plan(json.dumps(plan()))
+    loaded_plan = load_plan(json.dumps(plan()))
     with pytest.raises(MovedError, match="serial 7, and the live state is 8"):
-        check_base(result, "g1", 8, A)
+        check_base(loaded_plan, "g1", 8, A)
     with pytest.raises(MovedError):
-        check_base(result, "g1", 7, B)
+        check_base(loaded_plan, "g1", 7, B)
 
 
 def test_changes_that_do_not_fit_are_named() -> None:
@@ -133,8 +133,14 @@
 
 
 def test_a_plan_that_does_not_lead_where_it_says_is_refused() -> None:
-    result = make_plan("g1", 7, A, B)
-    lying = Plan(result.gateway, result.serial, result.base, digest(A), result.changes)
+    original_plan = make_plan("g1", 7, A, B)
+    lying = Plan(
+        original_plan.gateway,
+        original_plan.serial,
+        original_plan.base,
+        digest(A),
+        original_plan.changes,
+    )
     with pytest.raises(PlanError, match="do not lead where it says"):
         check_base(lying, "g1", 7, A)
     of_whole = make_whole_plan("g1", 7, A, B)
@@ -146,13 +152,13 @@
 def test_a_plan_of_the_version_before_is_held_to_the_whole_states() -> None:
     text = make_whole_plan("g1", 7, A, B).dump()
     assert json.loads(text)["format"] == 1
-    result = load_plan(text)
-    assert (result.base, result.result) == (digest(A), digest(B))
-    assert check_base(result, "g1", 7, A) == B
+    loaded_plan = load_plan(text)
+    assert (loaded_plan.base, loaded_plan.result) == (digest(A), digest(B))
+    assert check_base(loaded_plan, "g1", 7, A) == B
     with pytest.raises(MovedError):
-        check_base(result, "g1", 7, B)
+        check_base(loaded_plan, "g1", 7, B)
     with pytest.raises(MovedError):
-        check_base(result, "g1", 8, A)
+        check_base(loaded_plan, "g1", 8, A)
 
 
 def test_a_plan_by_the_identity_that_the_gateway_told_is_the_one_that_is_worked_out() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -101,17 +101,17 @@
 
 def test_states_are_read_back_as_they_were_also_by_another_process(store: Store) -> None:
     states = list(_states(8))
-    for one in states:
-        _keep(store, one)
-    for one in states:
-        assert store.read(one.serial) == one
+    for applied in states:
+        _keep(store, applied)
+    for applied in states:
+        assert store.read(applied.serial) == applied
     again = _again(store)
-    for one in states:
-        assert again.read(one.serial) == one
+    for applied in states:
+        assert again.read(applied.serial) == applied
     assert again.last() == states[-1]
-    for one in states:
-        assert again.read(one.serial) == one
-    assert again.history() == [one.record() for one in states]
+    for applied in states:
+        assert again.read(applied.serial) == applied
+    assert again.history() == [applied.record() for applied in states]
     again.close()
 
 
@@ -153,13 +153,13 @@
 ) -> None:
     monkeypatch.setattr("sailhitch.daemon.store.MAX_STATES", 3)
     states = list(_states(9))
-    for one in states:
-        _keep(store, one)
+    for applied in states:
+        _keep(store, applied)
         assert _pages_here(store) == _reachable(store)
     assert store.serials() == [7, 8, 9]
     assert {root.serial for root in store.pages.roots()} == {7, 8, 9}
-    for one in states[-3:]:
-        assert store.read(one.serial) == one
+    for applied in states[-3:]:
+        assert store.read(applied.serial) == applied
 
 
 def test_a_state_that_comes_back_keeps_its_pages_as_its_first_time_is_let_go_of(
@@ -209,15 +209,15 @@
 
 def test_files_of_the_version_before_are_read_and_never_rewritten(store: Store) -> None:
     states = list(_states(4))
-    files = [_write_whole(store.path, one) for one in states[:2]]
+    files = [_write_whole(store.path, applied) for applied in states[:2]]
     before = [file.read_bytes() for file in files]
     assert store.last() == states[1]
-    for one in states[2:]:
-        _keep(store, one)
+    for applied in states[2:]:
+        _keep(store, applied)
     again = _again(store)
     assert again.last() == states[3]
-    assert [again.read(one.serial) for one in states] == states
-    assert again.history() == [one.record() for one in states]
+    assert [again.read(applied.serial) for applied in states] == states
+    assert again.history() == [applied.record() for applied in states]
     assert [file.read_bytes() for file in files] == before
     files[0].write_bytes(before[0].replace(b"change 1", b"change 9"))
     with pytest.raises(StoreError, match="damaged, its digest is wrong; remove it"):
