--- a/sailhitch/daemon/admin.py
+++ b/sailhitch/daemon/admin.py
@@ -45,14 +45,14 @@
 
     def __init__(
         self,
-        live: StateApplier,
+        state_applier: StateApplier,
         source: StateSource,
         path: Path,
         tier: TierStateSource | None = None,
     ) -> None:
         self.path = path
         self.clients = 0
-        self._requests = AdminRequests(live, source, tier)
+        self._requests = AdminRequests(state_applier, source, tier)
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
--- a/sailhitch/daemon/cli_change.py
+++ b/sailhitch/daemon/cli_change.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from .admin_client import ask
-from .admin_replies import MOVED
+from .admin_replies import MOVED, StateReply
 from .cli_gateway import (
     admin_socket,
     check_done,
@@ -32,50 +32,52 @@
     if (options.file is None) == (options.to is None):
         raise CommandError("plan: give either FILE or --to SERIAL")
     operator_file = None if options.file is None else load_file(options.file)
-    live = request_live_state(options, operator_file)
+    live_reply = request_live_state(options, operator_file)
     if operator_file is None:
         earlier = request_reply(options, None, {"op": "state", "serial": options.to})
-        wanted = with_bans(earlier["state"], live["state"])
+        wanted = with_bans(earlier["state"], live_reply["state"])
     else:
-        wanted = _wanted_state(options.file, operator_file, live)
-    new_plan = _make_plan(live, wanted)
+        wanted = _wanted_state(options.file, operator_file, live_reply)
+    new_plan = _make_plan(live_reply, wanted)
     if options.output is not None:
         _write_plan(Path(options.output), new_plan)
     if options.json:
         print(json.dumps(new_plan.body()))
     else:
-        _print_plan(new_plan, live, wanted)
+        _print_plan(new_plan, live_reply, wanted)
     return CHANGES if new_plan.changes else DONE
 
 
-def _wanted_state(path: str, operator_file: OperatorFile, live: Mapping[str, Any]) -> State:
+def _wanted_state(path: str, operator_file: OperatorFile, live_reply: StateReply) -> State:
     """Return the state that a file asks for; raises CommandError if it is another gateway's."""
-    wanted = with_bans(from_file(operator_file), live["state"])
+    wanted = with_bans(from_file(operator_file), live_reply["state"])
     owner = operator_file.gateway.name
-    if "tier" in live:
+    if "tier" in live_reply:
         # Each member's file may plan: its listeners are its own, and the rest is all of theirs.
         wanted = {**wanted, "listeners": {}}
         owner = f"tier {operator_file.tier.name}" if operator_file.tier is not None else owner
-    if owner != live["gateway"]:
-        raise CommandError(f"{path}: is for gateway {owner!r}, and {live['gateway']!r} answers")
+    if owner != live_reply["gateway"]:
+        raise CommandError(
+            f"{path}: is for gateway {owner!r}, and {live_reply['gateway']!r} answers"
+        )
     return wanted
 
 
-def _make_plan(live: Mapping[str, Any], wanted: State) -> Plan:
-    gateway = live["gateway"]
-    serial = live["serial"]
-    state = live["state"]
-    if "identity" in live:
-        return make_plan(gateway, serial, state, wanted, live["identity"])
+def _make_plan(live_reply: StateReply, wanted: State) -> Plan:
+    gateway = live_reply["gateway"]
+    serial = live_reply["serial"]
+    state = live_reply["state"]
+    if "identity" in live_reply:
+        return make_plan(gateway, serial, state, wanted, live_reply["identity"])
     # A gateway that is not yet restarted after an upgrade sends no identity.
     return make_whole_plan(gateway, serial, state, wanted)
 
 
-def _print_plan(new_plan: Plan, live: Mapping[str, Any], wanted: State) -> None:
+def _print_plan(new_plan: Plan, live_reply: StateReply, wanted: State) -> None:
     for line in describe(new_plan.changes):
         print(line)
-    if "tier" in live:
-        for line in contradictions(live["state"], wanted):
+    if "tier" in live_reply:
+        for line in contradictions(live_reply["state"], wanted):
             print(f"! {line}: waits until every member has confirmed it")
     print(f"{summary(new_plan.changes)}, against serial {new_plan.serial}")
 
--- a/sailhitch/daemon/cli_gateway.py
+++ b/sailhitch/daemon/cli_gateway.py
@@ -7,9 +7,10 @@
 import sys
 import time
 from collections.abc import Mapping
-from typing import Any, Final
+from typing import Any, Final, cast
 
 from .admin_client import ask
+from .admin_replies import AppliedRecord, HistoryReply, StateReply
 from .cli_outcome import CommandError
 from .schema import OperatorFile
 
@@ -41,15 +42,15 @@
 
 def request_live_state(
     options: argparse.Namespace, operator_file: OperatorFile | None
-) -> dict[str, Any]:
+) -> StateReply:
     """Return the reply with the gateway's live state."""
-    return request_reply(options, operator_file, {"op": "state"})
+    return cast(StateReply, request_reply(options, operator_file, {"op": "state"}))
 
 
-def request_history(options: argparse.Namespace) -> list[dict[str, Any]]:
+def request_history(options: argparse.Namespace) -> list[AppliedRecord]:
     """Return the gateway's applied states, oldest first, without their contents."""
-    history: list[dict[str, Any]] = request_reply(options, None, {"op": "history"})["history"]
-    return history
+    reply = cast(HistoryReply, request_reply(options, None, {"op": "history"}))
+    return reply["history"]
 
 
 def wait_if_asked(options: argparse.Namespace, reply: dict[str, Any]) -> dict[str, Any]:
