--- a/sailhitch/tier/activation.py
+++ b/sailhitch/tier/activation.py
@@ -1,7 +1,7 @@
-"""When a member proposes that the pending version becomes active.
+"""When a member proposes to activate the pending version.
 
-The proposer of a version does so at once when nobody has to be waited for; others do so later, each
-at a random time, so that few of them compete.
+The proposer of a version does so as soon as all have confirmed it. Other members do so later, each
+after a random delay, so that few of them compete.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 import random
 from typing import Final
 
-FIRST_AFTER: Final = 600_000  # us from which others than the proposer have it made active
-LAST_AFTER: Final = 2_000_000  # us by which the last of them does
+FIRST_AFTER: Final = 600_000  # us, the least delay of a member other than the proposer
+LAST_AFTER: Final = 2_000_000  # us, the upper bound of that delay
 
 
 class Activation:
-    """The delay before a pending version is made active, and whether that is under way."""
+    """The delay before a pending version is activated, and whether a proposal is in progress."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -22,11 +22,11 @@
         self.under_way = False
 
     def restart(self) -> None:
-        """Nobody may make it active yet, or there is another head: the delay counts anew."""
+        """Restart the delay: activation is not allowed yet, or the state has changed."""
         self._ready_at = None
 
     def is_due(self, now: int, is_proposer: bool) -> bool:
-        """Return whether to propose now, given that nobody has to be waited for."""
+        """Return whether to propose the activation now, given that all have confirmed."""
         if self._ready_at is None:
             delay = 0 if is_proposer else self._rng.randrange(FIRST_AFTER, LAST_AFTER)
             self._ready_at = now + delay
--- a/sailhitch/tier/config.py
+++ b/sailhitch/tier/config.py
@@ -1,4 +1,4 @@
-"""What a member is told at its start, and whether it may act."""
+"""A member's configuration at its start, and its status."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
     @property
     def reason(self) -> str:
-        """The status in words, for operators."""
+        """Return the status in words, for operators."""
         return _STATUS_REASONS[self]
 
 
@@ -43,18 +43,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TierConfig:
-    """What a member is told of its tier at its start. Times in microseconds."""
+    """A member's settings, fixed at its start. Times in microseconds."""
 
     name: str  # this member's
     voters: tuple[str, ...]
-    peers: tuple[str, ...]  # all members that the file names, this one too
+    peers: tuple[str, ...]  # all members in the operator file, including this one
     lease: int | None = None
-    fanout: int = 2  # members that gossip goes to at each beat
+    fanout: int = 2  # members that each gossip round goes to
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapVersion:
-    """The first version of a tier, for a member that is the first to find the tier empty."""
+    """The first version of a tier, proposed by a voter that finds the register empty."""
 
     content: bytes | Tree
     serial: int
--- a/sailhitch/tier/configuration.py
+++ b/sailhitch/tier/configuration.py
@@ -1,4 +1,4 @@
-"""The roster: the members that a change waits for, and an index of it for repeated lookups."""
+"""The configuration: the members that a change waits for, and an index for repeated lookups."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """Members that a change waits for: those inside, and those put out that may still act."""
+    """The members of a tier, and those evicted whose lease may still be valid."""
 
     members: tuple[str, ...] = msgspec.field(name="inside")
     evicted: tuple[str, ...] = msgspec.field(name="out")
@@ -16,31 +16,35 @@
     addresses: dict[str, str] = msgspec.field(default_factory=dict, name="places")
 
     def encode(self) -> bytes:
-        """Return the canonical JSON of the roster: one text for one roster."""
-        places = dict(sorted(self.addresses.items()))
+        """Return the canonical JSON: equal configurations have equal bytes."""
+        addresses = dict(sorted(self.addresses.items()))
         return msgspec.json.encode(
-            Configuration(tuple(sorted(self.members)), tuple(sorted(self.evicted)), places)
+            Configuration(tuple(sorted(self.members)), tuple(sorted(self.evicted)), addresses)
         )
 
-    def with_members(self, inside: Iterable[str], out: Iterable[str]) -> Configuration:
-        """Return a roster of these members with the same places."""
-        return Configuration(tuple(inside), tuple(out), self.addresses)
+    def with_members(self, members: Iterable[str], evicted: Iterable[str]) -> Configuration:
+        """Return a configuration of these members with the same addresses."""
+        return Configuration(tuple(members), tuple(evicted), self.addresses)
 
 
 EMPTY_CONFIGURATION = Configuration((), ())
 
 
 class ConfigurationIndex:
-    """Names of one roster in order, with their positions: computed once, as it is immutable."""
+    """The sorted names of one configuration and their positions, computed once."""
 
-    def __init__(self, roster: Configuration) -> None:
-        self.configuration = roster
-        self.members = frozenset(roster.members)
-        self.evicted = frozenset(roster.evicted)
+    def __init__(self, configuration: Configuration) -> None:
+        self.configuration = configuration
+        self.members = frozenset(configuration.members)
+        self.evicted = frozenset(configuration.evicted)
         self.names = tuple(sorted(self.members | self.evicted))
         self.positions = {name: position for position, name in enumerate(self.names)}
 
 
 def decode_configuration(content: bytes) -> Configuration:
-    """Return the roster with this content; raises msgspec.DecodeError."""
+    """Return the configuration that was encoded so.
+
+    Raises:
+        msgspec.DecodeError: The content is not a configuration.
+    """
     return msgspec.json.decode(content, type=Configuration)
--- a/sailhitch/tier/effects.py
+++ b/sailhitch/tier/effects.py
@@ -1,4 +1,4 @@
-"""What a core asks of its process: values, in the order in which they have to happen."""
+"""Effects: what the sans-IO member asks of its process, as values in the order to execute."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class Send(NamedTuple):
-    """Say this to a member; it may get lost, late or doubled."""
+    """Send a message to a member; it may be lost, delayed or duplicated."""
 
     to: str
     message: Message
 
 
 class Persist(NamedTuple):
-    """Have this on disk before any effect after it happens; None: it may be forgotten.
+    """Write these items to disk; an item of None may be deleted.
 
-    Until it is, no later effect may happen. While it fails, messages count as lost and the
-    rest waits: the process is silent in the tier.
+    No later effect may happen before they are synced. While that fails, incoming messages count as
+    lost and the rest waits: the process is silent in the tier.
     """
 
     items: dict[str, bytes | None]
 
 
 class AppliedVersions(NamedTuple):
-    """What to act by: the rules of `active`, met with those of `pending` where there is one."""
+    """The versions to apply: what `active` allows, and `pending` too where there is one."""
 
     revision: int
     active: Version
@@ -35,23 +35,23 @@
 
 
 class ApplyVersions(NamedTuple):
-    """Go by this, and say so with `Member.acted` once nothing goes by anything older."""
+    """Apply these versions, and call `Member.confirm_applied` once nothing older is in use."""
 
     versions: AppliedVersions
 
 
 class ProposalResult(Enum):
-    """How a change asked for has ended."""
+    """The result of a proposed change."""
 
     ACTIVE = "active"
-    PENDING = "pending"  # decided, and waits for members
-    STALE = "stale"  # made from a version that is not the active one any more
+    PENDING = "pending"  # chosen, and waits for confirmations
+    STALE = "stale"  # made from a version that is no longer active
     BUSY = "busy"  # another change is pending
     NO_CHANGE = "none"  # there was nothing to do
 
 
 class JobCompleted(NamedTuple):
-    """A job's end; `head` is what holds."""
+    """A job has ended; `state` is the current one."""
 
     job: int
     result: ProposalResult
@@ -59,7 +59,7 @@
 
 
 class LogEvent(NamedTuple):
-    """An act worth a line in the log: its name and what belongs to it."""
+    """An event for the log, with its fields."""
 
     event: str
     fields: dict[str, object]
--- a/sailhitch/tier/join.py
+++ b/sailhitch/tier/join.py
@@ -1,4 +1,4 @@
-"""Changes of the roster: the one a member asks for by itself, and those an operator asks for."""
+"""Changes of the configuration: a member joins by itself; operators evict and admit members."""
 
 from __future__ import annotations
 
@@ -7,62 +7,70 @@
 
 from .configuration import Configuration, ConfigurationIndex
 
-RETRY: Final = 1_000_000  # us between two tries to be enrolled
+RETRY: Final = 1_000_000  # us between two attempts to join
 
 
 class JoinSchedule:
-    """Whether this member's own change of the roster is under way, and when to try the next."""
+    """Whether this member's own change of the configuration is in progress or due."""
 
     def __init__(self) -> None:
-        self._under_way = False
+        self._in_progress = False
         self._next_at = 0
 
     def is_due(self, now: int) -> bool:
-        """Return whether a try may begin."""
-        return not self._under_way and now >= self._next_at
+        """Return whether an attempt may begin."""
+        return not self._in_progress and now >= self._next_at
 
     def begin(self, now: int) -> None:
-        """A try begins."""
-        self._under_way = True
+        """Record that an attempt begins."""
+        self._in_progress = True
         self._next_at = now + RETRY
 
     def end(self) -> None:
-        """The try has ended, whatever came of it."""
-        self._under_way = False
+        """Record that the attempt has ended, whatever its result."""
+        self._in_progress = False
 
 
 def with_joined(
-    index: ConfigurationIndex, name: str, is_lapsed: Callable[[str], bool]
+    index: ConfigurationIndex, name: str, is_lease_expired: Callable[[str], bool]
 ) -> Configuration | None:
-    """Return the roster with `name` inside and without those put out that can't act any more.
+    """Return the configuration with `name` as a member, or None where nothing changes.
 
-    None where that is the roster that there is.
-
-    A member that was put out comes back only after its lease has lapsed: what it may still
-    do by an older lease would otherwise count as confirmed with what it does by the new one. It
-    strikes others off all the same, or where all are out nobody ever would.
+    Evicted members whose lease has expired are removed. An evicted member rejoins only after its
+    own lease has expired: otherwise what it does under the old lease would count as confirmed by
+    what it does under a new one. It removes others even while it is evicted itself, because nobody
+    else could if all members were evicted.
     """
-    roster = index.configuration
-    gone = {other for other in roster.evicted if other != name and is_lapsed(other)}
-    is_out = name in index.evicted
-    if not gone and (is_out or name in index.members):
+    configuration = index.configuration
+    expired = {
+        other for other in configuration.evicted if other != name and is_lease_expired(other)
+    }
+    is_evicted = name in index.evicted
+    if not expired and (is_evicted or name in index.members):
         return None
-    inside = roster.members if is_out else {*roster.members, name}
-    return roster.with_members(inside, (other for other in roster.evicted if other not in gone))
+    members = configuration.members if is_evicted else {*configuration.members, name}
+    return configuration.with_members(
+        members, (other for other in configuration.evicted if other not in expired)
+    )
+
 
+def with_evicted(configuration: Configuration, name: str, has_leases: bool) -> Configuration:
+    """Return the configuration without a member.
 
-def with_evicted(roster: Configuration, name: str, has_leases: bool) -> Configuration:
-    """The roster without a member; where there are leases it is waited for until its own lapses."""
-    inside = (other for other in roster.members if other != name)
-    return roster.with_members(inside, (*roster.evicted, name) if has_leases else roster.evicted)
+    Where there are leases, changes wait for the evicted member until its lease has expired.
+    """
+    members = (other for other in configuration.members if other != name)
+    evicted = (*configuration.evicted, name) if has_leases else configuration.evicted
+    return configuration.with_members(members, evicted)
 
 
-def without_member(roster: Configuration, name: str) -> Configuration:
-    """Return the roster after a member has left by itself: it is waited for no more."""
-    inside = (other for other in roster.members if other != name)
-    return roster.with_members(inside, roster.evicted)
+def without_member(configuration: Configuration, name: str) -> Configuration:
+    """Return the configuration after a member has left by itself; changes don't wait for it."""
+    members = (other for other in configuration.members if other != name)
+    return configuration.with_members(members, configuration.evicted)
 
 
-def with_address(roster: Configuration, name: str, address: str) -> Configuration:
-    """Return the roster with the address (`host:port`) of a member, that may not be in yet."""
-    return Configuration(roster.members, roster.evicted, {**roster.addresses, name: address})
+def with_address(configuration: Configuration, name: str, address: str) -> Configuration:
+    """Return the configuration with the address (`host:port`) of a present or future member."""
+    addresses = {**configuration.addresses, name: address}
+    return Configuration(configuration.members, configuration.evicted, addresses)
--- a/sailhitch/tier/round_recovery.py
+++ b/sailhitch/tier/round_recovery.py
@@ -1,9 +1,9 @@
-"""When a voter completes a round whose end it has not heard of.
+"""When a voter completes a round whose outcome it has not heard of.
 
-A proposer may end between the acceptance of its change by voters and the news of it. The change may
-be decided by then, and nobody that runs knows. So a voter that has accepted a head, and hears of
-none as late within a while, reads the register by a round: what was decided is found, and what was
-accepted by few is decided or given up.
+A proposer may end after voters have accepted its state and before it has told anybody. The state
+may be chosen by then with no running process knowing. So a voter that has accepted a state, and
+hears of none as late within a random delay, reads the register by a round: a chosen state is found,
+and one accepted by a minority is chosen or superseded.
 """
 
 from __future__ import annotations
@@ -13,25 +13,28 @@
 
 from .messages import Ballot, ChosenState
 
-FIRST_AFTER: Final = 600_000  # us from an acceptance, from which a voter completes the round
-LAST_AFTER: Final = 2_000_000  # us by which the last of the voters does
+FIRST_AFTER: Final = 600_000  # us after an acceptance, the least delay of a voter
+LAST_AFTER: Final = 2_000_000  # us, the upper bound of that delay
 
 
 class RoundRecovery:
-    """The delay of one voter, at random, so that few of them compete with each other."""
+    """The delay of one voter, random so that few voters compete."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._ballot: Ballot | None = None  # of what it waits to hear of
+        self._ballot: Ballot | None = None  # of the accepted state whose outcome is unknown
         self._due_at = 0
 
-    def is_due(self, now: int, accepted: ChosenState | None, known: ChosenState | None) -> bool:
+    def is_due(self, now: int, accepted: ChosenState | None, chosen: ChosenState | None) -> bool:
         """Return whether to read the register by a round now.
 
-        `accepted` is what this voter accepted last, and `known` the latest that was surely decided.
+        Args:
+            now: The time.
+            accepted: The state that this voter accepted last.
+            chosen: The latest state that is known to be chosen.
         """
         if accepted is None or (
-            known is not None and accepted.state.revision <= known.state.revision
+            chosen is not None and accepted.state.revision <= chosen.state.revision
         ):
             self._ballot = None
             return False
--- a/sailhitch/tier/startup_read.py
+++ b/sailhitch/tier/startup_read.py
@@ -1,4 +1,4 @@
-"""What a member does after the reading of the register that its start begins with."""
+"""What a member does after the register read that its start begins with."""
 
 from __future__ import annotations
 
@@ -8,26 +8,30 @@
 
 
 class NextStep(Enum):
-    """What follows a reading."""
+    """What follows a read of the register."""
 
-    ADOPT = auto()  # it is what holds
-    REPORT_LOSS = auto()  # voters have forgotten what was decided
+    ADOPT = auto()  # the state that was read is the current one
+    REPORT_LOSS = auto()  # the voters have lost a state that was chosen
     RETRY = auto()
     BOOTSTRAP = auto()  # there is no tier yet
 
 
 def next_step_after_read(
-    found: ChosenState | None, kept_turn: int, knows_head: bool, may_found: bool
+    read_state: ChosenState | None, persisted_revision: int, knows_state: bool, may_bootstrap: bool
 ) -> NextStep:
-    """Return what follows a reading that found this.
+    """Return what follows a read.
 
-    `kept_turn` is the turn of the head on this member's disk at its start, 0 for none.
-    `knows_head`: others have said meanwhile that there is a head.
+    Args:
+        read_state: The result of the read; None where the register is empty.
+        persisted_revision: The revision on this member's disk at its start, 0 for none.
+        knows_state: Gossip has brought a chosen state since the start.
+        may_bootstrap: This member is a voter with a first version to propose.
     """
-    if found is not None:
-        return NextStep.REPORT_LOSS if found.state.revision < kept_turn else NextStep.ADOPT
-    if kept_turn:
+    if read_state is not None:
+        is_older = read_state.state.revision < persisted_revision
+        return NextStep.REPORT_LOSS if is_older else NextStep.ADOPT
+    if persisted_revision:
         return NextStep.REPORT_LOSS
-    # Others know of a head: it was decided meanwhile, or the voters' disks are lost. Where there is
-    # none, voters found a tier, and others wait until they have.
-    return NextStep.BOOTSTRAP if may_found and not knows_head else NextStep.RETRY
+    # A state known by gossip was chosen after the read, or the voters' disks are lost. Without one,
+    # voters bootstrap the tier, and other members wait for them.
+    return NextStep.BOOTSTRAP if may_bootstrap and not knows_state else NextStep.RETRY
--- a/sailhitch/tier/status_report.py
+++ b/sailhitch/tier/status_report.py
@@ -9,17 +9,17 @@
 
 
 def status_report(member: Member, now: int) -> dict[str, Any]:
-    """Return the member's own state, the head that it knows, and its record of each member."""
-    head = None if member.chosen is None else member.chosen.state
+    """Return the member's status, the chosen state that it knows, and a row for each member."""
+    state = None if member.chosen is None else member.chosen.state
     status = member.member_status(now)
     voter = member.voter
     return {
         "name": member.config.name,
         "standing": status.value,
         "why": status.reason,
-        "turn": 0 if head is None else head.revision,
-        "active": None if head is None else head.active.serial,
-        "pending": None if head is None or head.pending is None else head.pending.serial,
+        "turn": 0 if state is None else state.revision,
+        "active": None if state is None else state.active.serial,
+        "pending": None if state is None or state.pending is None else state.pending.serial,
         "waiting_for": member.waiting_for(),
         "members": _members(member, now),
         "voter": None if voter is None else voter.acceptor.mode.value,
@@ -28,26 +28,29 @@
 
 
 def _members(member: Member, now: int) -> list[dict[str, Any]]:
-    roster = member.configuration
+    """Return a row for each member that is configured or has a record."""
+    configuration = member.configuration
     table = member.membership
     config = member.config
-    inside = set(roster.members)
+    member_names = set(configuration.members)
     voters = set(config.voters)
     members = []
-    for name in sorted({*roster.members, *roster.evicted, *table.records}):
+    for name in sorted({*configuration.members, *configuration.evicted, *table.records}):
         record = table.records.get(name)
-        seen = table.updated_at.get(name)
-        age = 0 if name == config.name else None if seen is None else now - seen
+        updated_at = table.updated_at.get(name)
+        age = None if updated_at is None else now - updated_at
+        if name == config.name:
+            age = 0
         members.append(
             {
                 "name": name,
-                "inside": name in inside,
+                "inside": name in member_names,
                 "voter": name in voters,
                 "confirmed": 0 if record is None else record.confirmed_revision,
                 "age": age,
                 "trouble": "" if record is None else record.fault,
                 "health": member.prober.health(name, table.incarnation_of(name)).value,
-                "place": roster.addresses.get(name),
+                "place": configuration.addresses.get(name),
             }
         )
     return members
--- a/sailhitch/tier/transitions.py
+++ b/sailhitch/tier/transitions.py
@@ -1,7 +1,8 @@
-"""The changes that the register's value may take: one line of versions, each from the one before.
+"""State transitions of the register: each makes the next value from the current one.
 
-Each change is a function from the head that is to the head that is to be, with how it ends. It may
-be called several times for one change, as a round that failed may have gone through all the same.
+A `StateChange` is a function from the current register state to the next one, with the result to
+report. It may be called several times for one proposal, because an attempt that seemed to fail may
+have been chosen all the same; so each change first looks for its own `change_id` or effect.
 """
 
 from __future__ import annotations
@@ -16,137 +17,144 @@
 
 
 class Transition(NamedTuple):
-    """What a change comes to: the head to write, and how it ends once that is decided."""
+    """The state that a change writes, and the result to report once that state is chosen."""
 
     state: RegisterState
     result: ProposalResult
 
 
-StateChange = Callable[
-    [RegisterState | None], Transition | None
-]  # None: there is nothing to write to
+StateChange = Callable[[RegisterState | None], Transition | None]
+"""Returns the transition from a state; None where the register is empty and stays so."""
 
 
-def read(now: RegisterState | None) -> Transition | None:
-    """No change; what is read was decided, and was the latest when the reading began."""
-    return None if now is None else Transition(now, ProposalResult.NO_CHANGE)
+def read(current: RegisterState | None) -> Transition | None:
+    """Return the transition that changes nothing.
 
+    The state that it finds was chosen, and was the latest one when the read began.
+    """
+    return None if current is None else Transition(current, ProposalResult.NO_CHANGE)
 
-def bootstrap(version: Version, roster: str) -> StateChange:
-    """Return the first head of a tier; where there is one, that."""
 
-    def change(now: RegisterState | None) -> Transition | None:
-        if now is not None:
-            return Transition(
-                now,
-                ProposalResult.ACTIVE
-                if now.active.change_id == version.change_id
-                else ProposalResult.NO_CHANGE,
-            )
-        return Transition(
-            RegisterState(1, version.serial, 1, version, None, roster), ProposalResult.ACTIVE
-        )
+def bootstrap(version: Version, configuration_digest: str) -> StateChange:
+    """Return the change that writes a tier's first state, and keeps a state that exists."""
+
+    def change(current: RegisterState | None) -> Transition | None:
+        if current is None:
+            first = RegisterState(1, version.serial, 1, version, None, configuration_digest)
+            return Transition(first, ProposalResult.ACTIVE)
+        is_own = current.active.change_id == version.change_id
+        return Transition(current, ProposalResult.ACTIVE if is_own else ProposalResult.NO_CHANGE)
 
     return change
 
 
 def propose_version(version: Version, needs_confirmation: bool) -> StateChange:
-    """A version made from `version.base`; its serial is given here. `waits`: pending at first."""
+    """Return the change that adds a version made from `version.base`, and assigns its serial.
+
+    A version that needs confirmation is pending at first; any other is active at once.
+    """
 
-    def change(now: RegisterState | None) -> Transition | None:
-        if now is None:
+    def change(current: RegisterState | None) -> Transition | None:
+        if current is None:
             return None
-        if now.active.change_id == version.change_id:
-            return Transition(now, ProposalResult.ACTIVE)
-        if now.pending is not None and now.pending.change_id == version.change_id:
-            return Transition(now, ProposalResult.PENDING)
-        if now.active.serial != version.base:
-            return Transition(now, ProposalResult.STALE)
-        if now.pending is not None:
-            return Transition(now, ProposalResult.BUSY)
-        made = replace(version, serial=now.last_serial + 1)
-        if needs_confirmation:
-            return Transition(
-                _next_state(
-                    now, last_serial=made.serial, required_revision=now.revision + 1, pending=made
-                ),
-                ProposalResult.PENDING,
-            )
-        return Transition(
-            _next_state(now, last_serial=made.serial, active=made), ProposalResult.ACTIVE
-        )
+        if current.active.change_id == version.change_id:
+            return Transition(current, ProposalResult.ACTIVE)
+        if current.pending is not None and current.pending.change_id == version.change_id:
+            return Transition(current, ProposalResult.PENDING)
+        if current.active.serial != version.base:
+            return Transition(current, ProposalResult.STALE)
+        if current.pending is not None:
+            return Transition(current, ProposalResult.BUSY)
+        return _with_version(current, version, needs_confirmation)
 
     return change
 
 
+def _with_version(current: RegisterState, version: Version, needs_confirmation: bool) -> Transition:
+    numbered = replace(version, serial=current.last_serial + 1)
+    if not needs_confirmation:
+        state = _next_state(current, last_serial=numbered.serial, active=numbered)
+        return Transition(state, ProposalResult.ACTIVE)
+    state = _next_state(
+        current,
+        last_serial=numbered.serial,
+        required_revision=current.revision + 1,
+        pending=numbered,
+    )
+    return Transition(state, ProposalResult.PENDING)
+
+
 def activate(serial: int) -> StateChange:
-    """Return the pending version is confirmed by everybody: it is the active one from here on."""
+    """Return the change that makes the pending version active, as everybody has confirmed it."""
 
-    def change(now: RegisterState | None) -> Transition | None:
-        if now is None:
+    def change(current: RegisterState | None) -> Transition | None:
+        if current is None:
             return None
-        pending = now.pending
+        pending = current.pending
         if pending is None or pending.serial != serial:
+            is_active = current.active.serial == serial
             return Transition(
-                now,
-                ProposalResult.ACTIVE if now.active.serial == serial else ProposalResult.NO_CHANGE,
+                current, ProposalResult.ACTIVE if is_active else ProposalResult.NO_CHANGE
             )
-        return Transition(_next_state(now, active=pending, pending=None), ProposalResult.ACTIVE)
+        return Transition(_next_state(current, active=pending, pending=None), ProposalResult.ACTIVE)
 
     return change
 
 
 def withdraw(serial: int) -> StateChange:
-    """Return the pending version is given up; what was active stays so."""
+    """Return the change that drops the pending version; the active one stays."""
 
-    def change(now: RegisterState | None) -> Transition | None:
-        if now is None:
+    def change(current: RegisterState | None) -> Transition | None:
+        if current is None:
             return None
-        if now.pending is None or now.pending.serial != serial:
+        if current.pending is None or current.pending.serial != serial:
+            is_active = current.active.serial == serial
             return Transition(
-                now,
-                ProposalResult.STALE if now.active.serial == serial else ProposalResult.NO_CHANGE,
+                current, ProposalResult.STALE if is_active else ProposalResult.NO_CHANGE
             )
-        return Transition(_next_state(now, pending=None), ProposalResult.ACTIVE)
+        return Transition(_next_state(current, pending=None), ProposalResult.ACTIVE)
 
     return change
 
 
-def change_configuration(old: str, new: str) -> StateChange:
-    """Another roster, made from the one with the digest `old`."""
+def change_configuration(old_digest: str, new_digest: str) -> StateChange:
+    """Return the change from the configuration with one digest to that with another."""
 
-    def change(now: RegisterState | None) -> Transition | None:
-        if now is None:
+    def change(current: RegisterState | None) -> Transition | None:
+        if current is None:
             return None
-        if now.configuration_digest == new:
-            return Transition(now, ProposalResult.ACTIVE)
-        if now.configuration_digest != old:
-            return Transition(now, ProposalResult.STALE)
-        return Transition(_next_state(now, configuration_digest=new), ProposalResult.ACTIVE)
+        if current.configuration_digest == new_digest:
+            return Transition(current, ProposalResult.ACTIVE)
+        if current.configuration_digest != old_digest:
+            return Transition(current, ProposalResult.STALE)
+        return Transition(
+            _next_state(current, configuration_digest=new_digest), ProposalResult.ACTIVE
+        )
 
     return change
 
 
 def propose_traffic_policy(version: Version) -> StateChange:
-    """A posture made from the one of serial `version.base`, 0 for none; its serial is given here.
+    """Return the change to a traffic policy made from that of serial `version.base`, 0 for none.
 
-    It goes beside the line of versions: it is active at once, also while a version is pending.
+    Traffic policies have serials of their own. One is active at once, even while a version of the
+    gateways' state is pending.
     """
 
-    def change(now: RegisterState | None) -> Transition | None:
-        if now is None:
+    def change(current: RegisterState | None) -> Transition | None:
+        if current is None:
             return None
-        held = now.traffic_policy
-        if held is not None and held.change_id == version.change_id:
-            return Transition(now, ProposalResult.ACTIVE)
-        if version.base != (0 if held is None else held.serial):
-            return Transition(now, ProposalResult.STALE)
-        made = replace(version, serial=version.base + 1)
-        return Transition(_next_state(now, traffic_policy=made), ProposalResult.ACTIVE)
+        policy = current.traffic_policy
+        if policy is not None and policy.change_id == version.change_id:
+            return Transition(current, ProposalResult.ACTIVE)
+        if version.base != (0 if policy is None else policy.serial):
+            return Transition(current, ProposalResult.STALE)
+        numbered = replace(version, serial=version.base + 1)
+        return Transition(_next_state(current, traffic_policy=numbered), ProposalResult.ACTIVE)
 
     return change
 
 
-def _next_state(now: RegisterState, **changes: Any) -> RegisterState:
-    """Return the head of the next turn."""
-    return replace(now, revision=now.revision + 1, **changes)
+def _next_state(current: RegisterState, **changes: Any) -> RegisterState:
+    """Return the state of the next revision, with these fields replaced."""
+    return replace(current, revision=current.revision + 1, **changes)
