--- a/sailhitch/tier/member.py
+++ b/sailhitch/tier/member.py
@@ -547,7 +547,7 @@
         life has read that it is inside, no change would wait for it. A mark on this member's own
         disk is not enough: that may be an older or an empty one by now. Voters tell.
         """
-        return Job(None, self._on_startup_read, final=True, at_once=at_once)
+        return Job(None, self._on_startup_read, final=True, with_ballot=at_once)
 
     def _on_startup_read(self, decided: ChosenState | None, end: ProposalResult) -> None:
         """That reading has ended."""
--- a/sailhitch/tier/messages.py
+++ b/sailhitch/tier/messages.py
@@ -1,4 +1,4 @@
-"""What members agree on and what they send to each other: values, no behaviour.
+"""The values that members agree on, and the messages that they send: values, no behaviour.
 
 Times are microseconds of the process's own steady clock; no two processes' times are ever compared.
 A digest is the SHA-256 of a content in hex.
@@ -12,7 +12,7 @@
 
 
 class Ballot(NamedTuple):
-    """A round's rank. `boot` is drawn anew by each process, so that no two rounds share one."""
+    """A round's number. `boot` is random for each process, so no two rounds share a ballot."""
 
     n: int
     by: str
@@ -23,7 +23,7 @@
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
-    """A state that was proposed: its number, the one that it was made from, and its content."""
+    """A proposed version: its serial, that of the version it was made from, and its content."""
 
     serial: int
     base: int
@@ -31,83 +31,92 @@
     proposer: str  # the member that proposed it
     operator: str  # the operator who asked, for people
     proposed_at: int  # time of day in microseconds, for people: nothing is decided by it
-    change_id: str  # drawn for this proposal alone, by which its proposer knows it again
+    change_id: str  # unique to this proposal; its proposer recognizes it by this
 
 
 class RegisterState(msgspec.Struct, frozen=True, array_like=True):
     """The register's value."""
 
-    revision: int  # how many changes of the register led here
-    last_serial: int  # the highest serial ever given
-    required_revision: (
-        int  # who has confirmed this turn, or a later one, acts within what is active
-    )
+    revision: int  # the number of changes of the register up to this one
+    last_serial: int  # the highest serial ever assigned
+    # A member that has confirmed this revision, or a later one, acts within the active version.
+    required_revision: int
     active: Version
     pending: Version | None
-    configuration_digest: str  # digest of whom a change waits for, JSON
-    # A line of its own, in which nothing contradicts nor waits.
+    configuration_digest: str  # of the members that a change waits for, as JSON
+    # It has serials of its own, and never waits for confirmations.
     traffic_policy: Version | None = None
 
 
 class ChosenState(msgspec.Struct, frozen=True, array_like=True):
-    """A head that a majority of voters has accepted under this ballot."""
+    """A state that a majority of voters has accepted under this ballot."""
 
     ballot: Ballot
     state: RegisterState
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A member's word about itself, passed on by others as it is."""
+    """A member's record of itself; others pass it on unchanged."""
 
     name: str
-    incarnation: int  # incarnation: above all that were ever heard of this name
+    incarnation: int  # above all others ever known of this name
     boot: int
-    heartbeat: int  # of this life, so far
-    confirmed_revision: int  # the turn by which it acts, at least
-    fault: str  # why it can't act by the head that it knows; empty: it can, or will
-    metadata: bytes = b""  # what else it has to say; the tier does not know what that means
+    heartbeat: int  # a count within this incarnation
+    confirmed_revision: int  # the revision that it applies, or an earlier one
+    fault: str  # why it can't apply the state that it knows; empty: it can, or will
+    metadata: bytes = b""  # for the process that runs it; opaque to the tier
 
 
-# --- What is said
+# --- Messages
 
 
 class ReadRequest(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """What has this voter accepted? Asked without a ballot: nothing is promised."""
+    """Asks a voter what it has accepted, without a ballot: nothing is promised."""
 
     number: int
 
 
 class ReadReply(msgspec.Struct, frozen=True, array_like=True, tag="L"):
+    """A voter's answer to a `ReadRequest`."""
+
     number: int
-    accepted: ChosenState | None  # accepted by this voter, which may be the only one
+    accepted: ChosenState | None  # by this voter, which may be the only one
 
 
 class UnfinishedRound(msgspec.Struct, frozen=True, array_like=True, tag="u"):
-    """In place of a `ReadReply`: a round of the asking member may still be decided.
+    """A voter's answer to a `ReadRequest` when a round of the reader may still be chosen.
 
-    This voter has promised one, and has accepted none since.
+    The voter has promised such a round, and has accepted none since.
     """
 
     number: int
-    accepted: ChosenState | None  # accepted by this voter, which may be the only one
+    accepted: ChosenState | None  # by this voter, which may be the only one
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="p"):
+    """Asks a voter to promise a ballot: the first phase of a round."""
+
     ballot: Ballot
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag="P"):
-    """`ok`: nothing below the ballot is accepted any more. Else `promised` is above it."""
+    """A voter's answer to `Prepare`.
+
+    Where `ok`, it accepts nothing below the ballot any more. Otherwise `promised` is above it.
+    """
 
     ballot: Ballot
     ok: bool
     promised: Ballot
-    accepted: ChosenState | None  # accepted by this voter, which may be the only one
+    accepted: ChosenState | None  # by this voter, which may be the only one
     stamp: int
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Goes to those alone who have promised, with the stamps of their promises."""
+    """Asks a voter that has promised to accept a state: the second phase of a round.
+
+    It carries the stamp of each promise that the round rests on.
+    """
 
     ballot: Ballot
     state: RegisterState
@@ -115,26 +124,30 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag="A"):
+    """A voter's answer to `Accept`; where not `ok`, `promised` is above the ballot."""
+
     ballot: Ballot
     ok: bool
     promised: Ballot
     stamp: int
-    known_promises: list[str]  # the voters of whose promises this one now knows, by the `Accept`
+    known_promises: list[str]  # the voters whose promises the `Accept` told it of
 
 
 class VoteRecoveryRequest(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """A voter that has started asks what is known of its earlier votes."""
+    """Asks another voter, after a start, what it knows of the sender's earlier votes."""
 
     nonce: int
 
 
 class VoteRecoveryReply(msgspec.Struct, frozen=True, array_like=True, tag="H"):
+    """A voter's answer to a `VoteRecoveryRequest`."""
+
     nonce: int
-    stamps: dict[str, int]  # the latest known of each voter's votes
+    stamps: dict[str, int]  # by voter: the latest stamp known of its votes
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
-    """A life of a member that does not answer, and who has found so by probes of its own."""
+    """An incarnation of a member that does not answer, and the members whose probes found so."""
 
     name: str
     incarnation: int
@@ -142,35 +155,40 @@
 
 
 class GossipMessage(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """Gossip; each is of use alone, in any order."""
+    """A gossip message. Each is of use on its own, in any order."""
 
     chosen: ChosenState | None
     records: list[MemberRecord]
     stamps: dict[str, int]
-    expired_leases: (
-        tuple[int, bytes] | None
-    )  # a voter's: of a turn, bits by the roster's names in order
+    # A voter's report: a revision, and a bit for each name of its configuration in order.
+    expired_leases: tuple[int, bytes] | None
     suspicions: list[Suspicion] = []
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """A member asks a voter for its lease."""
+    """Asks a voter to grant the sender's lease."""
 
     number: int
     confirmed_revision: int
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="g"):
+    """A voter's answer to a `LeaseRequest`."""
+
     number: int
     granted: bool
 
 
 class BlockRequest(msgspec.Struct, frozen=True, array_like=True, tag="c"):
+    """Asks for the block of a content in its packed form that begins at an offset."""
+
     digest: str
     offset: int
 
 
 class Block(msgspec.Struct, frozen=True, array_like=True, tag="C"):
+    """A part of a content in its packed form, which has `total` bytes."""
+
     digest: str
     offset: int
     total: int
@@ -178,7 +196,7 @@
 
 
 class PageRange(NamedTuple):
-    """Blocks of a page in its packed form: so many from an offset on. `digest` in 32 bytes."""
+    """Blocks of a page in its packed form, from an offset on. `digest` has 32 bytes."""
 
     digest: bytes
     offset: int
@@ -186,13 +204,13 @@
 
 
 class PageRequest(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """Asks for pages of trees; each range is of another page, or of another part of one."""
+    """Asks for pages of trees; the ranges do not overlap."""
 
     ranges: list[PageRange]
 
 
 class PageBlock(NamedTuple):
-    """A part of a page in its packed form, of which `total` bytes are the whole."""
+    """A part of a page in its packed form, which has `total` bytes."""
 
     digest: bytes
     offset: int
@@ -201,25 +219,27 @@
 
 
 class PageReply(msgspec.Struct, frozen=True, array_like=True, tag="T"):
-    """Blocks of pages, and pages that this member does not have, or has no room to send now."""
+    """Blocks of pages, and the digests of pages that the sender lacks or can't send now."""
 
     blocks: list[PageBlock]
     refused: list[bytes]
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="i"):
-    """Is this member there? `doubted`: a life of it that is suspected, or 0."""
+    """A probe. `suspected_incarnation` is one of the receiver's that is suspected, or 0."""
 
     number: int
     suspected_incarnation: int
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="I"):
+    """The answer to a `Ping`."""
+
     number: int
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag="N"):
-    """A helper's: whom it was to reach has not answered it either, so far."""
+    """A helper's answer to a relayed `Ping`: the target has not answered it either, so far."""
 
     number: int
 
@@ -248,7 +268,7 @@
 
 
 class Relayed(msgspec.Struct, frozen=True, array_like=True, tag="v"):
-    """Something that goes through one other member, where the straight way may be cut."""
+    """A message that is sent through one other member, as the direct path may be cut."""
 
     origin: str
     to: str
--- a/sailhitch/tier/outbox.py
+++ b/sailhitch/tier/outbox.py
@@ -1,4 +1,4 @@
-"""What a member does and sends, in order; replies go back over the relay that a request came by."""
+"""A member's effects, in order; replies also go over the relay that a request came by."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Outbox:
-    """Effects of a member's core. What it sends to itself is held back until `take_local`."""
+    """The effects of a member. Messages to itself wait for `take_local_message`."""
 
     def __init__(self, name: str, gossip: Gossip, prober: Prober, rng: random.Random) -> None:
         self._name = name
@@ -39,17 +39,17 @@
         self.effects: list[Effect] = []
         self.relays = RelayPolicy()
         self._local: deque[Message] = deque()
-        self._replying: tuple[str, str] | None = None  # who is answered, and over which relay
-        self._relay_of: dict[str, str] = {}  # of members last heard over a relay, and not directly
+        self._replying: tuple[str, str] | None = None  # the requester, and its relay
+        self._relay_of: dict[str, str] = {}  # of members last heard from over a relay, not directly
 
     @property
     def is_relayed(self) -> bool:
-        """Whether what is handled now came over a relay."""
+        """Return whether the message that is processed now came over a relay."""
         return self._replying is not None
 
     @contextmanager
     def replying_over(self, origin: str, relay: str) -> Iterator[None]:
-        """Within it, what is sent to `origin` goes over `relay` too."""
+        """Within this context, send messages to `origin` over `relay` too."""
         self._replying = origin, relay
         self._relay_of[origin] = relay
         try:
@@ -58,7 +58,7 @@
             self._replying = None
 
     def on_direct_message(self, name: str) -> None:
-        """A member has sent something that did not come over a relay."""
+        """Forget the relay of a member that has sent a message directly."""
         self._relay_of.pop(name, None)
 
     def take_effects(self) -> list[Effect]:
@@ -72,15 +72,15 @@
         return self._local.popleft() if self._local else None
 
     def persist(self, items: dict[str, bytes | None]) -> None:
-        """Have these on disk before what follows; None: it may be forgotten."""
+        """Write these items to disk before any later effect; an item of None may be deleted."""
         self.effects.append(Persist(items))
 
     def log_event(self, event: str, fields: dict[str, object]) -> None:
-        """Have an event in the log."""
+        """Log an event with its fields."""
         self.effects.append(LogEvent(event, fields))
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message; over a relay too, where the direct way may be cut."""
+        """Send a message; over a relay too, where the direct path may be cut."""
         if to == self._name:
             self._local.append(message)
             return
@@ -97,9 +97,9 @@
                 self._send_over(helper, to, message)
 
     def _draw_helper(self, to: str) -> str | None:
-        """Return a member to relay a request to a voter; None where a few draws find none.
+        """Return a member to relay a request to a voter; None where `MAX_DRAWS` find none.
 
-        A voter that does not answer this member either would not get the request.
+        A voter that does not answer this member is no help, as it would not get the request.
         """
         for _ in range(MAX_DRAWS):
             name = self._rng.choice(self._gossip.others)
--- a/sailhitch/tier/proposer.py
+++ b/sailhitch/tier/proposer.py
@@ -1,7 +1,7 @@
-"""A member's rounds at the register: one job at a time, again until it is decided.
+"""A member's reads and rounds of the register: one job at a time, retried until it is chosen.
 
-Owns when a round is said again, when it gives way to another ballot, and how long to stand back
-after it was beaten, so that proposers that meet do not go on beating each other.
+The proposer owns when messages are resent, when an attempt times out, and the backoff after a
+preempted attempt, so that concurrent proposers do not go on preempting each other.
 """
 
 from __future__ import annotations
@@ -25,45 +25,47 @@
 from .register import Phase, Round, majority
 from .transitions import StateChange, read
 
-RESEND_INTERVAL: Final = 100_000  # us until something unanswered is said again
-ROUND_TIMEOUT: Final = 4_000_000  # us until a round that gets no further gives way to the next
-BACKOFF_STEP: Final = 50_000  # us; after the n-th defeat in a row up to 2^n of these are waited
-MAX_READS: Final = 6  # readings without a ballot before one with
+RESEND_INTERVAL: Final = 100_000  # us until an unanswered message is sent again
+ROUND_TIMEOUT: Final = 4_000_000  # us until an attempt without progress is abandoned
+BACKOFF_STEP: Final = 50_000  # us; after the n-th failure in a row the delay is up to 2^n of these
+MAX_DOUBLINGS: Final = 5  # of the upper bound of the backoff
+MAX_READS: Final = 6  # reads without a ballot before one with a ballot
 
-JobCallback = Callable[[ChosenState | None, ProposalResult], None]  # None: the register is empty
+JobCallback = Callable[[ChosenState | None, ProposalResult], None]
+"""Called with the chosen state, or None where the register is empty."""
 
 
 class Job:
-    """A change to make, and whom to tell; `change` None: only read.
+    """A change to propose, or with `change` None a read, and the callback for its result.
 
-    `final`: no round that an earlier life of this member began is decided after what is read.
+    After a `final` one no round of an earlier incarnation of this member can be chosen any more.
     """
 
     def __init__(
         self,
         change: StateChange | None,
-        ended: JobCallback,
+        on_completed: JobCallback,
         final: bool = False,
-        at_once: bool = False,
+        with_ballot: bool = False,
     ) -> None:
-        """`at_once`: there may be such a round, and a round of this life puts an end to it."""
+        """Make a job; `with_ballot` begins with a round, as one of an earlier life may be open."""
         self.change = change
-        self.on_completed = ended
+        self.on_completed = on_completed
         self.final = final
-        self.reads = MAX_READS if at_once else 0
+        self.reads = MAX_READS if with_ballot else 0
 
 
 class QuorumRead:
-    """A reading without a ballot: one head that a majority has accepted under one ballot.
+    """A read without a ballot: finds a state that a majority has accepted under one ballot.
 
-    Whatever was decided before it began is accepted by one of that majority under that ballot or a
-    lower one, so what it finds is no older.
+    Whatever was chosen before the read began is accepted by one of that majority under that ballot
+    or a lower one, so the state that it finds is no older.
 
-    A `final` one counts only voters that have promised no round of the reader's name since they
-    last accepted. Accepts of an earlier life's round were sent after a majority had promised it,
-    and before this reading began, so one of those that agree here had promised it. Unless that one
-    has accepted a higher ballot since, it answers `UnfinishedRound`. So nothing of that round is
-    decided later, also not by another proposer that finds it accepted by a minority.
+    A `final` read counts only voters that have promised no round of the reader's name since they
+    last accepted. `Accept`s of a round of an earlier incarnation were sent after a majority had
+    promised it, and before this read began, so one of the voters that agree here had promised it.
+    Unless that voter has accepted a higher ballot since, it answers `UnfinishedRound`. So that
+    round is not chosen later, not even by another proposer that finds it accepted by a minority.
     """
 
     def __init__(self, number: int, voters: Collection[str], final: bool = False) -> None:
@@ -74,40 +76,42 @@
         self._replies: dict[str, ReadReply | UnfinishedRound] = {}
 
     def unanswered(self) -> list[tuple[str, Message]]:
-        look = ReadRequest(self.number)
-        return [(v, look) for v in self.voters if v not in self._replies]
+        """Return the requests to send, or to send again, to voters that have not answered."""
+        request = ReadRequest(self.number)
+        return [(voter, request) for voter in self.voters if voter not in self._replies]
 
-    def on_reply(self, voter: str, answer: ReadReply | UnfinishedRound) -> None:
-        """A voter's answer."""
-        if answer.number == self.number:
-            self._replies[voter] = answer
+    def on_reply(self, voter: str, reply: ReadReply | UnfinishedRound) -> None:
+        """Record a voter's reply."""
+        if reply.number == self.number:
+            self._replies[voter] = reply
 
     def chosen(self) -> ChosenState | None:
-        """Return what was decided, once that is certain."""
-        said = [
-            one.accepted
-            for one in self._replies.values()
-            if one.accepted is not None and not (self.final and isinstance(one, UnfinishedRound))
+        """Return the chosen state, once that is certain."""
+        states = [
+            reply.accepted
+            for reply in self._replies.values()
+            if reply.accepted is not None
+            and not (self.final and isinstance(reply, UnfinishedRound))
         ]
-        return next((one for one in said if said.count(one) >= self.quorum), None)
+        return next((state for state in states if states.count(state) >= self.quorum), None)
 
     def has_unfinished(self) -> bool:
-        """Return whether a round of an earlier life of this member may still be decided."""
+        """Return whether a round of an earlier incarnation of this member may still be chosen."""
         return self.final and any(
-            isinstance(one, UnfinishedRound) for one in self._replies.values()
+            isinstance(reply, UnfinishedRound) for reply in self._replies.values()
         )
 
     def is_empty(self) -> bool:
-        """Return whether nothing was decided: a majority has accepted nothing."""
-        return sum(one.accepted is None for one in self._replies.values()) >= self.quorum
+        """Return whether nothing was chosen: a majority has accepted nothing."""
+        return sum(reply.accepted is None for reply in self._replies.values()) >= self.quorum
 
     def is_inconclusive(self) -> bool:
-        """Return whether a majority has answered and does not agree: a change may be under way."""
+        """Return whether a majority has answered without agreeing: a change may be in progress."""
         return len(self._replies) >= self.quorum and self.chosen() is None and not self.is_empty()
 
 
 class Proposer:
-    """Jobs, one after the other."""
+    """The queue of jobs, and the read or round of the first one."""
 
     def __init__(self, name: str, boot: int, voters: Collection[str], rng: random.Random) -> None:
         self.name = name
@@ -118,31 +122,33 @@
         self.round: Round | None = None
         self.reading: QuorumRead | None = None
         self.defeats = 0
-        self._highest_number = self._number = 0
-        self._started_at = self._sent_at = 0
+        self._highest_number = 0
+        self._read_number = 0
+        self._started_at = 0
+        self._sent_at = 0
         self._backoff_until = 0
 
     def add(self, job: Job) -> None:
-        """One more, behind those that wait."""
+        """Append a job to the queue."""
         self.jobs.append(job)
 
     def observe_ballot(self, ballot: Ballot) -> None:
-        """A ballot was heard of; those to come are above it."""
+        """Keep the ballots to come above this one."""
         self._highest_number = max(self._highest_number, ballot.n)
 
     def next_ballot(self) -> Ballot:
-        """One above all that were heard of."""
+        """Return a ballot above all that were observed."""
         self._highest_number += 1
         return Ballot(self._highest_number, self.name, self.boot)
 
     def on_tick(self, now: int) -> list[tuple[str, Message]]:
-        """Time passes: what to say now."""
+        """Return the messages to send now."""
         if not self.jobs or now < self._backoff_until:
             return []
-        stuck = now - self._started_at >= ROUND_TIMEOUT
+        timed_out = now - self._started_at >= ROUND_TIMEOUT
         if self.round is None and self.reading is None:
             self._begin(now)
-        elif stuck or (self.reading is not None and self.reading.is_inconclusive()):
+        elif timed_out or (self.reading is not None and self.reading.is_inconclusive()):
             self._back_off(now)
             return []
         elif now - self._sent_at < RESEND_INTERVAL:
@@ -154,35 +160,36 @@
         self._started_at = now
         if job.change is None and job.reads < MAX_READS:
             job.reads += 1
-            self._number += 1
-            self.reading = QuorumRead(self._number, self.voters, job.final)
+            self._read_number += 1
+            self.reading = QuorumRead(self._read_number, self.voters, job.final)
         else:
             self.round = Round(self.next_ballot(), self.voters, job.change or read, job.final)
 
     def _back_off(self, now: int) -> None:
-        """Leave off, and begin anew after a while that grows with the defeats."""
+        """Abandon the attempt, and retry after a backoff that grows with the failures in a row."""
         if self.reading is not None and self.reading.has_unfinished():
-            self.jobs[0].reads = MAX_READS  # only a round of its own puts an end to that one
-        self.round = self.reading = None
+            self.jobs[0].reads = MAX_READS  # only a round of this incarnation supersedes that one
+        self.round = None
+        self.reading = None
         self.defeats += 1
-        most = BACKOFF_STEP << min(self.defeats, 5)
-        self._backoff_until = now + self.rng.randrange(BACKOFF_STEP // 5, most)
+        upper_bound = BACKOFF_STEP << min(self.defeats, MAX_DOUBLINGS)
+        self._backoff_until = now + self.rng.randrange(BACKOFF_STEP // 5, upper_bound)
 
     def _send_unanswered(self, now: int) -> list[tuple[str, Message]]:
         self._sent_at = now
-        at = self.round or self.reading
-        return [] if at is None else at.unanswered()
+        attempt = self.round or self.reading
+        return [] if attempt is None else attempt.unanswered()
 
-    def on_read_reply(self, voter: str, answer: ReadReply | UnfinishedRound) -> None:
-        """A voter's answer to `ReadRequest`."""
+    def on_read_reply(self, voter: str, reply: ReadReply | UnfinishedRound) -> None:
+        """Process a voter's answer to `ReadRequest`."""
         if self.reading is not None:
-            self.reading.on_reply(voter, answer)
-            found = self.reading.chosen()
-            if found is not None or self.reading.is_empty():
-                self._complete_job(found, ProposalResult.NO_CHANGE)
+            self.reading.on_reply(voter, reply)
+            chosen = self.reading.chosen()
+            if chosen is not None or self.reading.is_empty():
+                self._complete_job(chosen, ProposalResult.NO_CHANGE)
 
     def on_promise(self, voter: str, promise: Promise, now: int) -> list[tuple[str, Message]]:
-        """Return a voter's answer to `Prepare`; what to say next."""
+        """Process a voter's answer to `Prepare`, and return the messages to send."""
         self.observe_ballot(promise.promised)
         if self.round is None:
             return []
@@ -191,7 +198,7 @@
         return self._on_phase_change(now) if self.round.phase is not before else []
 
     def on_accepted(self, voter: str, answer: Accepted, now: int) -> list[tuple[str, Message]]:
-        """Return a voter's answer to `Accept`."""
+        """Process a voter's answer to `Accept`, and return the messages to send."""
         self.observe_ballot(answer.promised)
         if self.round is None or self.round.phase is not Phase.ACCEPT:
             return []
@@ -200,20 +207,21 @@
         return self._on_phase_change(now) if self.round.phase is not before else []
 
     def _on_phase_change(self, now: int) -> list[tuple[str, Message]]:
-        at = self.round
-        assert at is not None
-        if at.phase is Phase.PREEMPTED:
+        attempt = self.round
+        assert attempt is not None
+        if attempt.phase is Phase.PREEMPTED:
             self._back_off(now)
-        elif at.phase is Phase.EMPTY:
+        elif attempt.phase is Phase.EMPTY:
             self._complete_job(None, ProposalResult.NO_CHANGE)
-        elif at.phase is Phase.CHOSEN:
-            assert at.transition is not None
-            self._complete_job(at.chosen, at.transition.result)
-        elif at.phase is Phase.ACCEPT:
+        elif attempt.phase is Phase.CHOSEN:
+            assert attempt.transition is not None
+            self._complete_job(attempt.chosen, attempt.transition.result)
+        elif attempt.phase is Phase.ACCEPT:
             return self._send_unanswered(now)
         return []
 
-    def _complete_job(self, decided: ChosenState | None, end: ProposalResult) -> None:
-        self.round = self.reading = None
+    def _complete_job(self, chosen: ChosenState | None, result: ProposalResult) -> None:
+        self.round = None
+        self.reading = None
         self.defeats = 0
-        self.jobs.popleft().on_completed(decided, end)
+        self.jobs.popleft().on_completed(chosen, result)
--- a/sailhitch/tier/register.py
+++ b/sailhitch/tier/register.py
@@ -1,21 +1,21 @@
 """One register with compare-and-set over a few voters: CASPaxos (Rystsov 2018), no leader, no log.
 
-`Acceptor` is a voter's side, `Round` one try of a proposer's. Both hold to the paper; what is more
-is for disks that lose what they held. Each change of a vote has a number, its stamp.
-
-- A head is accepted only with the stamps of the promises that it rests on: whoever holds what was
-  decided also holds that the others had voted, and how far.
-- A voter that starts votes only once the others have said which stamp of it they know. A later one
-  than its own shows that its disk is an old or an empty one; so does one in an `Accept` or in
-  gossip, at any later time.
-- A voter whose disk has lost votes is mended by a round of its own: it has a majority of the
-  *others* promise a new ballot, and takes the latest that they accepted. Whatever was decided with
-  its lost vote is known to one of them, or can't be decided any more.
+`Acceptor` is a voter's side, `Round` one attempt of a proposer. Both follow the paper, and add
+protection against disks that lose votes. Each change of a vote has a number, its stamp.
+
+- A state is accepted only with the stamps of the promises that it rests on. So a voter that stores
+  a chosen state also stores the stamps that the other voters had reached.
+- A voter that starts votes only once the others have reported which stamp of it they know. A later
+  one than its own shows that its disk is old or empty; so does one in an `Accept` or in gossip, at
+  any later time.
+- A voter whose disk has lost votes recovers by a round of its own: a majority of the *others*
+  promise a new ballot, and it takes the latest state that they accepted. Whatever was chosen with
+  its lost vote is known to one of them, or can't be chosen any more.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection
+from collections.abc import Collection, Iterable
 from enum import Enum
 from typing import Final
 
@@ -34,21 +34,21 @@
 )
 from .transitions import StateChange, Transition
 
-VOTE_KEY: Final = "vote"  # the name under which a voter's vote is kept
-ANY_PROPOSER: Final = ""  # in a ballot of a vote: which proposers had promises was forgotten
+VOTE_KEY: Final = "vote"  # the key of a voter's vote on disk
+ANY_PROPOSER: Final = ""  # in a ballot of a vote: the proposers that had promises are unknown
 
 
 def majority(voters: int) -> int:
-    """Return how many of so many voters decide."""
+    """Return the size of a majority of so many voters."""
     return voters // 2 + 1
 
 
 class Vote(msgspec.Struct, frozen=True, array_like=True):
-    """What a voter has promised and accepted; on disk before it is said."""
+    """What a voter has promised and accepted; synced to disk before any answer that shows it."""
 
     promised: Ballot
     accepted: ChosenState | None
-    stamp: int  # how many changes of the vote there were
+    stamp: int  # the number of changes of the vote
     # Ballots promised since the last accepted one, the latest of each proposer.
     unfinished: tuple[Ballot, ...] = ()
 
@@ -56,20 +56,24 @@
 class VoterMode(Enum):
     """Whether a voter votes."""
 
-    CHECKING_DISK = "asking"  # whether its disk is an old one
-    RECOVERING = "mending"  # its disk was old or empty, and it learns from the others
+    CHECKING_DISK = "asking"  # it asks the others whether its disk is old
+    RECOVERING = "mending"  # its disk was old or empty, and it recovers from the others
     VOTING = "voting"
 
 
 class Acceptor:
-    """A voter's vote. What returns True has changed it: keep `vote` before the answer goes out."""
+    """A voter's vote.
 
-    def __init__(self, name: str, voters: Collection[str], kept: Vote | None) -> None:
-        self.name, self.others = name, [v for v in voters if v != name]
+    Where a method returns that it has changed `vote`, the caller syncs that before it answers.
+    """
+
+    def __init__(self, name: str, voters: Collection[str], persisted: Vote | None) -> None:
+        self.name = name
+        self.others = [voter for voter in voters if voter != name]
         self.quorum = majority(len(voters))
-        # Of any majority that has accepted something, so many of the others include one at least.
+        # So many of the others include at least one of any majority that has accepted something.
         self.recovery_quorum = len(voters) - self.quorum + 1
-        self.vote = kept or Vote(NO_BALLOT, None, 0)
+        self.vote = persisted or Vote(NO_BALLOT, None, 0)
         self.mode = VoterMode.CHECKING_DISK if self.others else VoterMode.VOTING
         self.has_lost_votes = False  # the disk was found to have lost votes
         self._recovery_replies: set[str] = set()
@@ -77,133 +81,144 @@
 
     @property
     def has_never_voted(self) -> bool:
-        """Whether it has never voted, as far as it knows."""
+        """Return whether it has never voted, as far as it knows."""
         return self.vote.stamp == 0
 
     # --- Voting
 
     def prepare(self, ballot: Ballot) -> tuple[Promise, bool]:
-        """Promise to accept nothing below a ballot, if nothing above it was promised."""
+        """Promise to accept nothing below a ballot, if nothing above it was promised.
+
+        Returns:
+            The answer, and whether the vote has changed.
+        """
         ok = ballot >= self.vote.promised
-        news = ballot > self.vote.promised
-        if news:
-            others = (one for one in self.vote.unfinished if one.by != ballot.by)
+        is_changed = ballot > self.vote.promised
+        if is_changed:
+            others = (other for other in self.vote.unfinished if other.by != ballot.by)
             self._set_vote(ballot, self.vote.accepted, (*others, ballot))
         vote = self.vote
-        return Promise(ballot, ok, vote.promised, vote.accepted, vote.stamp), news
+        return Promise(ballot, ok, vote.promised, vote.accepted, vote.stamp), is_changed
 
     def accept(self, message: Accept) -> tuple[Accepted, bool]:
-        """Accept a head, if nothing above its ballot was promised."""
+        """Accept a state, if nothing above its ballot was promised.
+
+        Returns:
+            The answer, and whether the vote has changed.
+        """
         ballot = message.ballot
         ok = ballot >= self.vote.promised
-        said = self.vote.accepted
-        news = ok and (said is None or said.ballot != ballot)
-        if news:
+        accepted = self.vote.accepted
+        is_changed = ok and (accepted is None or accepted.ballot != ballot)
+        if is_changed:
             self._set_vote(ballot, ChosenState(ballot, message.state), ())
         answer = Accepted(ballot, ok, self.vote.promised, self.vote.stamp, [*message.stamps])
-        return answer, news
+        return answer, is_changed
 
-    def learn(self, decided: ChosenState) -> bool:
-        """Take in what was decided: it may be said again at any time, and can't be wrong."""
-        said = self.vote.accepted
-        if said is not None and said.ballot >= decided.ballot:
+    def learn(self, chosen: ChosenState) -> bool:
+        """Accept a chosen state without a round, and return whether the vote has changed."""
+        accepted = self.vote.accepted
+        if accepted is not None and accepted.ballot >= chosen.ballot:
             return False
-        unfinished = tuple(one for one in self.vote.unfinished if one > decided.ballot)
-        self._set_vote(max(self.vote.promised, decided.ballot), decided, unfinished)
+        unfinished = tuple(ballot for ballot in self.vote.unfinished if ballot > chosen.ballot)
+        self._set_vote(max(self.vote.promised, chosen.ballot), chosen, unfinished)
         return True
 
     def has_unfinished(self, proposer: str) -> bool:
         """Return whether it has promised a round of this proposer and has accepted none since.
 
-        Such a round may still be decided, also where its proposer has ended.
+        Such a round may still be chosen, even if its proposer has ended.
         """
-        return any(one.by in (proposer, ANY_PROPOSER) for one in self.vote.unfinished)
+        return any(ballot.by in (proposer, ANY_PROPOSER) for ballot in self.vote.unfinished)
 
     def _set_vote(
         self, promised: Ballot, accepted: ChosenState | None, unfinished: tuple[Ballot, ...]
     ) -> None:
         self.vote = Vote(promised, accepted, self.vote.stamp + 1, unfinished)
 
-    # --- Coming back
+    # --- Recovery
 
     def observe_stamp(self, stamp: int) -> bool:
-        """Somebody knows this stamp of this voter; whether that shows that it has lost votes."""
+        """Compare a stamp that another knows of this voter; return whether votes were lost."""
         if stamp <= self.vote.stamp or self.mode is VoterMode.RECOVERING:
             return False
         self.has_lost_votes = True
         self.mode = VoterMode.RECOVERING
         return True
 
-    def on_recovery_reply(self, voter: str, answer: VoteRecoveryReply, lone: bool) -> None:
-        """An answer to this voter's own question, asked since it started.
+    def on_recovery_reply(self, voter: str, reply: VoteRecoveryReply, is_reduced: bool) -> None:
+        """Count a reply to this voter's request, and vote once there are enough.
 
-        With `lone` fewer answers do: it has waited for long, and a voter that is down for good
-        must not keep others from voting that have only been restarted. One that has never voted
-        waits for all: it can't tell itself from one that has lost everything.
+        With `is_reduced` fewer replies suffice: the voter has waited for long, and one that is down
+        for good must not keep others from voting that were only restarted. A voter that has never
+        voted waits for all: it can't tell whether it has lost everything.
         """
-        if voter not in self.others or self.observe_stamp(answer.stamps.get(self.name, 0)):
+        if voter not in self.others or self.observe_stamp(reply.stamps.get(self.name, 0)):
             return
         self._recovery_replies.add(voter)
         if self.mode is not VoterMode.CHECKING_DISK:
             return
-        need = (
-            len(self.others)
-            if self.has_never_voted
-            else self.quorum - 1
-            if lone
-            else self.recovery_quorum
-        )
-        if len(self._recovery_replies) >= need:
+        if len(self._recovery_replies) >= self._required_replies(is_reduced):
             self.mode = VoterMode.VOTING
 
+    def _required_replies(self, is_reduced: bool) -> int:
+        if self.has_never_voted:
+            return len(self.others)
+        return self.quorum - 1 if is_reduced else self.recovery_quorum
+
     def on_recovery_promise(self, voter: str, promise: Promise) -> ChosenState | bool | None:
-        """Return a promise for this voter's own mending round.
+        """Count a promise for this voter's own recovery round.
 
-        Once a majority of the others has promised, what they have accepted last (None: nothing);
-        False until then. Whoever gets it sees to its contents and calls `mend`.
+        Returns:
+            False until a majority of the others has promised. Then the latest state that they have
+            accepted, None for nothing; the caller fetches its contents and calls `recover`.
         """
         if self.mode is not VoterMode.RECOVERING or voter not in self.others or not promise.ok:
             return False
-        if any(one.ballot != promise.ballot for one in self._recovery_promises.values()):
+        if any(other.ballot != promise.ballot for other in self._recovery_promises.values()):
             self._recovery_promises.clear()
         self._recovery_promises[voter] = promise
         if len(self._recovery_promises) < self.quorum:
             return False
-        found = [
-            one.accepted for one in self._recovery_promises.values() if one.accepted is not None
-        ]
-        return max(found, key=lambda one: one.ballot, default=None)
+        return _latest(promise.accepted for promise in self._recovery_promises.values())
 
-    def recover(self, ballot: Ballot, accepted: ChosenState | None, known: int) -> None:
-        """Go on from what the others had accepted when they promised `ballot`.
+    def recover(self, ballot: Ballot, accepted: ChosenState | None, known_stamp: int) -> None:
+        """Vote again, from what the others had accepted when they promised `ballot`.
 
-        `known` is the latest stamp of this voter that anybody has seen.
+        `known_stamp` is the latest stamp of this voter that anybody knows.
         """
         forgotten = Ballot(ballot.n, ANY_PROPOSER, 0)
-        self.vote = Vote(ballot, accepted, max(known, self.vote.stamp) + 1, (forgotten,))
+        self.vote = Vote(ballot, accepted, max(known_stamp, self.vote.stamp) + 1, (forgotten,))
         self.mode = VoterMode.VOTING
         self._recovery_promises.clear()
 
 
+def _latest(accepted: Iterable[ChosenState | None]) -> ChosenState | None:
+    """Return the state with the highest ballot, or None where there is none."""
+    states = [state for state in accepted if state is not None]
+    return max(states, key=lambda state: state.ballot, default=None)
+
+
 class Phase(Enum):
-    """How far a round has come."""
+    """The phase of a round."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
     CHOSEN = "decided"
-    EMPTY = "empty"  # there is nothing yet, and the change makes nothing
+    EMPTY = "empty"  # the register is empty, and the change writes nothing
     PREEMPTED = "beaten"  # a voter has promised a higher ballot
 
 
 class Round:
-    """One try to change the register under one ballot."""
+    """One attempt to change the register, under one ballot."""
 
     def __init__(
         self, ballot: Ballot, voters: Collection[str], change: StateChange, write: bool = False
     ) -> None:
-        """`write`: also what is decided already is written again, under this ballot.
+        """Begin a round of these voters.
 
-        What was under way under a lower one can't come to anything after that.
+        With `write`, a state that is chosen already is written again under this ballot; then
+        nothing that was in progress under a lower ballot can be chosen any more.
         """
         self.ballot = ballot
         self.voters = tuple(voters)
@@ -213,26 +228,28 @@
         self.phase = Phase.PREPARE
         self.transition: Transition | None = None
         self.chosen: ChosenState | None = None
-        self.preempted_by = NO_BALLOT  # what beat it
+        self.preempted_by = NO_BALLOT  # the higher ballot that a voter has promised
         self._promises: dict[str, Promise] = {}  # in the order in which they came
-        self._accepted: dict[str, set[str]] = {}  # by voter: of whose promises it knows
+        self._accepted: dict[str, set[str]] = {}  # by voter: the voters whose promises it knows
 
     def unanswered(self) -> list[tuple[str, Message]]:
-        """Return what to say, and again where no answer has come."""
+        """Return the messages to send, or to send again, to voters that have not answered."""
         if self.phase not in (Phase.PREPARE, Phase.ACCEPT):
             return []
         prepare = Prepare(self.ballot)
-        said: list[tuple[str, Message]] = [
-            (v, prepare) for v in self.voters if v not in self._promises
+        messages: list[tuple[str, Message]] = [
+            (voter, prepare) for voter in self.voters if voter not in self._promises
         ]
         if self.phase is Phase.ACCEPT and self.transition is not None:
             stamps = {voter: promise.stamp for voter, promise in self._promises.items()}
             accept = Accept(self.ballot, self.transition.state, stamps)
-            said += [(v, accept) for v in stamps if self._accepted.get(v) != stamps.keys()]
-        return said
+            messages += [
+                (voter, accept) for voter in stamps if self._accepted.get(voter) != stamps.keys()
+            ]
+        return messages
 
     def on_promise(self, voter: str, promise: Promise) -> None:
-        """A voter's answer to `Prepare`; one that comes late may still accept."""
+        """Count a voter's answer to `Prepare`; a late one may still accept."""
         if self.phase not in (Phase.PREPARE, Phase.ACCEPT) or promise.ballot != self.ballot:
             return
         if not promise.ok:
@@ -244,23 +261,27 @@
             self._choose()
 
     def _choose(self) -> None:
-        said = [one.accepted for one in self._promises.values()]
-        found = [one for one in said if one is not None]
-        last = max(found, key=lambda one: one.ballot, default=None)
-        step = self.change(None if last is None else last.state)
-        if step is None:
+        """Apply the change to the latest state that the promises report."""
+        accepted = [promise.accepted for promise in self._promises.values()]
+        latest = _latest(accepted)
+        transition = self.change(None if latest is None else latest.state)
+        if transition is None:
             self.phase = Phase.EMPTY
             return
-        self.transition = step
+        self.transition = transition
         self.phase = Phase.ACCEPT
-        # A majority that has accepted one ballot has decided it: there is nothing to write again.
-        known = last is not None and step.state == last.state and said.count(last) >= self.quorum
-        if known and not self.write:
-            self.chosen = last
+        # A state that a majority has accepted under one ballot is chosen: nothing is left to write.
+        is_chosen = (
+            latest is not None
+            and transition.state == latest.state
+            and accepted.count(latest) >= self.quorum
+        )
+        if is_chosen and not self.write:
+            self.chosen = latest
             self.phase = Phase.CHOSEN
 
     def on_accepted(self, voter: str, answer: Accepted) -> None:
-        """A voter's answer to `Accept`."""
+        """Count a voter's answer to `Accept`."""
         if (
             self.phase is not Phase.ACCEPT
             or answer.ballot != self.ballot
@@ -277,14 +298,14 @@
             self.chosen = ChosenState(self.ballot, self.transition.state)
 
     def _is_chosen(self) -> bool:
-        """Return whether a majority has accepted, each of it knowing of all the others' promises.
+        """Return whether a majority has accepted, each knowing of all the others' promises.
 
-        What voters know of grows as promises come, so only beginnings of their order matter.
+        A voter knows of ever more promises, in their order, so only its prefixes matter.
         """
         order = list(self._promises)
         for count in range(self.quorum, len(order) + 1):
-            first = set(order[:count])
-            knowing = [v for v in first if first <= self._accepted.get(v, set())]
-            if len(knowing) >= self.quorum:
+            promised = set(order[:count])
+            informed = [voter for voter in promised if promised <= self._accepted.get(voter, set())]
+            if len(informed) >= self.quorum:
                 return True
         return False
--- a/sailhitch/tier/voter.py
+++ b/sailhitch/tier/voter.py
@@ -1,4 +1,4 @@
-"""A voter's part of a member: its vote on disk before it is said, its leases, its coming back."""
+"""A voter's part of a member: it persists votes before answers, grants leases, and recovers."""
 
 from __future__ import annotations
 
@@ -27,54 +27,56 @@
 )
 from .register import VOTE_KEY, Acceptor, Vote, VoterMode
 
-STAMPS_KEY: Final = "stamps"  # the name under which others' stamps are kept
-# Us until a voter that was restarted votes with fewer answers.
+STAMPS_KEY: Final = "stamps"  # the key of the stamps on disk
+# us until a restarted voter votes after fewer replies
 REDUCED_QUORUM_AFTER: Final = 10_000_000
-RESEND_INTERVAL: Final = 300_000  # us until a question of a voter that comes back is said again
+RESEND_INTERVAL: Final = 300_000  # us until a recovering voter sends its requests again
 
 
-def content_digests(head: RegisterState) -> tuple[str, ...]:
-    """Return what must be here before a head can be accepted or acted on."""
-    versions = (head.active, head.pending, head.traffic_policy)
+def content_digests(state: RegisterState) -> tuple[str, ...]:
+    """Return the contents that a member needs before it accepts or applies a state."""
+    versions = (state.active, state.pending, state.traffic_policy)
     return (
         *(version.digest for version in versions if version is not None),
-        head.configuration_digest,
+        state.configuration_digest,
     )
 
 
 class Voter:
     """Answers as a voter. What changes its vote goes to `out` as a `Keep` before the answer does.
 
-    A head is accepted only where its contents are on this disk: what is decided can be read from a
-    majority of the voters, whoever proposed it.
+    A state is accepted only once its contents are on this disk: so the contents of a chosen state
+    can be read from a majority of the voters, whoever proposed it.
     """
 
     def __init__(
         self,
         name: str,
         voters: Collection[str],
-        kept: bytes | None,
+        persisted_vote: bytes | None,
         contents: ContentStore,
         stamps: dict[str, int],
         grants: GrantTable | None,
-        ballot: Callable[[], Ballot],
+        next_ballot: Callable[[], Ballot],
         nonce: int,
-        out: list[Effect],
+        effects: list[Effect],
     ) -> None:
-        vote = None if kept is None else msgspec.msgpack.decode(kept, type=Vote)
+        vote = None
+        if persisted_vote is not None:
+            vote = msgspec.msgpack.decode(persisted_vote, type=Vote)
         self.acceptor = Acceptor(name, voters, vote)
         self.name = name
         self.contents = contents
         self.stamps = stamps
         self.grants = grants
-        self.ballot = ballot
+        self._next_ballot = next_ballot
         self.nonce = nonce
-        self.effects = out
+        self.effects = effects
         self.others = self.acceptor.others
         self._sent_at = 0
-        self._since: int | None = None
+        self._started_at: int | None = None
         self._recovery_ballot: Ballot | None = None
-        # What a mending voter goes on from, once it is here.
+        # The state that a recovering voter resumes from, once its contents are here.
         self._recovered_state: ChosenState | None = None
         self._is_recovered_state_known = False
         self._logged_mode = VoterMode.CHECKING_DISK
@@ -82,6 +84,7 @@
 
     @property
     def is_voting(self) -> bool:
+        """Return whether it votes: its disk is neither unchecked nor being recovered."""
         return self.acceptor.mode is VoterMode.VOTING
 
     def _persist_vote(self) -> None:
@@ -96,91 +99,100 @@
         self.stamps[self.name] = max(stamp, self.stamps.get(self.name, 0))
 
     def accepted_state(self) -> ChosenState | None:
-        """Return the head that it accepted and must go on holding; its contents may not go."""
+        """Return the state that it accepted, whose contents it has to retain."""
         return self.acceptor.vote.accepted
 
     # --- Votes
 
     def read_reply(self, reader: str, number: int) -> ReadReply | UnfinishedRound | None:
-        """Return the answer to a reading. None: this voter does not vote."""
+        """Return the reply to a read; None where this voter does not vote."""
         if not self.is_voting:
             return None
-        answer = UnfinishedRound if self.acceptor.has_unfinished(reader) else ReadReply
-        return answer(number, self.accepted_state())
+        if self.acceptor.has_unfinished(reader):
+            return UnfinishedRound(number, self.accepted_state())
+        return ReadReply(number, self.accepted_state())
 
     def prepare(self, message: Prepare) -> Promise | None:
-        """None: this voter does not vote."""
+        """Return the promise or the rejection of a ballot; None where this voter does not vote."""
         if not self.is_voting:
             return None
-        answer, news = self.acceptor.prepare(message.ballot)
-        if news:
+        answer, is_changed = self.acceptor.prepare(message.ballot)
+        if is_changed:
             self._persist_vote()
         return answer
 
     def accept(self, message: Accept) -> Accepted | None:
-        """None: this voter does not vote, or does not have the contents yet."""
+        """Return the answer to an `Accept`.
+
+        None where this voter does not vote, or does not have the contents yet.
+        """
         if self.observe_stamp(message.stamps.get(self.name, 0)) or not self.is_voting:
             return None
         if not self.contents.has(*content_digests(message.state)):
             return None
-        older = any(stamp > self.stamps.get(v, 0) for v, stamp in message.stamps.items())
-        for voter, stamp in message.stamps.items():
-            self.stamps[voter] = max(stamp, self.stamps.get(voter, 0))
-        answer, news = self.acceptor.accept(message)
-        news = news or older
-        if news:
+        has_new_stamps = self._merge_stamps(message.stamps)
+        answer, is_changed = self.acceptor.accept(message)
+        if is_changed or has_new_stamps:
             self._persist_vote()
         return answer
 
-    def learn(self, decided: ChosenState) -> None:
-        """A head that was decided, whose contents are here."""
-        if self.is_voting and self.acceptor.learn(decided):
+    def _merge_stamps(self, stamps: dict[str, int]) -> bool:
+        """Keep the latest stamp of each voter, and return whether any of these is new."""
+        has_new = False
+        for voter, stamp in stamps.items():
+            known = self.stamps.get(voter, 0)
+            has_new = has_new or stamp > known
+            self.stamps[voter] = max(stamp, known)
+        return has_new
+
+    def learn(self, chosen: ChosenState) -> None:
+        """Accept a chosen state whose contents are here."""
+        if self.is_voting and self.acceptor.learn(chosen):
             self._persist_vote()
 
     # --- Leases
 
-    def grant(self, name: str, poll: LeaseRequest, floor: int, now: int) -> bool:
-        """Return whether a member may go on: it has confirmed all that could contradict."""
-        ok = self.is_voting and poll.confirmed_revision >= floor
+    def grant(self, name: str, request: LeaseRequest, required_revision: int, now: int) -> bool:
+        """Grant a lease to a member that has confirmed the required revision, and say so."""
+        ok = self.is_voting and request.confirmed_revision >= required_revision
         if ok and self.grants is not None:
             self.grants.record(name, now)
         return ok
 
-    # --- Coming back
+    # --- Recovery
 
     def on_tick(self, now: int) -> list[tuple[str, Message]]:
-        """Return what a voter that has started asks the others."""
+        """Return the messages to the other voters of one that checks its disk or recovers."""
         self._log_mode()
-        if self._since is None:
-            self._since = now
+        if self._started_at is None:
+            self._started_at = now
         if self.is_voting or now - self._sent_at < RESEND_INTERVAL:
             return []
         self._sent_at = now
         if self.acceptor.mode is VoterMode.CHECKING_DISK:
-            return [(v, VoteRecoveryRequest(self.nonce)) for v in self.others]
+            return [(voter, VoteRecoveryRequest(self.nonce)) for voter in self.others]
         if self._is_recovered_state_known:
             self.complete_recovery()
             return []
         if self._recovery_ballot is None:
-            self._recovery_ballot = self.ballot()
-        return [(v, Prepare(self._recovery_ballot)) for v in self.others]
+            self._recovery_ballot = self._next_ballot()
+        return [(voter, Prepare(self._recovery_ballot)) for voter in self.others]
 
-    def recover_vote(self, hello: VoteRecoveryRequest) -> VoteRecoveryReply:
-        """Return the answer to a voter that has started."""
-        return VoteRecoveryReply(hello.nonce, dict(self.stamps))
+    def recover_vote(self, request: VoteRecoveryRequest) -> VoteRecoveryReply:
+        """Return the reply to a voter that has started."""
+        return VoteRecoveryReply(request.nonce, dict(self.stamps))
 
-    def on_recovery_reply(self, voter: str, answer: VoteRecoveryReply, now: int) -> None:
-        """Another voter says what it knows of this one's votes."""
-        if answer.nonce != self.nonce:
+    def on_recovery_reply(self, voter: str, reply: VoteRecoveryReply, now: int) -> None:
+        """Process what another voter knows of this one's votes."""
+        if reply.nonce != self.nonce:
             return
-        lone = self._since is not None and now - self._since >= REDUCED_QUORUM_AFTER
-        self.acceptor.on_recovery_reply(voter, answer, lone)
-        for name, stamp in answer.stamps.items():
-            self.stamps[name] = max(stamp, self.stamps.get(name, 0))
+        is_reduced = self._started_at is not None and now - self._started_at >= REDUCED_QUORUM_AFTER
+        self.acceptor.on_recovery_reply(voter, reply, is_reduced)
+        self._merge_stamps(reply.stamps)
         self._log_mode()
 
     def observe_stamp(self, stamp: int) -> bool:
-        """Somebody knows this stamp of this voter; whether that shows that it has lost votes."""
+        """Compare a stamp that another knows of this voter; return whether votes were lost."""
         lost = self.acceptor.observe_stamp(stamp)
         if lost:
             self.stamps[self.name] = max(stamp, self.stamps.get(self.name, 0))
@@ -192,7 +204,7 @@
     def on_recovery_promise(
         self, voter: str, promise: Promise, fetch: Callable[[RegisterState, str], None]
     ) -> None:
-        """A promise for this voter's own mending; `fetch` has contents fetched from a voter."""
+        """Process a promise for this voter's own recovery; `fetch` fetches a state's contents."""
         if (
             self._recovery_ballot is None
             or promise.ballot != self._recovery_ballot
@@ -200,19 +212,19 @@
         ):
             return
         if not promise.ok:
-            self._recovery_ballot = None  # the next one is above what beat it
+            self._recovery_ballot = None  # the next one is above the ballot that was promised
             return
-        found = self.acceptor.on_recovery_promise(voter, promise)
-        if isinstance(found, bool):
+        recovered = self.acceptor.on_recovery_promise(voter, promise)
+        if isinstance(recovered, bool):
             return
-        self._recovered_state = found
+        self._recovered_state = recovered
         self._is_recovered_state_known = True
-        if found is not None:
-            fetch(found.state, voter)
+        if recovered is not None:
+            fetch(recovered.state, voter)
         self.complete_recovery()
 
     def complete_recovery(self) -> None:
-        """Vote again, where all that a mending voter goes on from is here."""
+        """Vote again, once the recovered state is known and its contents are here."""
         if not self._is_recovered_state_known or self._recovery_ballot is None or self.is_voting:
             return
         if self._recovered_state is not None and not self.contents.has(
