--- a/sailhitch/tier/activation.py
+++ b/sailhitch/tier/activation.py
@@ -19,7 +19,7 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._ready_at: int | None = None
-        self.under_way = False
+        self.in_progress = False
 
     def restart(self) -> None:
         """Restart the delay: activation is not allowed yet, or the state has changed."""
--- a/sailhitch/tier/join.py
+++ b/sailhitch/tier/join.py
@@ -13,7 +13,7 @@
 from .register_view import RegisterView
 from .transitions import change_configuration
 
-RETRY: Final = 1_000_000  # us between two attempts to join
+RETRY_INTERVAL: Final = 1_000_000  # us between two attempts to join
 
 
 class JoinSchedule:
@@ -30,7 +30,7 @@
     def begin(self, now: int) -> None:
         """Record that an attempt begins."""
         self._in_progress = True
-        self._next_at = now + RETRY
+        self._next_at = now + RETRY_INTERVAL
 
     def end(self) -> None:
         """Record that the attempt has ended, whatever its result."""
--- a/sailhitch/tier/parts.py
+++ b/sailhitch/tier/parts.py
@@ -56,26 +56,12 @@
     outbox = Outbox(config.name, gossip, prober, rng)
     membership = MembershipTable(config.name, _last_incarnation(persisted) + 1, boot)
     exchange = ContentExchange(persisted, outbox, rng, now)
-    stamps = msgspec.msgpack.decode(persisted.get(STAMPS_KEY, b"\x80"), type=dict[str, int])
-    persisted_stamps = dict(stamps)  # before the voter adds its own
+    persisted_stamps = _persisted_stamps(persisted)
+    stamps = dict(persisted_stamps)  # the voter adds its own
     proposer = Proposer(config.name, boot, config.voters, rng)
     lease = None
     if config.lease is not None:
         lease = Lease(config.lease, majority(len(config.voters)))
-    voter = None
-    if config.name in config.voters:
-        voter = Voter(
-            config.name,
-            config.voters,
-            persisted.get(VOTE_KEY),
-            exchange.store,
-            stamps,
-            None if config.lease is None else GrantTable(config.lease, now),
-            proposer.next_ballot,
-            boot,
-            outbox.effects,
-        )
-        proposer.observe_ballot(voter.acceptor.vote.promised)
     return MemberParts(
         config=config,
         boot=boot,
@@ -90,11 +76,44 @@
         persisted_stamps=persisted_stamps,
         proposer=proposer,
         lease=lease,
-        voter=voter,
+        voter=_build_voter(config, boot, persisted, now, exchange, stamps, proposer, outbox),
         confirmations=Confirmations(membership, len(config.voters)),
     )
 
 
+def _build_voter(
+    config: TierConfig,
+    boot: int,
+    persisted: Mapping[str, bytes],
+    now: int,
+    exchange: ContentExchange,
+    stamps: dict[str, int],
+    proposer: Proposer,
+    outbox: Outbox,
+) -> Voter | None:
+    """Return the voter of a member that is one; it adds its own stamp to `stamps`."""
+    if config.name not in config.voters:
+        return None
+    voter = Voter(
+        config.name,
+        config.voters,
+        persisted.get(VOTE_KEY),
+        exchange.store,
+        stamps,
+        None if config.lease is None else GrantTable(config.lease, now),
+        proposer.next_ballot,
+        boot,
+        outbox.effects,
+    )
+    proposer.observe_ballot(voter.acceptor.vote.promised)
+    return voter
+
+
 def _last_incarnation(persisted: Mapping[str, bytes]) -> int:
     encoded = persisted.get(INCARNATION_KEY)
     return 0 if encoded is None else msgspec.msgpack.decode(encoded, type=int)
+
+
+def _persisted_stamps(persisted: Mapping[str, bytes]) -> dict[str, int]:
+    encoded = persisted.get(STAMPS_KEY)
+    return {} if encoded is None else msgspec.msgpack.decode(encoded, type=dict[str, int])
--- a/sailhitch/tier/pending_change.py
+++ b/sailhitch/tier/pending_change.py
@@ -55,18 +55,18 @@
         """Propose to activate a pending version that waits for nobody any more."""
         register = self._register
         chosen = register.chosen
-        if chosen is None or chosen.state.pending is None or self._activation.under_way:
+        if chosen is None or chosen.state.pending is None or self._activation.in_progress:
             return
         if not register.has_read_register or not register.is_caught_up() or self.waiting_for():
             self._activation.restart()
             return
         pending = chosen.state.pending
         if self._activation.is_due(now, pending.proposer == self._name):
-            self._activation.under_way = True
+            self._activation.in_progress = True
             self._proposer.add(Job(activate(pending.serial), self._on_activated))
 
     def _on_activated(self, chosen: ChosenState | None, result: ProposalResult) -> None:
-        self._activation.under_way = False
+        self._activation.in_progress = False
         self._register.adopt_from_voters(chosen, result)
 
     def recover_round(self, now: int) -> None:
--- a/sailhitch/tier/proposer.py
+++ b/sailhitch/tier/proposer.py
@@ -120,8 +120,8 @@
         self.rng = rng
         self.jobs: deque[Job] = deque()
         self.round: Round | None = None
-        self.reading: QuorumRead | None = None
-        self.defeats = 0
+        self.quorum_read: QuorumRead | None = None
+        self.failed_attempts = 0
         self._highest_number = 0
         self._read_number = 0
         self._started_at = 0
@@ -146,9 +146,9 @@
         if not self.jobs or now < self._backoff_until:
             return []
         timed_out = now - self._started_at >= ROUND_TIMEOUT
-        if self.round is None and self.reading is None:
+        if self.round is None and self.quorum_read is None:
             self._begin(now)
-        elif timed_out or (self.reading is not None and self.reading.is_inconclusive()):
+        elif timed_out or (self.quorum_read is not None and self.quorum_read.is_inconclusive()):
             self._back_off(now)
             return []
         elif now - self._sent_at < RESEND_INTERVAL:
@@ -161,31 +161,31 @@
         if job.change is None and job.reads < MAX_READS:
             job.reads += 1
             self._read_number += 1
-            self.reading = QuorumRead(self._read_number, self.voters, job.final)
+            self.quorum_read = QuorumRead(self._read_number, self.voters, job.final)
         else:
             self.round = Round(self.next_ballot(), self.voters, job.change or read, job.final)
 
     def _back_off(self, now: int) -> None:
         """Abandon the attempt, and retry after a backoff that grows with the failures in a row."""
-        if self.reading is not None and self.reading.has_unfinished():
+        if self.quorum_read is not None and self.quorum_read.has_unfinished():
             self.jobs[0].reads = MAX_READS  # only a round of this incarnation supersedes that one
         self.round = None
-        self.reading = None
-        self.defeats += 1
-        upper_bound = BACKOFF_STEP << min(self.defeats, MAX_DOUBLINGS)
+        self.quorum_read = None
+        self.failed_attempts += 1
+        upper_bound = BACKOFF_STEP << min(self.failed_attempts, MAX_DOUBLINGS)
         self._backoff_until = now + self.rng.randrange(BACKOFF_STEP // 5, upper_bound)
 
     def _send_unanswered(self, now: int) -> list[tuple[str, Message]]:
         self._sent_at = now
-        attempt = self.round or self.reading
+        attempt = self.round or self.quorum_read
         return [] if attempt is None else attempt.unanswered()
 
     def on_read_reply(self, voter: str, reply: ReadReply | UnfinishedRound) -> None:
         """Process a voter's answer to `ReadRequest`."""
-        if self.reading is not None:
-            self.reading.on_reply(voter, reply)
-            chosen = self.reading.chosen()
-            if chosen is not None or self.reading.is_empty():
+        if self.quorum_read is not None:
+            self.quorum_read.on_reply(voter, reply)
+            chosen = self.quorum_read.chosen()
+            if chosen is not None or self.quorum_read.is_empty():
                 self._complete_job(chosen, ProposalResult.NO_CHANGE)
 
     def on_promise(self, voter: str, promise: Promise, now: int) -> list[tuple[str, Message]]:
@@ -222,6 +222,6 @@
 
     def _complete_job(self, chosen: ChosenState | None, result: ProposalResult) -> None:
         self.round = None
-        self.reading = None
-        self.defeats = 0
+        self.quorum_read = None
+        self.failed_attempts = 0
         self.jobs.popleft().on_completed(chosen, result)
--- a/tests/test_tier_cases.py
+++ b/tests/test_tier_cases.py
@@ -76,7 +76,7 @@
     assert settled(world).active.serial == 2
 
 
-def test_members_that_hear_only_stale_ones_hold_a_change_back() -> None:
+def test_members_that_hear_only_each_other_delay_a_change() -> None:
     """Cut g4 and g5 off together: both apply the active version, and the change waits for them.
 
     With a lease theirs have expired when the change goes on without them.
@@ -115,7 +115,7 @@
     assert settled(world).active.serial == 2
 
 
-def test_what_is_taken_back_at_once_is_taken_back_everywhere() -> None:
+def test_a_change_reverted_at_once_is_reverted_everywhere() -> None:
     world = stood()
     world.processes["g4"].propose(1, 0)
     world.processes["g4"].propose(1, 0)  # from the same base: one of the two is rejected
@@ -141,7 +141,7 @@
     assert settled(world).active.serial == 3  # serials are not assigned twice
 
 
-def test_what_one_member_cannot_read_does_not_become_active() -> None:
+def test_a_version_that_one_member_cannot_apply_is_not_activated() -> None:
     world = stood()
     old = world.processes["g5"]
     real = old.happen
@@ -169,7 +169,7 @@
     assert settled(world).active.serial == 1
 
 
-def test_two_members_under_one_name_both_stand_back() -> None:
+def test_two_members_with_one_name_detect_it_and_neither_acts() -> None:
     """Each hears of the other's incarnations, and raises its own again and again."""
     first = MembershipTable("g1", 1, 11)
     second = MembershipTable("g1", 1, 22)
@@ -200,7 +200,7 @@
         world.processes[name].start()
 
 
-def test_a_register_that_has_gone_back_is_told_and_not_gone_by() -> None:
+def test_a_member_does_not_act_by_a_register_that_regressed() -> None:
     """Lose all voters' disks, which is more than is promised: a member that knows does not act."""
     world = stood()
     world.processes["g4"].propose(1, 0)
@@ -243,7 +243,7 @@
     assert size / members / 10 < 2 * 1000 * (S / world.beat)  # two datagrams of 1,000 a tick
 
 
-def test_a_change_of_the_roster_while_one_is_pending() -> None:
+def test_a_configuration_change_while_a_version_is_pending() -> None:
     events = (
         Event(4 * S, "kill", (4,), 9 * S),
         Event(int(4.5 * S), "propose", (0,), 0, 1.0),
@@ -254,7 +254,7 @@
     assert world.checker.latest.active.serial == 2
 
 
-def test_what_was_under_way_to_a_lost_disk_is_not_on_the_one_in_its_place() -> None:
+def test_a_write_in_progress_to_a_lost_disk_is_not_on_its_replacement() -> None:
     for seed in range(8):  # a sync that a kill interrupts completes in half of the cases
         world = stood(seed=seed)
         process = world.processes["g1"]
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -66,7 +66,7 @@
     return Wire(keys, "g1", 11), Wire(other or keys, "g2", 22)
 
 
-def test_what_is_sealed_is_opened_once_by_whom_it_is_for() -> None:
+def test_a_sealed_datagram_is_opened_once_by_its_addressee() -> None:
     sender, receiver = _pair()
     data = sender.seal("g2", VoteRecoveryRequest(7))
     envelope = receiver.open(data)
@@ -77,7 +77,7 @@
     assert receiver.refused == {"replay": 1}
 
 
-def test_replays_are_refused_in_the_largest_tier() -> None:
+def test_replays_are_rejected_in_the_largest_tier() -> None:
     keys = Keys(1, {1: OLD})
     receiver = Wire(keys, "receiver", 1)
     sent = [Wire(keys, f"g{i}", i).seal("receiver", Ping(i, 0)) for i in range(MOST_MEMBERS)]
@@ -135,7 +135,9 @@
         ("\n".join(f"{i} " + "a" * 32 for i in range(3)), "3 keys"),
     ],
 )
-def test_a_wrong_key_file_is_told_by_its_line(tmp_path: Path, text: str, expected: str) -> None:
+def test_an_invalid_key_file_is_reported_with_its_line(
+    tmp_path: Path, text: str, expected: str
+) -> None:
     path = tmp_path / "keys"
     path.write_text(text)
     with pytest.raises(KeyFileError, match=expected):
@@ -268,7 +270,9 @@
 
 
 @given(st.binary(max_size=40 * BLOCK_SIZE), st.integers(0, 1 << 30))
-def test_a_content_is_fetched_whole_through_loss_and_doubling(content: bytes, seed: int) -> None:
+def test_a_content_is_fetched_completely_despite_loss_and_duplicates(
+    content: bytes, seed: int
+) -> None:
     source, sink, rng = ContentStore({}), ContentStore({}), random.Random(seed)
     digest, kept = source.add(content)
     sink.want(digest, "a")
@@ -289,7 +293,7 @@
     assert sink.read(digest) == content
 
 
-def test_a_content_that_is_not_what_it_should_be_is_not_taken() -> None:
+def test_a_content_with_another_digest_is_rejected() -> None:
     source, sink = ContentStore({}), ContentStore({})
     digest, _ = source.add(b"x" * 10)
     other = ContentStore({})
@@ -333,7 +337,7 @@
     st.integers(0, 5 * S),
     st.integers(0, 5 * S),
 )
-def test_a_lease_is_over_before_its_voters_say_so(
+def test_a_lease_expires_before_its_voters_report_it(
     rate: float, other: float, seconds: int, out: int, back: int
 ) -> None:
     length = seconds * S
@@ -347,7 +351,7 @@
     assert back >= 0
 
 
-def test_a_lease_wants_a_majority_and_counts_from_the_question() -> None:
+def test_a_lease_needs_a_majority_and_counts_from_the_request() -> None:
     lease = Lease(10 * S, 2)
     first = lease.request(1 * S)
     lease.on_grant("v1", first)
@@ -367,7 +371,7 @@
 # --- The disk
 
 
-def test_a_disk_gives_back_what_was_written_and_finds_what_was_not(tmp_path: Path) -> None:
+def test_a_disk_returns_what_was_written_and_detects_damage(tmp_path: Path) -> None:
     disk = Disk(tmp_path)
     disk.write({"a": b"1", "b": b"2"})
     disk.write({"a": None, "c": b"3"})
@@ -413,7 +417,7 @@
         ({"lead": "g1"}, "tier.lead: unknown key"),
     ],
 )
-def test_a_wrong_tier_is_told_by_its_field(change: dict[str, Any], expected: str) -> None:
+def test_an_invalid_tier_is_reported_by_its_field(change: dict[str, Any], expected: str) -> None:
     value = file_value([], 8080, {"state_dir": "s"}, routes=[], tier={**TIER, **change})
     with pytest.raises(FileError) as caught:
         parse_value(value)
@@ -435,7 +439,9 @@
         ("name = ", "Invalid value"),
     ],
 )
-def test_a_wrong_scenario_is_told_by_its_field(tmp_path: Path, text: str, expected: str) -> None:
+def test_an_invalid_scenario_is_reported_by_its_field(
+    tmp_path: Path, text: str, expected: str
+) -> None:
     path = tmp_path / "s.toml"
     path.write_text(text)
     with pytest.raises(ScenarioError, match=expected):
@@ -445,7 +451,7 @@
 # --- Exhaustive exploration of small tiers
 
 
-def test_every_order_of_two_changes_at_three_voters_keeps_one_line() -> None:
+def test_every_order_of_two_changes_at_three_voters_keeps_one_sequence() -> None:
     result = Explorer().explore()
     assert result.whole
     assert result.states > 100_000
@@ -467,7 +473,9 @@
 
 
 @pytest.mark.parametrize(("explorer", "crashes"), [(_Older, 0), (_NotSynced, 1)])
-def test_the_search_finds_what_breaks_the_line(explorer: type[Explorer], crashes: int) -> None:
+def test_the_explorer_finds_what_breaks_the_sequence(
+    explorer: type[Explorer], crashes: int
+) -> None:
     with pytest.raises(BrokenLineError):
         explorer().explore(crashes=crashes)
 
@@ -494,9 +502,7 @@
 
 
 @pytest.mark.parametrize(("write", "revision"), [(True, 1), (False, 2)])
-def test_after_a_reading_that_writes_nothing_older_comes_to_anything(
-    write: bool, revision: int
-) -> None:
+def test_after_a_read_that_writes_nothing_older_is_chosen(write: bool, revision: int) -> None:
     names = "abcde"
     voters = {name: Acceptor(name, names, None) for name in names}
     for voter in voters.values():
@@ -530,7 +536,7 @@
     st.sets(st.integers(0, 40)),
     st.lists(st.tuples(st.integers(0, 2), st.integers(1, 2), st.sets(st.integers(0, 40)))),
 )
-def test_a_lease_has_lapsed_where_a_majority_of_voters_reports_so_of_that_turn(
+def test_a_lease_has_expired_if_a_majority_of_voters_report_it_at_that_revision(
     inside: set[int], out: set[int], reports: list[tuple[int, int, set[int]]]
 ) -> None:
     configuration = Configuration(
@@ -551,14 +557,14 @@
             assert expiry_reports.is_expired(index.positions[name], revision) == (reporting >= 2)
 
 
-def test_a_report_of_a_shorter_roster_says_nothing_of_those_beyond_it() -> None:
+def test_a_report_of_a_shorter_configuration_covers_no_position_beyond_it() -> None:
     expiry_reports = LeaseExpiryReports(1)
     expiry_reports.record("v", (1, b"\xff"))
     assert expiry_reports.is_expired(7, 1)
     assert not expiry_reports.is_expired(8, 1)
 
 
-def test_the_names_of_a_roster_are_put_in_order_once_whoever_is_waited_for(
+def test_the_names_of_a_configuration_are_sorted_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = World(1, 5, 3, 3 * S)
--- a/tests/test_tier_recovery.py
+++ b/tests/test_tier_recovery.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("disk", ["as it was", "empty"])
-def test_a_leave_that_reaches_voters_late_is_not_decided_after_the_return(disk: str) -> None:
+def test_a_leave_that_reaches_voters_late_is_not_chosen_after_the_return(disk: str) -> None:
     """Let g4 leave with only g1 receiving its Accept soon; restart it, and cut it off.
 
     With an empty disk g4 knows nothing of having left: voters tell it. If it acted by what most
@@ -111,7 +111,7 @@
     world.check_end()
 
 
-def test_a_voter_tells_of_rounds_that_it_promised_and_accepted_nothing_after() -> None:
+def test_a_voter_reports_rounds_that_it_promised_and_has_not_finished() -> None:
     version = Version(1, 0, "a", "g1", "", 0, "c")
     state = RegisterState(1, 1, 1, version, None, "r")
     first, second, third = Ballot(1, "g1", 0), Ballot(2, "g1", 0), Ballot(3, "g2", 0)
@@ -135,12 +135,12 @@
     assert unfinished() == ["g1", "g2", "g3"]
 
 
-def test_a_vote_that_an_earlier_version_kept_is_read() -> None:
+def test_a_vote_persisted_by_an_earlier_version_is_decoded() -> None:
     earlier = msgspec.msgpack.encode([Ballot(1, "g1", 0), None, 3])
     assert msgspec.msgpack.decode(earlier, type=Vote).unfinished == ()
 
 
-def test_a_final_reading_counts_no_voter_with_an_unfinished_round() -> None:
+def test_a_final_read_counts_no_voter_with_an_unfinished_round() -> None:
     chosen = ChosenState(
         Ballot(1, "g1", 0), RegisterState(1, 1, 1, Version(1, 0, "a", "", "", 0, ""), None, "")
     )
@@ -239,7 +239,7 @@
     return None if violation is None else f"{name} {change} seed {seed}: {violation}"
 
 
-def test_what_a_dead_proposer_had_decided_is_known_to_all_that_run() -> None:
+def test_a_state_chosen_by_a_dead_proposer_is_known_to_all_that_run() -> None:
     """Kill g1, which is a voter, or g4, which is not."""
     cases = itertools.product(("g1", "g4"), CHANGES, range(KILLED))
     with ProcessPoolExecutor(2) as pool:
@@ -256,7 +256,7 @@
     return _broken_at_rest(world)
 
 
-def test_a_tier_whose_founder_died_is_known_to_all_that_run_or_is_not_founded() -> None:
+def test_a_tier_whose_bootstrapping_member_died_is_known_to_all_or_not_bootstrapped() -> None:
     with ProcessPoolExecutor(2) as pool:
         results = list(pool.map(_founder_killed, range(KILLED), chunksize=5))
     assert [
@@ -281,7 +281,7 @@
     return (world.kernel.now - started_at) / S
 
 
-def test_a_member_that_starts_after_a_death_is_told_of_it_in_time() -> None:
+def test_a_member_that_starts_after_a_death_learns_of_it_in_time() -> None:
     """Promise 5: within 30 s.
 
     Suspicions went out with six datagrams each and never again, so one that started later had to
