--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -611,7 +611,7 @@
             Transition(now, ProposalResult.STALE) if now and now.pending else change(now)
         )
 
-    patch.setattr("sailhitch.tier.member.propose_traffic_policy", waiting)
+    patch.setattr("sailhitch.tier.operator_commands.propose_traffic_policy", waiting)
 
 
 @pytest.mark.parametrize(
