--- /dev/null
+++ b/sailhitch/core/drain.py
@@ -0,0 +1,45 @@
+"""Graceful shutdown: the time left to open requests, and closing connections between requests."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Final
+
+from ..front import Reason
+from .timer_wheel import MS
+
+if TYPE_CHECKING:
+    from .core import GatewayCore
+
+MAX_DRAIN_HOLD: Final = 1500 * MS  # connections are kept no longer than this while draining
+MAX_RESPONSE_WAIT: Final = 3000 * MS  # longest time to a response, whatever the settings allow
+RESPONSE_MARGIN: Final = 550 * MS  # after SIGTERM, on top of the longest deadline
+
+
+def last_response_after(longest_deadline: int) -> int:
+    """Return how long after SIGTERM the last response is surely out, in microseconds."""
+    return min(MAX_RESPONSE_WAIT, longest_deadline) + RESPONSE_MARGIN
+
+
+def shorten_deadlines(core: GatewayCore) -> None:
+    """Limit open requests, which may have been promised more time than this process has."""
+    drain_until = core.drain_until
+    for request in list(core.open_requests.values()):
+        if request.closed or request.is_uploading() or request.deadline <= drain_until:
+            continue
+        request.deadline = drain_until
+        for attempt in request.open_attempts:
+            attempt.expires_at = min(attempt.expires_at, drain_until)
+        core.schedule(request)
+
+
+def close_idle_clients(core: GatewayCore) -> bool:
+    """Close connections that await no response; return whether any other is left.
+
+    A connection is left whose client awaits a response, or has sent bytes that are unread.
+    """
+    remaining = bool(core.arriving) or bool(core.draining_listeners)
+    for client in list(core.clients):
+        idle = client.is_idle() and not client.is_closed()
+        if not (idle and client.close_idle(Reason.ANSWERED)):
+            remaining = remaining or idle or client.has_unanswered_request()
+    return remaining
--- a/sailhitch/core/interfaces.py
+++ b/sailhitch/core/interfaces.py
@@ -89,6 +89,13 @@
         """
 
 
+class PassOnConnection(Protocol):
+    """Passes a connection that has become idle to this process's successor."""
+
+    def __call__(self, connection: Connection, /) -> bool:
+        """Return whether the connection was passed on."""
+
+
 class RequestSink(Protocol):
     """What carries an attempt to a host."""
 
--- /dev/null
+++ b/sailhitch/core/periodic.py
@@ -0,0 +1,67 @@
+"""Periodic work of the core: admission control, sweeps of idle connections, statistics."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Final
+
+from ..front import Reason
+from .timer_wheel import MS
+
+if TYPE_CHECKING:
+    from .core import GatewayCore
+
+PERIODIC_INTERVAL: Final = 25 * MS  # between two checks of the event loop
+HOST_SWEEP_INTERVAL: Final = 1000 * MS
+# Clients have time limits of a few seconds, which must be kept to a fraction of a second.
+CLIENT_SWEEP_INTERVAL: Final = 200 * MS
+STATISTICS_INTERVAL: Final = 10_000 * MS
+
+
+class PeriodicTasks:
+    """Runs the periodic work; each task by itself, so that one that fails stops no other."""
+
+    def __init__(self, core: GatewayCore) -> None:
+        self._core = core
+        self.last_tick_at = 0  # the core detects stalls of the event loop by this
+        self.host_sweep_at = 0
+        self.client_sweep_at = 0
+        self.statistics_at = 0
+
+    def start(self, now: int) -> None:
+        """Start the periodic work."""
+        self.last_tick_at = now + PERIODIC_INTERVAL
+        self.host_sweep_at = now + HOST_SWEEP_INTERVAL
+        self.statistics_at = now + STATISTICS_INTERVAL
+        self._core.timers.push(self.last_tick_at, None)
+
+    def tick(self, now: int) -> None:
+        """Run the tasks that are due."""
+        core = self._core
+        next_at = max(now + PERIODIC_INTERVAL // 2, self.last_tick_at + PERIODIC_INTERVAL)
+        core.timers.push(next_at, None)
+        self.last_tick_at = now
+        self._run("admission", self._watch_admission, now)
+        if now >= self.host_sweep_at:
+            self.host_sweep_at = now + HOST_SWEEP_INTERVAL
+            for pool in core.pools:
+                self._run("the sweep of hosts", pool.transport.sweep, now)
+        if now >= self.client_sweep_at:
+            self.client_sweep_at = now + CLIENT_SWEEP_INTERVAL
+            for client in list(core.clients):
+                self._run("the sweep of clients", client.sweep, now)
+        if now >= self.statistics_at:
+            self.statistics_at = now + STATISTICS_INTERVAL
+            self._run("the statistics", core.log_statistics, now)
+
+    def _run(self, name: str, task: Callable[[int], None], now: int) -> None:
+        try:
+            task(now)
+        except Exception as error:
+            self._core.fault(name, error)
+
+    def _watch_admission(self, now: int) -> None:
+        core = self._core
+        admission = core.admission
+        admission.update_pressure(now, core.upstream_descriptors(), core.budget.share())
+        core.release(admission.low_value_slots(now), Reason.SEAT)
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -227,7 +227,7 @@
 def test_a_client_can_tell_an_answer_that_is_not_whole(
     form: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "FLOW_STALL", 300_000)
+    monkeypatch.setattr(upstream_connection, "MAX_FLOW_STALL", 300_000)
     monkeypatch.setattr(upstream_connection, "LONGEST", 2 * MB)
 
     async def broken(message: bytes, writer: Writer) -> None:
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -375,15 +375,15 @@
         async with Server(silent) as host, gate(("a", host.addr)) as it:
             core = it.core
             client = await it.client()
-            core._stats_at = 0
+            core.periodic.statistics_at = 0
             if part in ("door", "all"):
-                monkeypatch.setattr(core.admission, "sense", broken)
+                monkeypatch.setattr(core.admission, "update_pressure", broken)
             if part in ("hosts", "all"):
                 monkeypatch.setattr(it.hosts, "sweep", broken)
             if part in ("clients", "all"):
                 monkeypatch.setattr(type(next(iter(core.clients))), "sweep", broken)
             if part in ("figures", "all"):
-                monkeypatch.setattr(core.admission, "told", broken)
+                monkeypatch.setattr(core.admission, "summary", broken)
             await until(lambda: core.counters.faults > 0)
             for i in range(3):
                 assert (await client.ask(request(f"d{i}", wait_ms=300)))[0] in (502, 503, 504)
@@ -402,7 +402,7 @@
         async with Server(silent) as host, gate(("a", host.addr)) as it:
             core = it.core
             first, second = await it.client(), await it.client()
-            real, hit = core._due, []
+            real, hit = core._check_timeouts, []
 
             def due(exchange: Any, now: int) -> None:
                 if exchange.name == b"bad":
@@ -410,7 +410,7 @@
                     raise KeyError("a bug")
                 real(exchange, now)
 
-            monkeypatch.setattr(core, "_due", due)
+            monkeypatch.setattr(core, "_check_timeouts", due)
             first.send(request("bad", wait_ms=300))
             second.send(request("good", wait_ms=400))
             assert (await first.answer())[0] in (502, 504)
