--- a/sailhitch/core/interfaces.py
+++ b/sailhitch/core/interfaces.py
@@ -13,10 +13,10 @@
 
 
 class Client(Protocol):
-    """A front's side of one request, which gets exactly one final answer."""
+    """A front's side of one request, which gets exactly one final response."""
 
-    def serve(self, request: RequestContext, answer: Response) -> None:
-        """Send a host's whole answer."""
+    def serve(self, request: RequestContext, response: Response) -> None:
+        """Send a host's complete response."""
 
     def refuse(self, request: RequestContext, retry_after: int) -> None:
         """Refuse the request; `retry_after` in microseconds, 0 for no advice."""
@@ -25,9 +25,13 @@
         """Report a failure, or a time-out (`late`); the request may have taken effect."""
 
     def begin(
-        self, request: RequestContext, answer: Response, length: int | None, source: ResponseSource
+        self,
+        request: RequestContext,
+        response: Response,
+        length: int | None,
+        source: ResponseSource,
     ) -> None:
-        """Send the head of a host's answer; its body follows by `more` until `end` or `cut`.
+        """Send the head of a host's response; its body follows by `more` until `end` or `cut`.
 
         `length` is that of the body; None if unknown.
         """
@@ -36,17 +40,17 @@
         """Send more of the body."""
 
     def end(self) -> None:
-        """Finish the answer."""
+        """Finish the response."""
 
     def cut(self) -> None:
-        """Break off the answer, so that the client can tell that it is incomplete."""
+        """Abort the response, so that the client can tell that it is incomplete."""
 
     def left(self) -> bool:
         """Return whether the client has closed its connection, even if that is unread."""
 
 
 class ResponseSource(Protocol):
-    """Where a streamed answer comes from: a connection to a host."""
+    """Where a streamed response comes from: a connection to a host."""
 
     def pause_reading(self) -> None:
         """Pause: the client reads more slowly than the host sends."""
@@ -55,7 +59,7 @@
         """Resume: the client has read all that was sent."""
 
     def cancelled(self) -> None:
-        """Cancel: the client has gone."""
+        """Cancel: the client has disconnected."""
 
 
 class Connection(Protocol):
@@ -71,13 +75,13 @@
         """Close it if it makes no progress; called several times a second."""
 
     def is_idle(self) -> bool:
-        """Return whether no answer is owed and nothing of a request has been read."""
+        """Return whether no response is pending and nothing of a request has been read."""
 
     def is_closed(self) -> bool:
         """Return whether this side has closed it and written all: its descriptor is freed next."""
 
     def has_unanswered_request(self) -> bool:
-        """Return whether the client may still get an answer, or bytes already written."""
+        """Return whether the client may still get a response, or bytes already written."""
 
     def abort(self) -> None:
         """Close at once, whatever is open."""
@@ -85,7 +89,7 @@
     def detach(self) -> int | None:
         """Hand the connection over between two requests: return a duplicate of its descriptor.
 
-        The caller closes it. Returns None while an answer is owed or part of a request is read.
+        The caller closes it. Returns None while a response is pending or part of a request is read.
         """
 
 
@@ -96,11 +100,39 @@
         """Return whether the connection was passed on."""
 
 
+class SetWatchWanted(Protocol):
+    """Opens or ends a source's watch of the endpoint list."""
+
+    def __call__(self, on: bool, /) -> None:
+        """Open the watch (`on`), or end it."""
+
+
+class MayWrite(Protocol):
+    """Asked right before an attempt's first byte is written, as rules may have changed since."""
+
+    def __call__(self, attempt: Attempt, /) -> bool:
+        """Return whether the rules in force allow the attempt."""
+
+
+class HasUnreadEvent(Protocol):
+    """Asked of a source of endpoints, where its updates are read with a delay."""
+
+    def __call__(self) -> bool:
+        """Return whether an update has arrived that is not applied yet."""
+
+
+class OnOutcome(Protocol):
+    """Receives the outcome of each attempt that says something of its host."""
+
+    def __call__(self, server: str, status: str, /) -> None:
+        """Record the outcome."""
+
+
 class RequestSink(Protocol):
     """What carries an attempt to a host."""
 
     def abandon(self) -> None:
-        """Drop the answer, which may still come."""
+        """Discard the response, which may still arrive."""
 
     def has_unsent_bytes(self) -> bool:
         """Return whether part of the request is not sent: abandoned now, it never ran."""
@@ -116,8 +148,8 @@
 class Transport(Protocol):
     """Connections to the hosts of one pool.
 
-    It reports exactly one outcome of each attempt to the pool: by `Pool.ended`, or by `Pool.later`
-    if `start` is still running.
+    It reports exactly one outcome of each attempt to the pool: by `Pool.attempt_finished`, or by
+    `Pool.defer_outcome` if `start` is still running.
     """
 
     opened: int  # connections made so far, for the log
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -159,8 +159,8 @@
             await gone(it, client, how)
             (req,) = it.core.open_requests
             other = "b" if one.seen else "a"
-            it.pool._notify_policy(
-                None, lambda: it.pool.send(req, other, 0)
+            it.pool.notify_policy(
+                None, lambda: it.pool.port.send(req, other, 0)
             )  # as the module's hedge does
             await later_one(it)
             assert len(sent(one, two)) == 1
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -135,7 +135,7 @@
 
             def taken_back(attempt: Attempt, now: int) -> None:
                 start(attempt, now)
-                it.pool.cancel(attempt.request.id, attempt.number)
+                it.pool.port.cancel(attempt.request.id, attempt.number)
 
             for name in ("r1", "r2"):
                 it.hosts.start = taken_back  # type: ignore[method-assign]
