--- a/sailhitch/core/process.py
+++ b/sailhitch/core/process.py
@@ -1,4 +1,4 @@
-"""What every gateway's process does at its start and its end, whatever it is wired from."""
+"""Start and graceful shutdown of a gateway's process: signals, memory, drain."""
 
 from __future__ import annotations
 
@@ -10,49 +10,47 @@
 
 from .core import GatewayCore
 
-ACCEPT_ON: Final = 0.6  # s after SIGTERM; new connections go on coming for 0.4 s
-STEP: Final = 0.02
-AFTERWARDS: Final = 50_000  # us after the last answer that is surely out
+ACCEPT_TIME: Final = 0.6  # s after SIGTERM; new connections arrive for 0.4 s
+DRAIN_POLL_INTERVAL: Final = 0.02  # s
+DRAIN_MARGIN: Final = 50_000  # us after the last response is due
 
-HEEDED: Final = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
+HANDLED_SIGNALS: Final = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 
 
 def hold_signals() -> None:
-    """From here on they wait: what comes before a handler is set, or after it is gone, kills.
+    """Block the signals: before a handler is set, or after it is removed, they would kill.
 
-    At the start they are heeded once somebody can (`heed`), be it late; at the end they wait for a
-    process that is over.
+    At the start they stay pending until `heed`; at the end until the process exits.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, HEEDED)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def heed(*signals: signal.Signals) -> None:
-    """Their handlers are set: from here on, and by now, they are heeded."""
+    """Unblock signals whose handlers are set, pending ones included."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, signals)
 
 
 def settle_memory() -> None:
-    """Called once all that lives as long as the process is there."""
-    # The collector need not look at that again.
+    """Exempt objects from garbage collection; call it once all long-lived ones exist."""
     gc.collect()
     gc.freeze()
-    # What connections leave in cycles is only freed by a look at the oldest generation,
-    # which must come often enough that it doesn't add up over a long day.
+    # Reference cycles of connections are freed only by collections of the oldest generation, which
+    # must be frequent enough that they don't accumulate.
     gc.set_threshold(10_000, 10, 10)
 
 
 async def drain(core: GatewayCore, stop_listening: Callable[[], None]) -> None:
-    """SIGTERM: serve on for a while, take nobody new in, and return when nothing is owed."""
+    """Drain (SIGTERM): serve on for a while, stop accepting, and return when all is answered."""
     core.drain()
-    await asyncio.sleep(ACCEPT_ON)
+    await asyncio.sleep(ACCEPT_TIME)
     stop_listening()
     await asyncio.sleep((core.drain_since + core.drain_hold() - core.clock()) / 1e6)
     await finish(core)
 
 
 async def finish(core: GatewayCore) -> None:
-    """Draining: each answer is a connection's last. Returns when nothing is owed, or time is up."""
-    # Peers that never get on with it must not keep the process from its end.
-    last = core.drain_until + AFTERWARDS
+    """Close connections with their next response; return when none is left, or time is up."""
+    # Peers that make no progress must not delay the exit.
+    last = core.drain_until + DRAIN_MARGIN
     while core.close_idle_clients() and core.clock() < last:
-        await asyncio.sleep(STEP)
+        await asyncio.sleep(DRAIN_POLL_INTERVAL)
--- a/sailhitch/handover/__init__.py
+++ b/sailhitch/handover/__init__.py
@@ -1,6 +1,7 @@
-"""What one process of a gateway leaves to the next: state, connections, bans.
+"""What one process of a gateway passes to the next: state, connections, maintenance marks.
 
-`legacy` says what is told and how it is written, and `shares` how two processes share what one may
-use, both without I/O; `link` has the socket between them, `passed_connections` what the other end
-has not taken yet, `files` what is kept beside them, and `succession` says when what passes.
+Without I/O: `snapshot` has the state and its encoding, `frames` the messages, and `shares` how two
+processes share resources. `link` is the socket between them, `passed_connections` what the
+successor has not confirmed, `files` and `maintenance_writer` what is on disk; `successor` and
+`takeover` decide when what is passed.
 """
--- a/sailhitch/handover/files.py
+++ b/sailhitch/handover/files.py
@@ -1,4 +1,4 @@
-"""What is kept beside the processes: the way to the one that serves, and bans."""
+"""Files of a gateway's processes: the socket of the running one, and hosts in maintenance."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from .snapshot import HandoverError, ProcessSnapshot, decode_snapshot, encode_snapshot
 
-MOST: Final = 4 << 20
+MAX_FILE_BYTES: Final = 4 << 20
 
 
 def _sync_folder(folder: Path) -> None:
-    """Have a folder's names on disk; raises OSError."""
+    """Write a folder's entries to disk; raises OSError."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -22,7 +22,7 @@
 
 
 class HandoverFiles:
-    """Where a gateway's processes find one another."""
+    """Paths by which the processes of a gateway find one another."""
 
     def __init__(self, folder: str, name: str) -> None:
         safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in name)[:40]
@@ -30,28 +30,28 @@
         self.socket = self.folder / f"sailhitch-{safe}.sock"
         self.maintenance_file = self.folder / f"sailhitch-{safe}.bans"
 
-    def write_maintenance(self, legacy: ProcessSnapshot) -> None:
-        """Keep bans, whole or as they were, also through a crash of the machine; raises OSError."""
-        fresh = self.maintenance_file.with_suffix(f".{os.getpid()}")
+    def write_maintenance(self, snapshot: ProcessSnapshot) -> None:
+        """Write the maintenance marks atomically and durably; raises OSError."""
+        temporary = self.maintenance_file.with_suffix(f".{os.getpid()}")
         try:
-            with fresh.open("wb") as file:
-                file.write(encode_snapshot(legacy))
+            with temporary.open("wb") as file:
+                file.write(encode_snapshot(snapshot))
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(fresh, self.maintenance_file)
+            os.replace(temporary, self.maintenance_file)
             _sync_folder(self.folder)
         except OSError:
             with contextlib.suppress(OSError):
-                fresh.unlink()
+                temporary.unlink()
             raise
 
     def read_maintenance(self) -> ProcessSnapshot | None:
-        """Return what was kept, None if nothing; raises HandoverError or OSError."""
+        """Return the stored marks, None if there are none; raises HandoverError or OSError."""
         try:
             with self.maintenance_file.open("rb") as file:
-                data = file.read(MOST + 1)
+                data = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
             return None
-        if len(data) > MOST:
+        if len(data) > MAX_FILE_BYTES:
             raise HandoverError("too long")
         return decode_snapshot(data)
--- a/sailhitch/handover/link.py
+++ b/sailhitch/handover/link.py
@@ -13,16 +13,18 @@
 
 from ..net.system_errors import OUT_OF_RESOURCES
 
-LONGEST: Final = 64 * 1024  # of a frame
-SUN_PATH: Final = 100  # bytes of a path that surely fit into an address (unix(7))
+MAX_FRAME_BYTES: Final = 64 * 1024
+MAX_SOCKET_PATH: Final = 100  # bytes of a path that fit into an address (unix(7))
 BACKLOG: Final = 4
-AT_ONCE: Final = 64  # frames read in one turn
+MAX_FRAMES_PER_READ: Final = 64  # in one iteration of the event loop
+MAX_DESCRIPTORS: Final = 4  # received with one frame
 
+# Receives the kind of a frame, its payload, and the descriptors that came with it.
 OnFrame = Callable[[int, bytes, list[int]], None]
 
 
 class Link:
-    """One end. Frames go out in order; what the socket does not take yet waits here."""
+    """One end of the socket; sends frames in order, and queues what it does not accept yet."""
 
     def __init__(self, sock: socket.socket, on_frame: OnFrame, on_end: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
@@ -30,12 +32,12 @@
         self.on_frame = on_frame
         self.on_end = on_end
         self.closed = False
-        self._out: deque[tuple[bytes, int]] = deque()  # with a descriptor of ours, or -1
+        self._out: deque[tuple[bytes, int]] = deque()  # with a descriptor to send, or -1
         sock.setblocking(False)
         self.loop.add_reader(sock, self._read)
 
     def send(self, frame: bytes, descriptor: int = -1) -> None:
-        """Send a frame, and give away a descriptor with it."""
+        """Send a frame, with a descriptor that is closed here once it is sent."""
         if self.closed:
             if descriptor >= 0:
                 os.close(descriptor)
@@ -44,8 +46,8 @@
         if len(self._out) == 1:
             self._write()
 
-    def waits(self) -> bool:
-        """Return whether frames have not gone out yet."""
+    def has_unsent_frames(self) -> bool:
+        """Return whether frames are queued."""
         return bool(self._out)
 
     def _write(self) -> None:
@@ -62,21 +64,23 @@
             self.loop.add_writer(self.sock, self._write)
             return
         except OSError:
-            # The other end has gone. What it said before that is here still: the reader ends this.
+            # The other end is closed. What it sent can still be read; the reader closes this end.
             self._drop()
         self.loop.remove_writer(self.sock)
 
     def _read(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_FRAMES_PER_READ):
             if self.closed:
                 return
             try:
-                frame, descriptors, _, _ = socket.recv_fds(self.sock, LONGEST, 4)
+                frame, descriptors, _, _ = socket.recv_fds(
+                    self.sock, MAX_FRAME_BYTES, MAX_DESCRIPTORS
+                )
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionResetError:
-                # An end that is closed with frames unread on it says so before what it had
-                # sent, connections among it, can be read (unix(7)). It says so once.
+                # If the other end was closed with frames unread, this error comes once, before
+                # the frames that it had sent, connections among them, can be read (unix(7)).
                 continue
             except OSError:
                 self.close()
@@ -87,7 +91,7 @@
             self.on_frame(frame[0], frame[1:], descriptors)
 
     def close(self) -> None:
-        """End it; what had not gone out stays with nobody, and its descriptors are closed."""
+        """Close it; frames that are not sent are dropped, and their descriptors closed."""
         if self.closed:
             return
         self.closed = True
@@ -105,9 +109,9 @@
 
 
 @contextlib.contextmanager
-def _short(path: Path):  # type: ignore[no-untyped-def]
-    """A path that fits into an address, however long it is."""
-    if len(os.fsencode(path)) <= SUN_PATH:
+def _socket_address(path: Path):  # type: ignore[no-untyped-def]
+    """Return a path to the same file that fits into a socket address."""
+    if len(os.fsencode(path)) <= MAX_SOCKET_PATH:
         yield str(path)
         return
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
@@ -128,8 +132,8 @@
     """
     sock = _socket()
     try:
-        with _short(path) as short:
-            sock.connect(short)
+        with _socket_address(path) as address:
+            sock.connect(address)
     except OSError as error:
         sock.close()
         if error.errno in OUT_OF_RESOURCES or isinstance(error, BlockingIOError):
@@ -139,24 +143,24 @@
 
 
 def listen(path: Path) -> socket.socket:
-    """Listen there from now on, in place of who did; raises OSError.
+    """Listen at this path, in place of any process that did; raises OSError.
 
-    A name that is taken away before its successor stands leaves a moment in which a third
-    process finds nobody. So the new one is made beside it and moved over it.
+    If the old socket were removed first, a third process might find none. So the new one is
+    created beside it and moved over it.
     """
     sock = _socket()
-    fresh = path.with_suffix(f".{os.getpid()}")
+    temporary = path.with_suffix(f".{os.getpid()}")
     try:
         with contextlib.suppress(FileNotFoundError):
-            fresh.unlink()
-        with _short(fresh) as short:
-            sock.bind(short)
-        fresh.chmod(0o600)
+            temporary.unlink()
+        with _socket_address(temporary) as address:
+            sock.bind(address)
+        temporary.chmod(0o600)
         sock.listen(BACKLOG)
-        os.replace(fresh, path)
+        os.replace(temporary, path)
     except OSError:
         sock.close()
         with contextlib.suppress(OSError):
-            fresh.unlink()
+            temporary.unlink()
         raise
     return sock
--- a/sailhitch/handover/maintenance_writer.py
+++ b/sailhitch/handover/maintenance_writer.py
@@ -1,4 +1,4 @@
-"""Keeps what staff have said of hosts on disk, again where that fails, until it is there."""
+"""Write maintenance marks to disk, and retry with backoff while that fails."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 from .files import HandoverFiles
 from .snapshot import ProcessSnapshot
 
-RETRY: Final = 0.1  # s until a write that failed is tried again; doubles with each failure...
-RETRY_MAX: Final = 2.0  # ...up to this
+BACKOFF_MIN: Final = 0.1  # s until a failed write is retried; doubles with each failure...
+BACKOFF_MAX: Final = 2.0  # ...up to this
 
 
 class MaintenanceWriter:
-    """Writes the latest bans.
+    """Writes the latest maintenance marks.
 
-    The write is made in the call, before staff have their answer: a process may be killed right
-    after that. Where it fails, the ban holds in this process and for a successor that asks, and the
-    file follows once the disk takes it.
+    It writes during the call, before the operator gets a response: the process may be killed right
+    after that. If it fails, the mark still applies in this process and is passed to a successor,
+    and the file is written once that is possible.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        places: HandoverFiles,
-        latest: Callable[[], ProcessSnapshot],
+        files: HandoverFiles,
+        latest_snapshot: Callable[[], ProcessSnapshot],
         log: Log,
     ) -> None:
         self._loop = loop
-        self._places = places
-        self._latest = latest
+        self._files = files
+        self._latest_snapshot = latest_snapshot
         self._log = log
-        self._pause = RETRY
-        self._again: asyncio.TimerHandle | None = None
+        self._backoff = BACKOFF_MIN
+        self._retry: asyncio.TimerHandle | None = None
 
     def write(self) -> None:
-        """Write what holds now; where that fails, try again later."""
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
+        """Write the current marks; if that fails, retry later."""
+        if self._retry is not None:
+            self._retry.cancel()
+            self._retry = None
         try:
-            self._places.write_maintenance(self._latest())
+            self._files.write_maintenance(self._latest_snapshot())
         except OSError as error:
-            path = self._places.maintenance_file
+            path = self._files.maintenance_file
             self._log.write_limited("bans", f"handover: bans can't be kept in {path} yet: {error}")
-            self._again = self._loop.call_later(self._pause, self.write)
-            self._pause = min(2 * self._pause, RETRY_MAX)
+            self._retry = self._loop.call_later(self._backoff, self.write)
+            self._backoff = min(2 * self._backoff, BACKOFF_MAX)
             return
-        if self._pause > RETRY:
+        if self._backoff > BACKOFF_MIN:
             self._log.write("handover: bans are kept")
-        self._pause = RETRY
+        self._backoff = BACKOFF_MIN
 
     def close(self) -> None:
-        """Try a last time, if something is not kept yet."""
-        if self._again is not None:
+        """Retry a last time, if the last write failed."""
+        if self._retry is not None:
             self.write()
-        if self._again is not None:
-            self._again.cancel()
-            self._log.write(f"handover: bans were not kept in {self._places.maintenance_file}")
+        if self._retry is not None:
+            self._retry.cancel()
+            self._log.write(f"handover: bans were not kept in {self._files.maintenance_file}")
--- a/sailhitch/handover/passed_connections.py
+++ b/sailhitch/handover/passed_connections.py
@@ -1,8 +1,8 @@
-"""Connections that were passed on, and that the process after has not taken yet.
+"""Connections that were passed on, and that the successor has not confirmed yet.
 
-A descriptor on its way lies in the socket between the two processes, and is closed with it if the
-other one ends first. So this process keeps a duplicate of each until the other says that it has
-taken it, and goes on with what a process that has ended did not take.
+A descriptor in transit is in the socket between the two processes, and is closed with it if the
+successor ends first. So this process keeps a duplicate of each until the successor confirms that it
+has taken it, and continues with those that a successor which has ended did not take.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from typing import Final
 
 PEER_CREDENTIALS: Final = struct.Struct("iII")  # pid, uid, gid: struct ucred of unix(7)
-# ms. A process that ends closes its sockets right before it counts as ended (pidfd_open(2)).
-ENDED_WITHIN: Final = 50
+# ms. A process that exits closes its sockets right before its pidfd is readable (pidfd_open(2)).
+EXIT_TIMEOUT: Final = 50
 
 
 class PassedConnections:
@@ -29,25 +29,25 @@
         return len(self._waiting)
 
     def keep(self, descriptor: int) -> None:
-        """A connection is about to be passed on."""
+        """Duplicate a connection that is about to be passed on."""
         try:
             self._waiting.append(os.dup(descriptor))
         except OSError:
             self._waiting.append(None)
 
-    def taken(self) -> None:
-        """The process after has taken the one that was passed on first."""
+    def confirm_oldest(self) -> None:
+        """Release the duplicate of the connection that was passed on first."""
         if self._waiting:
             _close(self._waiting.popleft())
 
     def take_back(self) -> list[int]:
-        """Give out all that were not taken; the caller closes them."""
-        left = [one for one in self._waiting if one is not None]
+        """Return all that were not confirmed; the caller closes them."""
+        unconfirmed = [descriptor for descriptor in self._waiting if descriptor is not None]
         self._waiting.clear()
-        return left
+        return unconfirmed
 
     def close(self) -> None:
-        """Let go of them: the process after has them, or will."""
+        """Close the duplicates: the successor has the connections, or will."""
         while self._waiting:
             _close(self._waiting.popleft())
 
@@ -59,15 +59,15 @@
         self._descriptor = _open_process(sock)
 
     def has_ended(self) -> bool:
-        """Return whether it has surely ended; waits for ENDED_WITHIN at most."""
+        """Return whether it has surely ended; waits for EXIT_TIMEOUT at most."""
         if self._descriptor is None:
             return False
         poll = select.poll()
         poll.register(self._descriptor, select.POLLIN)
-        return bool(poll.poll(ENDED_WITHIN))
+        return bool(poll.poll(EXIT_TIMEOUT))
 
     def close(self) -> None:
-        """Let go of it."""
+        """Stop observing the process."""
         _close(self._descriptor)
         self._descriptor = None
 
--- a/sailhitch/handover/shares.py
+++ b/sailhitch/handover/shares.py
@@ -1,10 +1,10 @@
-"""How two processes share what one gateway may use. No I/O, and nothing to agree on.
+"""How two processes of one gateway share its resources. No I/O, and no agreement is needed.
 
-Memory for bodies: each goes by its even part, whatever the other does. Descriptors: each goes by
-what the other says it holds, with a margin for what both open until the next word of it, and has a
-least part that is its own. Rates: by who takes clients in, half each while both do, and all for the
-new one once the old has stopped. The one that is left goes by the whole, whoever ended and however.
-What one held above its part goes as anything above a limit does.
+Memory for bodies is divided evenly. Descriptors: each process may use what the others do not hold
+by their last report, less a margin for what they open until the next one, and a minimum share of
+its own. Rates follow the clients: half for each while both accept connections, all for the new
+process once the old one drains. The last process that is left may use everything. What a process
+holds above its share is handled as anything above a limit is.
 """
 
 from __future__ import annotations
@@ -14,42 +14,40 @@
 
 from ..core.resource_limits import ResourceLimits
 
-LEAST: Final = 4  # one part in so many of the descriptors is any process's own
-MARGIN: Final = 16
+MIN_DESCRIPTOR_SHARE: Final = 4  # each process may use 1/4 of the descriptors in any case
+DESCRIPTOR_MARGIN: Final = 16  # opened by the others until their next report
 
 
 @dataclass(slots=True)
 class Share:
-    """One process's part, by what it sees itself."""
+    """One process's share, by what it knows of the others."""
 
-    has_predecessor: bool = False  # a predecessor lives...
-    predecessor_drains: bool = False  # ...and takes nobody in any more
-    has_successor: bool = False  # a successor lives
-    successor_is_ready: bool = False  # ...and takes clients in
+    has_predecessor: bool = False  # a predecessor is running...
+    predecessor_drains: bool = False  # ...and accepts no more connections
+    has_successor: bool = False  # a successor is running...
+    successor_is_ready: bool = False  # ...and accepts connections
 
     def processes(self) -> int:
-        """Return how many share."""
+        """Return how many processes share."""
         return 1 + self.has_predecessor + self.has_successor
 
-    def limits(self, whole: ResourceLimits, others: int) -> ResourceLimits:
-        """Return what this process may use of what the gateway may, the others holding so many
-        descriptors.
-        """
+    def limits(self, total: ResourceLimits, descriptors_elsewhere: int) -> ResourceLimits:
+        """Return this process's part of the gateway's limits."""
         count = self.processes()
         if count == 1:
-            return whole
-        left = whole.descriptors - others - MARGIN
+            return total
+        unused = total.descriptors - descriptors_elsewhere - DESCRIPTOR_MARGIN
         return replace(
-            whole,
-            memory_mb=whole.memory_mb // count,
-            descriptors=max(whole.descriptors // LEAST, left),
-            # Fronts deal out connections to the gateway, whichever process takes them.
-            request_slots=whole.request_slot_count(),
+            total,
+            memory_mb=total.memory_mb // count,
+            descriptors=max(total.descriptors // MIN_DESCRIPTOR_SHARE, unused),
+            # Fronts distribute connections to the gateway, whichever process accepts them.
+            request_slots=total.request_slot_count(),
         )
 
     def intake(self) -> float:
-        """Return the part of the gateway's clients that comes here."""
-        others = (self.has_predecessor and not self.predecessor_drains) + (
+        """Return the share of the gateway's new clients that connect to this process."""
+        others_accepting = (self.has_predecessor and not self.predecessor_drains) + (
             self.has_successor and self.successor_is_ready
         )
-        return 1.0 / (1 + others)
+        return 1.0 / (1 + others_accepting)
--- a/sailhitch/handover/takeover.py
+++ b/sailhitch/handover/takeover.py
@@ -1,7 +1,7 @@
-"""One gateway in two processes: what this one takes from the one before and leaves to the next.
+"""A gateway in two processes: what this one takes over, and what it passes to its successor.
 
-Owns the two links, and when what is said on them. Connections pass one way, from old to new; what
-staff say passes both ways for as long as a link stands.
+Owns the two links, and when what is sent on them. Connections are passed one way, from old to new;
+maintenance marks are sent both ways for as long as a link is open.
 """
 
 from __future__ import annotations
@@ -14,344 +14,362 @@
 import msgspec
 
 from ..core.interfaces import Connection
-from ..core.process import AFTERWARDS, STEP
+from ..core.process import DRAIN_MARGIN, DRAIN_POLL_INTERVAL
 from ..core.resource_limits import ResourceLimits
 from ..net.listener import Listener
 from ..net.platform import Platform
 from ..net.system_errors import retry_shortage
-from . import snapshot as told
 from .files import HandoverFiles
+from .frames import (
+    FrameKind,
+    MaintenanceMark,
+    SnapshotAssembler,
+    descriptors_frame,
+    hello_frame,
+    maintenance_frame,
+    plain_frame,
+    read_descriptor_count,
+    read_maintenance_mark,
+)
 from .link import Link, connect, listen
 from .maintenance_writer import MaintenanceWriter
-from .passed_connections import PassedConnections, PeerProcess
 from .shares import Share
-from .snapshot import HandoverError, MaintenanceMark, ProcessSnapshot, SnapshotAssembler
+from .snapshot import (
+    HandoverError,
+    ProcessSnapshot,
+    endpoint_update_from,
+    maintenance_snapshot,
+    restore_maintenance,
+    snapshot_endpoints,
+    translate_clock,
+)
+from .successor import Successor
 
-INHERIT: Final = 2.0  # s that a predecessor may take to tell what it knows
-REPORT: Final = 0.1  # s between two words of how many descriptors are held
+SNAPSHOT_TIMEOUT: Final = 2.0  # s
+REPORT_INTERVAL: Final = 0.1  # s between two reports of the descriptors that are held
 
 
 class Takeover:
-    """This process's place between the one before and the one after it."""
+    """This process between its predecessor and its successor."""
 
-    def __init__(self, platform: Platform, listener: Listener, places: HandoverFiles) -> None:
+    def __init__(self, platform: Platform, listener: Listener, files: HandoverFiles) -> None:
         self.platform = platform
         self.listener = listener
-        self.files = places
+        self.files = files
         self.core = platform.core
         self.pool = platform.pool
         self.log = self.core.logger
         self.share = Share()
         self.predecessor: Link | None = None
-        self.successor: Link | None = None
+        self.successor: Successor | None = None
         self.inherited = False
-        self.passed = self.taken = 0  # connections, for the log
-        self._unconfirmed = PassedConnections()
-        self._after_process: PeerProcess | None = None
-        self._after_confirms = False
-        # Descriptors that they hold, by their last word.
-        self.descriptors_elsewhere: dict[Link, int] = {}
-        self._keeper = MaintenanceWriter(
+        self.passed_count = 0  # connections, for the log
+        self.taken_count = 0
+        self.descriptors_elsewhere: dict[Link, int] = {}  # by the last report of each
+        self._maintenance_writer = MaintenanceWriter(
             self.core.loop,
-            places,
-            lambda: told.maintenance_snapshot(self.pool.maintenance),
+            files,
+            lambda: maintenance_snapshot(self.pool.maintenance),
             self.log,
         )
-        self._pieces = SnapshotAssembler()
-        self._heard = asyncio.Event()
-        self._sock: socket.socket | None = None
-        self._report: asyncio.TimerHandle | None = None
+        self._assembler = SnapshotAssembler()
+        self._predecessor_done = asyncio.Event()  # it has sent its snapshot, or will not
+        self._listening_socket: socket.socket | None = None
+        self._report_timer: asyncio.TimerHandle | None = None
         platform.apply_share = self._apply_share
 
     # --- At the start
 
     async def inherit(self) -> None:
-        """Take what a predecessor leaves, or what is kept of bans where none answers."""
+        """Take over a predecessor's state, or the stored maintenance marks if there is none."""
         sock = await self._connect_to_predecessor()
         if sock is not None:
             self.predecessor = Link(sock, self._on_predecessor_frame, self._on_predecessor_ended)
             self.share.has_predecessor = True
-            self.predecessor.send(bytes((told.HELLO, told.FORMAT_VERSION, told.CONFIRMS)))
+            self.predecessor.send(hello_frame())
             try:
-                async with asyncio.timeout(INHERIT):
-                    await self._heard.wait()
+                async with asyncio.timeout(SNAPSHOT_TIMEOUT):
+                    await self._predecessor_done.wait()
             except TimeoutError:
                 self.log.write("handover: the process before is there and tells nothing")
         if not self.inherited:
             self._restore_from_file()
-        self._settle()
+        self._update_share()
 
     async def _connect_to_predecessor(self) -> socket.socket | None:
-        """Return a socket to the process before, if there is one.
+        """Return a socket to the predecessor, if there is one.
 
-        Taken for absent because of a moment's shortage, it would pass nothing on, and go on
-        serving beside this one.
+        If a shortage of resources were taken for its absence, it would pass nothing on, and
+        serve beside this process.
         """
 
-        async def once() -> socket.socket | None:
+        async def connect_once() -> socket.socket | None:
             return connect(self.files.socket)
 
         try:
-            return await retry_shortage(once)
+            return await retry_shortage(connect_once)
         except OSError as error:
             self.log.write(f"handover: {self.files.socket} can't be reached: {error}")
             return None
 
     def _restore_from_file(self) -> None:
         try:
-            kept = self.files.read_maintenance()
+            snapshot = self.files.read_maintenance()
         except (HandoverError, OSError) as error:
             self.log.write(f"handover: the bans that were kept can't be read: {error}")
             return
-        if kept is not None:
-            self._restore(kept)
-
-    def _restore(self, legacy: ProcessSnapshot) -> None:
-        told.restore_maintenance(legacy, self.pool.maintenance)
-        roster = told.endpoint_update_from(legacy)
-        if roster is not None:
-            self.platform.inherit(roster)
-            if legacy.policy is not None:
-                self.pool.restore_snapshot(legacy.policy)
+        if snapshot is not None:
+            self._restore(snapshot)
+
+    def _restore(self, snapshot: ProcessSnapshot) -> None:
+        restore_maintenance(snapshot, self.pool.maintenance)
+        update = endpoint_update_from(snapshot)
+        if update is not None:
+            self.platform.inherit(update)
+            if snapshot.policy is not None:
+                self.pool.restore_snapshot(snapshot.policy)
         else:
-            self.pool.republish(list(legacy.bans) + list(legacy.completed_bans))
-        bans = ", ".join(legacy.bans) or "none"
-        self.log.write(f"handover: {len(legacy.endpoints)} hosts, out for maintenance: {bans:.300}")
+            self.pool.republish(list(snapshot.bans) + list(snapshot.completed_bans))
+        bans = ", ".join(snapshot.bans) or "none"
+        count = len(snapshot.endpoints)
+        self.log.write(f"handover: {count} hosts, out for maintenance: {bans:.300}")
 
     def open(self) -> None:
-        """Be there for a successor from now on."""
+        """Listen for a successor from now on."""
         try:
-            self._sock = listen(self.files.socket)
+            self._listening_socket = listen(self.files.socket)
         except OSError as error:
             self.log.write(f"handover: no successor can ask: {self.files.socket}: {error}")
             return
-        self.core.loop.add_reader(self._sock, self._accept)
+        self.core.loop.add_reader(self._listening_socket, self._accept)
 
     def ready(self) -> None:
-        """This process serves from now on."""
+        """Report to the predecessor that this process serves from now on."""
         if self.predecessor is not None:
-            self.predecessor.send(bytes((told.READY,)))
+            self.predecessor.send(plain_frame(FrameKind.READY))
 
-    # --- The process before
+    # --- Predecessor
 
     def _on_predecessor_frame(self, kind: int, payload: bytes, descriptors: list[int]) -> None:
-        if kind == told.CLIENT:
-            for descriptor in descriptors:
-                self.taken += 1
-                self.listener.adopt(descriptor)
-                if self.predecessor is not None:
-                    self.predecessor.send(bytes((told.CLIENT_TAKEN,)))
+        if kind == FrameKind.CLIENT:
+            self._take_clients(descriptors)
             return
         for descriptor in descriptors:
             os.close(descriptor)
         try:
-            if kind == told.STATE:
-                self._pieces.add(payload)
-            elif kind == told.STATE_END:
-                self._restore(told.translate_clock(self._pieces.finish(), self.core.epoch))
-                self._keeper.write()  # the process before may end without having been able to
+            if kind == FrameKind.SNAPSHOT:
+                self._assembler.add(payload)
+            elif kind == FrameKind.SNAPSHOT_END:
+                self._restore(translate_clock(self._assembler.finish(), self.core.epoch))
+                # The predecessor may end without having been able to write them.
+                self._maintenance_writer.write()
                 self.inherited = True
-                self._heard.set()
-            elif kind == told.DRAINING:
+                self._predecessor_done.set()
+            elif kind == FrameKind.DRAINING:
                 self.share.predecessor_drains = True
-                self._settle()
+                self._update_share()
             elif self.predecessor is not None:
-                self._from_either(self.predecessor, kind, payload)
+                self._on_shared_frame(self.predecessor, kind, payload)
         except HandoverError as error:
             self.log.write(f"handover: {error}; going on without")
-            self._heard.set()
+            self._predecessor_done.set()
+
+    def _take_clients(self, descriptors: list[int]) -> None:
+        for descriptor in descriptors:
+            self.taken_count += 1
+            self.listener.adopt(descriptor)
+            if self.predecessor is not None:
+                self.predecessor.send(plain_frame(FrameKind.CLIENT_TAKEN))
 
     def _on_predecessor_ended(self) -> None:
         self.log.write(
-            f"handover: the process before has ended; {self.taken} connections taken over"
+            f"handover: the process before has ended; {self.taken_count} connections taken over"
         )
         if self.predecessor is not None:
             self.descriptors_elsewhere.pop(self.predecessor, None)
         self.predecessor = None
         self.share.has_predecessor = False
-        self._heard.set()
-        self._settle()
+        self._predecessor_done.set()
+        self._update_share()
 
-    # --- The process after
+    # --- Successor
 
     def _accept(self) -> None:
-        assert self._sock is not None
+        assert self._listening_socket is not None
         try:
-            sock, _ = self._sock.accept()
+            sock, _ = self._listening_socket.accept()
         except OSError:
             return
         if self.successor is not None:
-            # Of two that would follow only one may; the later one is who is waited for.
-            self.successor.close()
-        self.successor = Link(sock, self._on_successor_frame, self._on_successor_ended)
-        self._after_process = PeerProcess(sock)
-        self._after_confirms = False
+            # There can be one successor only; the later one is the one that is wanted.
+            self.successor.link.close()
+        self.successor = Successor(sock, self._on_successor_frame, self._on_successor_ended)
         self.share.has_successor = True
         self.share.successor_is_ready = False
-        self._settle()
+        self._update_share()
 
     def _on_successor_frame(self, kind: int, payload: bytes, descriptors: list[int]) -> None:
         for descriptor in descriptors:
             os.close(descriptor)
         assert self.successor is not None
-        if kind == told.CLIENT_TAKEN:
-            self._unconfirmed.taken()
-        elif kind == told.HELLO:
-            self._after_confirms = payload[1:2] == bytes((told.CONFIRMS,))
-            for frame in told.frames(told.encode_snapshot(self._snapshot())):
-                self.successor.send(frame)
+        if kind == FrameKind.CLIENT_TAKEN:
+            self.successor.confirm_client()
+        elif kind == FrameKind.HELLO:
+            self.successor.send_snapshot(payload, self._snapshot())
             self.log.write("handover: a process that would follow has been told what is known")
-        elif kind == told.READY:
+        elif kind == FrameKind.READY:
             self.share.successor_is_ready = True
-            self._settle()
+            self._update_share()
         else:
             try:
-                self._from_either(self.successor, kind, payload)
+                self._on_shared_frame(self.successor.link, kind, payload)
             except HandoverError as error:
                 self.log.write(f"handover: from the process after: {error}")
 
     def _snapshot(self) -> ProcessSnapshot:
         return msgspec.structs.replace(
-            told.maintenance_snapshot(self.pool.maintenance),
+            maintenance_snapshot(self.pool.maintenance),
             list_version=self.platform.discovery.version,
-            endpoints=told.snapshot_endpoints(self.pool.endpoints.values()),
+            endpoints=snapshot_endpoints(self.pool.endpoints.values()),
             policy=self.pool.take_snapshot(),
             clock_epoch=self.core.epoch,
         )
 
     def _on_successor_ended(self) -> None:
         self.log.write("handover: the process that would follow has ended")
-        if self.successor is not None:
-            self.descriptors_elsewhere.pop(self.successor, None)
+        successor = self.successor
         self.successor = None
-        self._take_back()
-        self.share.has_successor = self.share.successor_is_ready = False
-        self._settle()
-
-    def _take_back(self) -> None:
-        """Go on with connections that a process that has ended did not take.
+        if successor is not None:
+            self.descriptors_elsewhere.pop(successor.link, None)
+            self._reclaim_connections(successor)
+        self.share.has_successor = False
+        self.share.successor_is_ready = False
+        self._update_share()
 
-        One that lives and has only left the link may have taken them, and two would read
-        from one connection.
-        """
-        process = self._after_process
-        self._after_process = None
-        if process is None:
-            return
-        if len(self._unconfirmed) and process.has_ended():
-            descriptors = self._unconfirmed.take_back()
+    def _reclaim_connections(self, successor: Successor) -> None:
+        """Continue with connections that an ended successor did not take."""
+        descriptors = successor.reclaim()
+        if descriptors is not None:
             self.log.write(
                 f"handover: {len(descriptors)} connections were not taken, and go on here"
             )
             for descriptor in descriptors:
                 self.listener.adopt(descriptor)
-        self._unconfirmed.close()
-        process.close()
+        successor.release()
 
     # --- Both
 
     def _links(self) -> list[Link]:
-        return [link for link in (self.predecessor, self.successor) if link is not None]
-
-    def _from_either(self, link: Link, kind: int, payload: bytes) -> None:
-        if kind == told.MAINTENANCE:
-            ban = told.read_maintenance_mark(payload)
-            self.pool.maintenance.add_names((ban.host,))
-            self._act(ban, link)
-        elif kind == told.DESCRIPTORS_HELD and len(payload) == 4:
-            self.descriptors_elsewhere[link] = int.from_bytes(payload, "big")
-            self._settle()
+        successor_link = None if self.successor is None else self.successor.link
+        return [link for link in (self.predecessor, successor_link) if link is not None]
+
+    def _on_shared_frame(self, link: Link, kind: int, payload: bytes) -> None:
+        if kind == FrameKind.MAINTENANCE:
+            mark = read_maintenance_mark(payload)
+            self.pool.maintenance.add_names((mark.host,))
+            self._apply_mark(mark, link)
+        elif kind == FrameKind.DESCRIPTORS_HELD:
+            count = read_descriptor_count(payload)
+            if count is not None:
+                self.descriptors_elsewhere[link] = count
+                self._update_share()
 
     def mark_changed(self, host: str, out: bool) -> None:
-        """Staff have said this here."""
-        self._act(MaintenanceMark(host, out, self.core.clock()), None)
+        """Apply and pass on a maintenance mark that was set in this process."""
+        self._apply_mark(MaintenanceMark(host, out, self.core.clock()), None)
 
-    def _act(self, ban: MaintenanceMark, source: Link | None) -> None:
-        self.pool.set_maintenance(ban.host, ban.in_maintenance)
-        self._keeper.write()
+    def _apply_mark(self, mark: MaintenanceMark, source: Link | None) -> None:
+        self.pool.set_maintenance(mark.host, mark.in_maintenance)
+        self._maintenance_writer.write()
         for link in self._links():
             if link is not source:
-                link.send(told.maintenance_frame(ban))
+                link.send(maintenance_frame(mark))
 
-    def _apply_share(self, whole: ResourceLimits) -> ResourceLimits:
-        return self.share.limits(whole, sum(self.descriptors_elsewhere.values()))
+    def _apply_share(self, total: ResourceLimits) -> ResourceLimits:
+        return self.share.limits(total, sum(self.descriptors_elsewhere.values()))
 
-    def _settle(self) -> None:
-        """Go by this process's share as it is now."""
+    def _update_share(self) -> None:
+        """Apply this process's current share."""
         self.platform.resize()
         self.pool.set_share(self.share.intake())
-        if self.share.processes() > 1 and self._report is None:
+        if self.share.processes() > 1 and self._report_timer is None:
             self._report_descriptors()
 
     def _report_descriptors(self) -> None:
-        self._report = None
-        held = self.core.admission.held + self.core.upstream_descriptors()
+        self._report_timer = None
+        held_here = self.core.admission.held + self.core.upstream_descriptors()
         for link in self._links():
-            beyond = sum(
+            held_by_others = sum(
                 count for other, count in self.descriptors_elsewhere.items() if other is not link
             )
-            link.send(bytes((told.DESCRIPTORS_HELD,)) + (held + beyond).to_bytes(4, "big"))
+            link.send(descriptors_frame(held_here + held_by_others))
         if self.share.processes() > 1:
-            self._report = self.core.loop.call_later(REPORT, self._report_descriptors)
+            self._report_timer = self.core.loop.call_later(
+                REPORT_INTERVAL, self._report_descriptors
+            )
 
     # --- At the end
 
     def can_pass_on(self) -> bool:
-        """Return whether a successor takes clients in."""
+        """Return whether a successor accepts connections."""
         return self.successor is not None and self.share.successor_is_ready
 
     async def pass_on(self) -> None:
-        """SIGTERM with a successor: give it each connection as it falls idle.
+        """Drain (SIGTERM): pass each connection to the successor once it is idle.
 
-        Nobody is closed for it, and no request is left unread: who waits to be taken in is taken in
-        by the successor, and what the kernel holds of a request goes with its connection.
+        No connection is closed, and no request is left unread: clients that wait to be accepted are
+        accepted by the successor, and bytes of a request that the kernel holds are passed on with
+        the connection.
         """
         core = self.core
         core.drain()
         assert self.successor is not None
-        self.successor.send(bytes((told.DRAINING,)))
+        self.successor.link.send(plain_frame(FrameKind.DRAINING))
         self.listener.stop_accepting()
-        core.pass_on_connection = self._pass
-        last = core.drain_until + AFTERWARDS
-        while self.can_pass_on() and core.clock() < last and self._owing():
-            await asyncio.sleep(STEP)
+        core.pass_on_connection = self._pass_connection
+        last = core.drain_until + DRAIN_MARGIN
+        while self.can_pass_on() and core.clock() < last and self._pass_idle_connections():
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
         core.pass_on_connection = None
-        self.log.write(f"handover: {self.passed} connections passed on")
+        self.log.write(f"handover: {self.passed_count} connections passed on")
 
-    def _owing(self) -> bool:
-        """Pass on who is idle; whether anybody is left, or half-way in or out.
+    def _pass_idle_connections(self) -> bool:
+        """Pass idle connections on; return whether any is left, or being opened or closed.
 
-        While the process before lives, its connections may be on their way here, and end
-        with a link that is closed on them.
+        While the predecessor is running, its connections may be in transit to this process, and
+        would be lost with the link.
         """
-        left = [client for client in list(self.core.clients) if not self._pass(client)]
-        waits = self.successor is not None and self.successor.waits()
-        waits = waits or self.predecessor is not None or len(self._unconfirmed) > 0
-        return waits or bool(self.core.arriving) or any(not c.is_closed() for c in left)
+        clients = list(self.core.clients)
+        remaining = [client for client in clients if not self._pass_connection(client)]
+        in_transit = self.successor is not None and self.successor.has_pending()
+        in_transit = in_transit or self.predecessor is not None or bool(self.core.arriving)
+        return in_transit or any(not client.is_closed() for client in remaining)
 
-    def _pass(self, client: Connection) -> bool:
+    def _pass_connection(self, client: Connection) -> bool:
         if self.successor is None or not self.can_pass_on():
             return False
         descriptor = client.detach()
         if descriptor is None:
             return False
-        self.passed += 1
-        if self._after_confirms:
-            self._unconfirmed.keep(descriptor)
-        self.successor.send(bytes((told.CLIENT,)), descriptor)
+        self.passed_count += 1
+        self.successor.pass_connection(descriptor)
         return True
 
     def close(self) -> None:
-        """End both links."""
-        self._keeper.close()
-        if self._report is not None:
-            self._report.cancel()
-        if self._sock is not None:
-            self.core.loop.remove_reader(self._sock)
-            self._sock.close()
-        self._unconfirmed.close()
-        if self._after_process is not None:
-            self._after_process.close()
-        for link in self._links():
-            link.on_end = lambda: None  # this process has ended, and not the other
+        """Close both links."""
+        self._maintenance_writer.close()
+        if self._report_timer is not None:
+            self._report_timer.cancel()
+        if self._listening_socket is not None:
+            self.core.loop.remove_reader(self._listening_socket)
+            self._listening_socket.close()
+        links = self._links()
+        if self.successor is not None:
+            self.successor.release()
+        for link in links:
+            link.on_end = _ignore_end  # this process ends, not the other one
             link.close()
+
+
+def _ignore_end() -> None:
+    """Do nothing about a link that this process closes itself."""
--- a/tests/recorded_values.py
+++ b/tests/recorded_values.py
@@ -14,6 +14,7 @@
 from sailhitch.daemon.plan import load_plan, make_plan, make_whole_plan
 from sailhitch.daemon.state import EMPTY, State
 from sailhitch.daemon.store import AppliedState, Store, ignore_step
+from sailhitch.handover import frames as handover_frames
 from sailhitch.handover import snapshot as handover
 from sailhitch.policy_interface import (
     Endpoint,
@@ -120,7 +121,7 @@
 
 def _join_frames(data: bytes) -> Any:
     """Decode a snapshot sent as frames that are recorded one after the other."""
-    pieces = handover.SnapshotAssembler()
+    pieces = handover_frames.SnapshotAssembler()
     assert data[:1] == b"S"
     assert data[-1:] == b"W"
     pieces.add(data[1:-1])
@@ -148,12 +149,14 @@
     **{f"datagram_{name}": Codec(message, _seal, _open) for name, message in MESSAGES.items()},
     "handover_snapshot": Codec(SNAPSHOT, handover.encode_snapshot, handover.decode_snapshot),
     "handover_frames": Codec(
-        SNAPSHOT, lambda v: b"".join(handover.frames(handover.encode_snapshot(v))), _join_frames
+        SNAPSHOT,
+        lambda v: b"".join(handover_frames.snapshot_frames(handover.encode_snapshot(v))),
+        _join_frames,
     ),
     "handover_ban": Codec(
-        handover.MaintenanceMark("10.0.0.1:80", True, 9_000),
-        handover.maintenance_frame,
-        lambda data: handover.read_maintenance_mark(data[1:]),
+        handover_frames.MaintenanceMark("10.0.0.1:80", True, 9_000),
+        handover_frames.maintenance_frame,
+        lambda data: handover_frames.read_maintenance_mark(data[1:]),
     ),
     "tier_roster": Codec(SORTED_ROSTER, lambda value: value.encode(), decode_configuration),
     "traffic_policy": Codec(TRAFFIC_POLICY, lambda value: value.encode(), traffic_policy.decode),
@@ -165,15 +168,15 @@
     ),
 }
 FRAME_KINDS = {
-    "hello": handover.HELLO,
-    "state": handover.STATE,
-    "state_end": handover.STATE_END,
-    "ready": handover.READY,
-    "ban": handover.MAINTENANCE,
-    "client": handover.CLIENT,
-    "draining": handover.DRAINING,
-    "held": handover.DESCRIPTORS_HELD,
-    "taken": handover.CLIENT_TAKEN,
+    "hello": handover_frames.FrameKind.HELLO,
+    "state": handover_frames.FrameKind.SNAPSHOT,
+    "state_end": handover_frames.FrameKind.SNAPSHOT_END,
+    "ready": handover_frames.FrameKind.READY,
+    "ban": handover_frames.FrameKind.MAINTENANCE,
+    "client": handover_frames.FrameKind.CLIENT,
+    "draining": handover_frames.FrameKind.DRAINING,
+    "held": handover_frames.FrameKind.DESCRIPTORS_HELD,
+    "taken": handover_frames.FrameKind.CLIENT_TAKEN,
 }
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,19 +18,16 @@
 from sailhitch.core.policy_snapshot import restore_snapshot, take_snapshot
 from sailhitch.core.resource_limits import ResourceLimits
 from sailhitch.handover.files import HandoverFiles
+from sailhitch.handover.frames import FrameKind, SnapshotAssembler, snapshot_frames
 from sailhitch.handover.link import Link, listen
 from sailhitch.handover.passed_connections import PassedConnections, PeerProcess
 from sailhitch.handover.shares import Share
 from sailhitch.handover.snapshot import (
-    STATE,
-    STATE_END,
     HandoverError,
     ProcessSnapshot,
-    SnapshotAssembler,
     SnapshotEndpoint,
     decode_snapshot,
     encode_snapshot,
-    frames,
 )
 from sailhitch.policy_interface import AttemptOutcome, LoadReport
 from tests.fake import MS, World, server
@@ -48,11 +45,11 @@
 
 def test_state_is_put_together_from_its_frames() -> None:
     pieces = SnapshotAssembler()
-    *parts, end = frames(encode_snapshot(LEGACY))
+    *parts, end = snapshot_frames(encode_snapshot(LEGACY))
     for part in parts:
-        assert part[0] == STATE
+        assert part[0] == FrameKind.SNAPSHOT
         pieces.add(part[1:])
-    assert end == bytes((STATE_END,))
+    assert end == bytes((FrameKind.SNAPSHOT_END,))
     assert pieces.finish() == LEGACY
 
 
@@ -251,7 +248,7 @@
     passed = PassedConnections()
     for sock in (one, two, two):
         passed.keep(sock.fileno())
-    passed.taken()
+    passed.confirm_oldest()
     left = passed.take_back()
     assert [os.path.sameopenfile(fd, two.fileno()) for fd in left] == [True, True]
     for descriptor in left:
