--- a/sailhitch/core/budget.py
+++ b/sailhitch/core/budget.py
@@ -1,48 +1,51 @@
-"""Memory for bodies of requests and answers: one budget of bytes, counted as they come."""
+"""Memory budget for bodies of requests and responses, counted as they arrive."""
 
 from __future__ import annotations
 
 from typing import Final
 
 MB: Final = 1 << 20
-HELD_MOST: Final = 64 * 1024  # bodies and answers of up to so much are held whole; longer ones flow
-LONGEST: Final = 40 * MB  # they are up to 32 MB long; more than this has no end
-PROCESS: Final = 32 * MB  # what the rest of the process needs
-# One part in so many of what is left may be bodies; answers and buffers need theirs.
-SHARE: Final = 3
-LEAST: Final = 2 * MB
+HELD_MOST: Final = 64 * 1024  # longest body that is buffered; longer ones are streamed
+LONGEST: Final = 40 * MB  # of a body; expected are up to 32 MB
+PROCESS_MEMORY: Final = 32 * MB  # for everything but bodies, responses and buffers
+# Bodies may use one part in so many of the rest; responses and buffers need theirs.
+BODY_SHARE: Final = 3
+MIN_LIMIT: Final = 2 * MB
 
 
 class Budget:
-    """How many bytes of bodies are held, and whether there is room for more.
+    """How many bytes of bodies are buffered, and whether more fit in.
 
-    Guards against any number of clients that fill memory together with bodies none of which is
-    too large by itself, sent slowly or for requests that stay open. It can do harm where the
-    memory limit is small and many large bodies are on their way for good reasons: the ones that
-    come last are refused, which their clients may safely repeat.
+    Guards against many clients that together fill memory with bodies none of which is too large by
+    itself, sent slowly or for requests that stay open. With a small memory limit and many large
+    bodies, the last ones are rejected, and their clients may safely retry.
 
-    What flows has a part of its own, as large: long answers to slow clients must not take the room
-    of short ones. It is counted and not refused, but for bodies that would begin to flow.
+    Streamed bytes have a budget of their own, as large: long responses to slow clients must not
+    displace short ones. They are counted and not limited, except that no further request body may
+    begin to stream.
     """
 
     def __init__(self, memory_mb: int) -> None:
-        self.reserved = self.limit = 0
-        self.flows = 0  # bytes on their way through, of bodies and answers that are not held whole
+        self.reserved = 0
+        self.limit = 0
+        self.flows = 0  # bytes in transit of bodies and responses that are streamed
         self.resize(memory_mb)
 
     def resize(self, memory_mb: int) -> None:
-        self.limit = max(LEAST, (memory_mb * MB - PROCESS) // SHARE)
+        """Set the limit by the memory of the process."""
+        self.limit = max(MIN_LIMIT, (memory_mb * MB - PROCESS_MEMORY) // BODY_SHARE)
 
     def take(self, size: int) -> bool:
-        """Count bytes that have come; False, and nothing counted, if there is no room for them."""
+        """Reserve bytes that have arrived; return False, reserving none, if they don't fit in."""
         if self.reserved + size > self.limit:
             return False
         self.reserved += size
         return True
 
     def share(self) -> float:
-        """Return the share in use of whichever is shorter: what is held, or what flows."""
+        """Return the share in use, of buffered or of streamed bytes, whichever is larger."""
         return max(self.reserved, self.flows) / self.limit
 
     def give_back(self, size: int) -> None:
+        """Release reserved bytes."""
         self.reserved -= size
--- a/sailhitch/core/connection_settings.py
+++ b/sailhitch/core/connection_settings.py
@@ -1,11 +1,11 @@
-"""How the hosts of a pool are connected to. Times are microseconds."""
+"""Settings of the connections to a pool's hosts. Times are microseconds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Final
 
-IDLE_MARGIN: Final = 3_000_000  # a connection is closed so long before its host would close it
+IDLE_MARGIN: Final = 3_000_000  # a connection is closed this long before its host would
 
 
 def idle_lifetime(idle_timeout: int) -> int:
--- a/sailhitch/core/endpoints.py
+++ b/sailhitch/core/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints as a source of endpoints lists them, with the addresses to connect to."""
+"""Endpoints as a source of endpoints lists them, with their addresses."""
 
 from __future__ import annotations
 
--- a/sailhitch/core/invariants.py
+++ b/sailhitch/core/invariants.py
@@ -1,8 +1,8 @@
-"""The rules on requests as invariants: asked in one place each, and every violation is counted.
+"""The rules on requests as invariants, each checked in one place.
 
-Everything that decides by these rules does so earlier. What is found here is a fault of the
-program: it is not done, it is logged with the request's id, and `violations` of the periodic line
-counts it.
+Decisions follow these rules earlier. A violation detected here is a fault of the program: the
+action is not carried out, it is logged with the request's name, and counted by `violations` in the
+periodic statistics.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Invariants:
-    """Checks, and counts what would have broken."""
+    """Checks the invariants, and counts violations."""
 
     def __init__(self, log: Log) -> None:
         self._log = log
@@ -38,21 +38,21 @@
         """Return the number of violations so far."""
         return sum(self.counts.values())
 
-    def record(self, violation: Violation, request: RequestContext, more: str = "") -> Violation:
+    def record(self, violation: Violation, request: RequestContext, details: str = "") -> Violation:
         """Record a violation."""
         self.counts[violation] += 1
         name = request.name.decode("latin-1")
-        text = f"violation: request {name}: {violation.value}{more}"
+        text = f"violation: request {name}: {violation.value}{details}"
         self._log.write_limited(f"violation {violation.name}", text)
         return violation
 
     def before_send(
         self, attempt: Attempt, now: int, ready: bool, remembered: bool
     ) -> Violation | None:
-        """Return what speaks against writing an attempt's first byte now, if anything.
+        """Return the invariant that writing an attempt's first byte now would violate, if any.
 
-        `ready`: the list has its host as ready. `remembered`: hosts still know a repeat of it as
-        one.
+        `ready`: its host is listed as ready. `remembered`: hosts still recognize a retry of it by
+        its idempotency key.
         """
         request = attempt.request
         violation = None
@@ -62,16 +62,18 @@
             violation = Violation.SENT_LATE
         elif not ready:
             violation = Violation.SENT_UNLISTED
-        elif _repeats(attempt) and not remembered:
+        elif _may_repeat_effect(attempt) and not remembered:
             violation = Violation.REPEATED
         if violation is not None:
             self.record(violation, request, f" (attempt {attempt.number} at {attempt.server})")
         return violation
 
     def before_refusal(self, request: RequestContext) -> bool:
-        """Return whether a refusal, which promises that a repeat is harmless, is true."""
-        kind = request.request_class
-        if kind is None or kind.idempotency != Idempotency.UNSAFE or not request.first_run_at:
+        """Return whether the request may be rejected, which promises that a retry is harmless."""
+        request_class = request.request_class
+        if request_class is None or request_class.idempotency != Idempotency.UNSAFE:
+            return True
+        if not request.first_run_at:
             return True
         self.record(Violation.REFUSED_AFTER_RUN, request)
         return False
@@ -81,15 +83,15 @@
         return " ".join(f"{v.name.lower()}={count}" for v, count in self.counts.items() if count)
 
 
-def _repeats(attempt: Attempt) -> bool:
-    """Return whether an attempt could make an effect happen a second time."""
+def _may_repeat_effect(attempt: Attempt) -> bool:
+    """Return whether an attempt could make the request take effect a second time."""
     request = attempt.request
-    kind = request.request_class
-    if kind is None or kind.idempotency == Idempotency.SAFE:
+    request_class = request.request_class
+    if request_class is None or request_class.idempotency == Idempotency.SAFE:
         return False
-    if kind.idempotency == Idempotency.KEYED:
+    if request_class.idempotency == Idempotency.KEYED:
         return bool(request.first_run_at)
-    others = [
-        one for one in request.open_attempts if one is not attempt and one.connection is not None
-    ]
-    return bool(request.first_run_at or others)
+    others_sent = any(
+        other is not attempt and other.connection is not None for other in request.open_attempts
+    )
+    return bool(request.first_run_at or others_sent)
--- a/sailhitch/core/log.py
+++ b/sailhitch/core/log.py
@@ -7,32 +7,34 @@
 import time
 from typing import Final, TextIO
 
-PER_KEY: Final = 5.0  # seconds between two lines about the same thing
-BURST: Final = 40  # lines within a second, whatever they are about
-KEYS: Final = 512
-LONGEST: Final = select.PIPE_BUF  # bytes of a line; a pipe that polls writable takes so many
+INTERVAL_PER_KEY: Final = 5.0  # s between two lines of one key
+MAX_LINES_PER_SECOND: Final = 40  # of all keys
+MAX_KEYS: Final = 512
+MAX_LINE_BYTES: Final = select.PIPE_BUF  # a pipe that polls writable accepts this many
 
 
 class Log:
-    """Owns standard error. Whatever a peer can cause a thousand times a second must not
-    cost a line each time; what is left out is counted and said with the next line of its kind.
+    """Writes lines to standard error, at a bounded rate.
+
+    What a peer can cause a thousand times a second must not cost a line each time; lines that are
+    left out are counted, and the count is written with the next line of their key.
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._last: dict[str, tuple[float, int]] = {}
+        self._by_key: dict[str, tuple[float, int]] = {}  # time of the last line, lines left out
         self._second = 0
-        self._lines = 0
-        self._lost = 0  # lines that standard error did not take
+        self._lines = 0  # in that second
+        self._lost = 0  # lines that standard error did not accept
 
     def write(self, text: str) -> None:
-        """Write a line that comes seldom by itself."""
+        """Write a line about something rare."""
         now = time.time()
         if int(now) != self._second:
             self._second = int(now)
             self._lines = 0
         self._lines += 1
-        if self._lines > BURST:
+        if self._lines > MAX_LINES_PER_SECOND:
             return
         stamp = time.strftime("%H:%M:%S", time.gmtime(now)) + f".{int(now % 1 * 1000):03d}"
         try:
@@ -45,43 +47,42 @@
             sys.stderr.write(_line(f"{stamp} {self._name} {text}"))
             sys.stderr.flush()
         except (OSError, ValueError):
-            return  # nobody reads the log; the gateway goes on
+            return  # the log has no reader; the gateway continues
 
     def write_limited(self, key: str, text: str) -> None:
-        """Write a line about something that may happen often: one in a while for each key."""
+        """Write a line about something that may be frequent, at a limited rate for each key."""
         now = time.monotonic()
-        last, missed = self._last.get(key, (-PER_KEY, 0))
-        if now - last < PER_KEY:
-            self._last[key] = (last, missed + 1)
+        last, missed = self._by_key.get(key, (-INTERVAL_PER_KEY, 0))
+        if now - last < INTERVAL_PER_KEY:
+            self._by_key[key] = (last, missed + 1)
             return
-        if len(self._last) >= KEYS:
-            self._last.clear()
-        self._last[key] = (now, 0)
+        if len(self._by_key) >= MAX_KEYS:
+            self._by_key.clear()
+        self._by_key[key] = (now, 0)
         self.write(f"{text} ({missed} more like this before)" if missed else text)
 
 
 def _line(text: str) -> str:
-    """Return a text as one line, cut where it is too long.
+    """Return a text as one line, truncated if it is too long.
 
-    What is cut must be bytes and not characters, and must not be the end of the line: the
-    next line would run into it.
+    The limit is one of bytes, and the end of the line must not be cut off.
     """
     encoded = text.encode(errors="backslashreplace")
-    if len(encoded) >= LONGEST:
-        text = encoded[: LONGEST - 1].decode(errors="ignore")
+    if len(encoded) >= MAX_LINE_BYTES:
+        text = encoded[: MAX_LINE_BYTES - 1].decode(errors="ignore")
     return text + "\n"
 
 
 def _has_room(stream: TextIO) -> bool:
     """Return whether a line can be written without waiting.
 
-    Guards against a pipe whose reader has stopped: a write to a full one blocks the event loop, and
-    every request with it. A pipe is writable if PIPE_BUF bytes fit in; a file always is (poll(2)).
+    A write to a full pipe, whose reader has stopped, would block the event loop and every request.
+    A pipe polls writable if PIPE_BUF bytes fit in; a file always does (poll(2)).
     """
     try:
         descriptor = stream.fileno()
     except (OSError, ValueError):
-        return True  # it is none of the system's
+        return True  # not a file of the system
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
     return bool(poll.poll(0))
--- a/sailhitch/core/maintenance.py
+++ b/sailhitch/core/maintenance.py
@@ -1,7 +1,7 @@
-"""Hosts taken out by hand: a ban lies over the list, whatever the list says.
+"""Hosts in maintenance: taken out by hand, which overrides the endpoint list.
 
-The one place that decides what the module hears of a host that staff have a hand on. No I/O; times
-are microseconds of the process's clock, which compares with a host's time of start.
+The only place that decides what the decision module receives of such a host. No I/O; times are
+microseconds of the process's clock, which is comparable to a host's time of start.
 """
 
 from __future__ import annotations
@@ -11,16 +11,13 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-from ..policy_interface import (
-    Endpoint,
-    EndpointState,
-)
+from ..policy_interface import Endpoint, EndpointState
 
-REMEMBERED: Final = 20_000  # ids ever listed; a call that names an older one is answered no
+MAX_KNOWN_NAMES: Final = 20_000  # of all hosts ever listed; older ones are unknown
 
 
 class MaintenanceResult(Enum):
-    """What a call came to."""
+    """The result of a call."""
 
     CHANGED = "changed"
     ALREADY = "already"
@@ -35,19 +32,19 @@
 
 
 class Maintenance:
-    """Bans, and what is still to be borne in mind after them."""
+    """Hosts in maintenance (bans), and hosts that have returned from it."""
 
     def __init__(self) -> None:
         self.known_names: OrderedDict[str, None] = OrderedDict()
-        self.bans: dict[str, int] = {}  # since when
+        self.bans: dict[str, int] = {}  # since when, by name
         self.returned: dict[str, CompletedBan] = {}
 
     def add_names(self, names: Iterable[str]) -> None:
-        """These are or were listed."""
+        """Record names that are or were endpoint."""
         for name in names:
             self.known_names[name] = None
             self.known_names.move_to_end(name)
-        while len(self.known_names) > REMEMBERED:
+        while len(self.known_names) > MAX_KNOWN_NAMES:
             self.known_names.popitem(last=False)
 
     def knows(self, name: str) -> bool:
@@ -55,11 +52,11 @@
         return name in self.known_names or name in self.bans
 
     def is_out(self, name: str) -> bool:
-        """Return whether staff have taken it out."""
+        """Return whether the host is in maintenance."""
         return name in self.bans
 
     def enter(self, name: str, now: int) -> MaintenanceResult:
-        """Take a host out. Its ban lasts until `leave`, however often this is said."""
+        """Take a host out; however often this is called, one `leave` puts it back."""
         if name in self.bans:
             return MaintenanceResult.ALREADY
         if name not in self.known_names:
@@ -72,34 +69,31 @@
         """Put a host back; one call ends any number of `enter`."""
         entered = self.bans.pop(name, None)
         if entered is None:
-            return (
-                MaintenanceResult.ALREADY if name in self.known_names else MaintenanceResult.UNKNOWN
-            )
+            known = name in self.known_names
+            return MaintenanceResult.ALREADY if known else MaintenanceResult.UNKNOWN
         self.returned[name] = CompletedBan(entered, now)
         return MaintenanceResult.CHANGED
 
-    def apply_to(self, listed: Endpoint) -> Endpoint:
-        """Return what the module is to hear of a host that is listed so.
+    def apply_to(self, endpoint: Endpoint) -> Endpoint:
+        """Return an endpoint as the decision module is to receive it.
 
-        Hosts are taken out to be restarted, and the list tells of a start late. Taken for
-        a warm one, a host that has just come back is pushed over. So from the end of its ban on it
-        counts as started then, until the list tells of a start since it was taken out.
+        Hosts are taken out to be restarted, and the list reports a start late. If a host that has
+        just returned were taken for a warm one, it would be overloaded. So it counts as started at
+        the end of its ban, until the list reports a start later than the ban's begin.
         """
-        name = listed.name
+        name = endpoint.name
         if name in self.bans:
-            return (
-                listed._replace(state=EndpointState.DRAINING)
-                if listed.state == EndpointState.READY
-                else listed
-            )
-        back = self.returned.get(name)
-        if back is None:
-            return listed
-        if listed.started_at >= back.entered:
+            if endpoint.state == EndpointState.READY:
+                return endpoint._replace(state=EndpointState.DRAINING)
+            return endpoint
+        completed = self.returned.get(name)
+        if completed is None:
+            return endpoint
+        if endpoint.started_at >= completed.entered:
             del self.returned[name]
-            return listed
-        return listed._replace(started_at=back.left)
+            return endpoint
+        return endpoint._replace(started_at=completed.left)
 
     def forget(self, name: str) -> None:
-        """A host has left the list. Its ban stays: it may come back under the same id."""
+        """Forget the completed ban of a host that left the list; a ban remains, for its return."""
         self.returned.pop(name, None)
--- a/sailhitch/core/policy_snapshot.py
+++ b/sailhitch/core/policy_snapshot.py
@@ -10,28 +10,28 @@
 
 
 def take_snapshot(policy: Gateway) -> PolicySnapshot:
-    """Return what was learned; attempts, held requests and tokens are not part of it."""
+    """Return what was learned; attempts, queued requests and tokens are not part of it."""
     fields = ServerSnapshot._fields[1:-1]
     overload = policy.overload
     scores = policy.scores
     pairs = zip(overload.arrivals[::2], overload.arrivals[1::2], strict=True)
     return PolicySnapshot(
         {
-            s.name: ServerSnapshot._make(
+            server.name: ServerSnapshot._make(
                 [
-                    s.listed_started_at,
-                    *[getattr(s, name) for name in fields],
-                    s.rate.take_snapshot(),
+                    server.listed_started_at,
+                    *[getattr(server, name) for name in fields],
+                    server.rate.take_snapshot(),
                 ]
             )
-            for s in policy.endpoint_table.servers.values()
-            if s.answered_at or s.ejections
+            for server in policy.endpoint_table.servers.values()
+            if server.answered_at or server.ejections
         },
         {
-            c.name: (overload.class_latency[i], overload.class_work[i])
-            for i, c in enumerate(policy.settings.classes)
+            request_class.name: (overload.class_latency[i], overload.class_work[i])
+            for i, request_class in enumerate(policy.settings.classes)
         },
-        [(w, *pair) for w, pair in zip(overload.priority_levels, pairs, strict=True)],
+        [(weight, *pair) for weight, pair in zip(overload.priority_levels, pairs, strict=True)],
         overload.arrivals_at,
         overload.started_at,
         (
@@ -48,8 +48,8 @@
 def restore_snapshot(policy: Gateway, snapshot: PolicySnapshot) -> None:
     """Continue with what the predecessor has learned.
 
-    Without it a new process would take all servers for equal and idle, and overload the slow ones
-    first. What was learned of another instance of a server is dropped.
+    Without it a new process would assume that all servers are equal and idle, and overload the slow
+    ones first. What was learned of an earlier incarnation of a server is dropped.
     """
     overload = policy.overload
     scores = policy.scores
@@ -59,13 +59,15 @@
             for field, value in zip(ServerSnapshot._fields[2:-1], known[2:-1], strict=True):
                 setattr(server, field, value)
             server.rate.restore_snapshot(known.rate)
-    for i, cls in enumerate(policy.settings.classes):
-        if cls.name in snapshot.classes:
-            overload.class_latency[i], overload.class_work[i] = snapshot.classes[cls.name]
-    for worth, *counts in snapshot.arrivals:
-        if worth in overload.priority_levels:
-            at = 2 * overload.priority_levels.index(worth)
-            overload.arrivals[at : at + 2] = counts
+    for i, request_class in enumerate(policy.settings.classes):
+        if request_class.name in snapshot.classes:
+            latency, work = snapshot.classes[request_class.name]
+            overload.class_latency[i] = latency
+            overload.class_work[i] = work
+    for weight, *counts in snapshot.arrivals:
+        if weight in overload.priority_levels:
+            first = 2 * overload.priority_levels.index(weight)
+            overload.arrivals[first : first + 2] = counts
     overload.arrivals_at = snapshot.arrivals_at
     overload.started_at = snapshot.started_at
     queue, response_time, service_time = snapshot.typical
--- a/sailhitch/core/request_classes.py
+++ b/sailhitch/core/request_classes.py
@@ -1,8 +1,8 @@
 """Number request classes consistently across changes of the settings. No I/O.
 
 The decision module knows a class by its index in a list. A request keeps its class as it was when
-the request's head arrived, whatever the settings say since; so classes that are gone keep a number
-for a while.
+the request's head arrived, whatever the settings say since; so removed classes keep a number for
+a while.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
     def __init__(self, classes: Sequence[RequestClass]) -> None:
         self.current: tuple[RequestClass, ...] = tuple(classes)
-        self.past: list[tuple[int, RequestClass]] = []  # kept until (us), oldest first
+        self.past: list[tuple[int, RequestClass]] = []  # with the time (us) they are kept until
         self._number()
 
     def _number(self) -> None:
-        past = [kind for _, kind in self.past]
+        past = [request_class for _, request_class in self.past]
         # By identity: hashing a class would take longer than everything else here.
-        self._numbers = {id(kind): i for i, kind in enumerate((*self.current, *past))}
+        self._numbers = {id(cls): i for i, cls in enumerate((*self.current, *past))}
 
-    def number(self, kind: RequestClass) -> int | None:
+    def number(self, request_class: RequestClass) -> int | None:
         """Return the index in the module's list; None for a class that was dropped."""
-        return self._numbers.get(id(kind))
+        return self._numbers.get(id(request_class))
 
     def replace(
         self, now: int, classes: Sequence[RequestClass], also: Sequence[RequestClass] = ()
@@ -41,9 +41,9 @@
         `also` are classes that requests may have besides, and are kept as removed ones are.
         """
         until = now + RETENTION
-        left = [(at, kind) for at, kind in self.past if at > now]
-        gone = [(until, kind) for kind in (*self.current, *also)]
-        self.past = [*left, *gone][-MAX_RETAINED:]
+        retained = [(at, request_class) for at, request_class in self.past if at > now]
+        removed = [(until, request_class) for request_class in (*self.current, *also)]
+        self.past = [*retained, *removed][-MAX_RETAINED:]
         self.current = tuple(classes)
         self._number()
-        return (*self.current, *[kind for _, kind in self.past])
+        return (*self.current, *[request_class for _, request_class in self.past])
--- a/sailhitch/core/request_context.py
+++ b/sailhitch/core/request_context.py
@@ -1,4 +1,4 @@
-"""A request and its attempts, as the core holds them."""
+"""A request and its attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RequestContext:
-    """One client's request, from its last byte to its one answer and its last attempt's outcome."""
+    """One client's request, until its one response and its last attempt's outcome."""
 
     __slots__ = (
         "arrived_at",
@@ -47,43 +47,46 @@
 
     def __init__(self, client: Client) -> None:
         self.id = 0
-        self.name = b""  # the client's own word for it, by which hosts know it
+        self.name = b""  # given by the client; hosts recognize retries by it
         self.client: Client | None = client
-        self.pool: Pool | None = None  # where it goes, for all its attempts; None until it is read
-        self.head = b""  # all of the head that goes on but for the deadline
+        self.pool: Pool | None = None  # of all its attempts; None until the head is read
+        self.head = b""  # as sent to hosts, without stamp and deadline
         self.body: bytes | bytearray = b""
-        self.reserved = 0  # of the budget for bodies
-        self.upload: Upload | None = None  # its body, where that is too long to be held
-        self.request_class: RequestClass | None = None  # its class as it was when its head came
-        self.tenant = self.work = self.wait_ms = 0
-        self.rules_revision = 0  # which ones it was read by, where they change: a count
+        self.reserved = 0  # bytes of the budget for bodies
+        self.upload: Upload | None = None  # the body, if it is streamed
+        self.request_class: RequestClass | None = None  # as it was when the head arrived
+        self.tenant = 0
+        self.work = 0
+        self.wait_ms = 0  # how long the client waits
+        self.rules_revision = 0  # of the rules that it was read by, where they change
         self.key: int | None = None
         self.repeat = False
         self.keep_alive = True
-        self.head_only = False  # only the head of its answer goes out (HEAD)
-        # A host's own word of failure, if nothing better comes.
+        self.head_only = False  # only the head of the response is sent (HEAD)
+        # A host's own error response, sent if no attempt succeeds.
         self.fallback_response: Response | None = None
-        self.is_http_1_0 = False  # HTTP/1.0: closed unless asked otherwise
-        # When its last byte was read, where it waits for its turn; 0 if not at all.
+        self.is_http_1_0 = False  # the connection is closed unless the client asks otherwise
+        # When its last byte was read, if it waits for an earlier one; 0 otherwise.
         self.arrived_at = 0
-        self.deadline = self.wake_at = 0
-        self.first_run_at = 0  # when the first attempt went out that may have run; 0 if none has
+        self.deadline = 0
+        self.wake_at = 0  # when its next timer fires; 0 if none is set
+        self.first_run_at = 0  # when the first attempt that may have run was sent; 0 if none was
         self.attempts = 0
         self.open_attempts: list[Attempt] = []
         self.closed = False
 
     def is_uploading(self) -> bool:
-        """Return whether its body still comes: no time runs yet, and no host can have begun it."""
+        """Return whether its body is incomplete: no time-out runs, and no host can have run it."""
         return self.upload is not None and not self.upload.complete
 
-    def serialize(self, left: int, stamp: bytes) -> tuple[bytes, bytes | bytearray]:
-        """Head, with these fields more, and body as they go to a host that has so long."""
-        head = b"%s%sReq-Deadline-Ms: %d\r\n\r\n" % (self.head, stamp, max(1, left // 1000))
+    def serialize(self, time_left: int, stamp: bytes) -> tuple[bytes, bytes | bytearray]:
+        """Return head and body for a host, with the fields of `stamp` and the time left (us)."""
+        head = b"%s%sReq-Deadline-Ms: %d\r\n\r\n" % (self.head, stamp, max(1, time_left // 1000))
         return head, self.body
 
 
 class Attempt:
-    """One attempt of a request, from the module's word to its one outcome."""
+    """One attempt of a request, until its one outcome."""
 
     __slots__ = (
         "connect_by",
@@ -100,22 +103,24 @@
         "written_at",
     )
 
-    def __init__(self, request: RequestContext, n: int, server: str, now: int, ends: int) -> None:
+    def __init__(
+        self, request: RequestContext, number: int, server: str, now: int, expires_at: int
+    ) -> None:
         self.request = request
-        self.number = n
+        self.number = number
         self.server = server
         self.sent_at = now
-        self.expires_at = ends
-        self.written_at = 0  # when its first byte went to a connection
-        self.timeout = 0  # how long it may take from the last byte of a body that still comes
-        self.response_started = False  # its answer is being passed on
-        self.connect_by = 0  # while it waits for a connection
+        self.expires_at = expires_at
+        self.written_at = 0  # when its first byte was written
+        self.timeout = 0  # how long it may take after the last byte of a streamed body
+        self.response_started = False  # its response is being streamed
+        self.connect_by = 0  # time limit while it waits for a connection; 0 otherwise
         self.connection: RequestSink | None = None
         self.pending_connect: Pending | None = None
         self.finished = False
 
     def cancel(self) -> None:
-        """Stop waiting for it, on its connection or for one."""
+        """Cancel the wait for a connection, or abandon the response."""
         if self.pending_connect is not None:
             self.pending_connect.cancel()
             self.pending_connect = None
--- a/sailhitch/core/statistics.py
+++ b/sailhitch/core/statistics.py
@@ -18,7 +18,7 @@
     core.logger.write(core.admission.summary())
     for pool in core.pools:
         core.logger.write(f"{pool.name}: {pool.summary()}")
-    core.timers.worst = 0
+    core.timers.max_lag = 0
 
 
 def _request_statistics(core: GatewayCore) -> str:
@@ -32,7 +32,7 @@
         f"upstream={core.upstream_descriptors()} "
         f"opened={sum(pool.transport.opened for pool in core.pools)} "
         f"hosts={sum(len(pool.endpoints) for pool in core.pools)} "
-        f"lag_ms={core.timers.worst // MS} panics={counters.panics} "
+        f"lag_ms={core.timers.max_lag // MS} panics={counters.panics} "
         f"faults={counters.faults} overdue={counters.overdue} violations={core.invariants.total} "
         f"outcomes: {outcomes}"
     )
--- a/sailhitch/core/throughput_watchdog.py
+++ b/sailhitch/core/throughput_watchdog.py
@@ -8,49 +8,53 @@
 
 from typing import Final
 
-GRACE: Final = 2_500_000  # of counted time before the rate applies
-STALL: Final = 2_000_000  # of counted time without a single byte
-RATE: Final = 16 * 1024  # bytes a second, averaged over the counted time after the grace
+GRACE_TIME: Final = 2_500_000  # of counted time before the rate applies
+MAX_STALL: Final = 2_000_000  # of counted time without a single byte
+MIN_RATE: Final = 16 * 1024  # bytes a second, averaged over the counted time after the grace
 
 
 class ThroughputWatchdog:
     """Measures the throughput of one peer of one stream."""
 
-    __slots__ = ("_last", "_since", "_spent", "grace", "moved", "rate", "stall")
+    __slots__ = ("_counted", "_last_moved_at", "_running_since", "grace", "moved", "rate", "stall")
 
-    def __init__(self, now: int, rate: int = RATE, grace: int = GRACE, stall: int = STALL) -> None:
+    def __init__(
+        self, now: int, rate: int = MIN_RATE, grace: int = GRACE_TIME, stall: int = MAX_STALL
+    ) -> None:
         self.rate = rate
         self.grace = grace
         self.stall = stall
         self.moved = 0  # bytes
-        self._spent = 0  # counted time, up to `_since`
-        self._since: int | None = now  # since when the clock runs; None while it is stopped
-        self._last = 0  # counted time at which a byte last moved
+        self._counted = 0  # counted time, up to `_running_since`
+        self._running_since: int | None = now  # since when the clock runs; None while it is stopped
+        self._last_moved_at = 0  # counted time at which a byte last moved
 
     def spent(self, now: int) -> int:
         """Return the counted time."""
-        return self._spent + (max(0, now - self._since) if self._since is not None else 0)
+        return self._counted + (
+            max(0, now - self._running_since) if self._running_since is not None else 0
+        )
 
     def move(self, size: int, now: int) -> None:
         """Record that bytes have moved."""
         if size > 0:
             self.moved += size
-            self._last = self.spent(now)
+            self._last_moved_at = self.spent(now)
 
     def stop(self, now: int) -> None:
         """Stop the clock: the peer is not waited for."""
-        self._spent = self.spent(now)
-        self._since = None
+        self._counted = self.spent(now)
+        self._running_since = None
 
     def go(self, now: int) -> None:
         """Run the clock again; the limit on time without a byte starts anew."""
-        if self._since is None:
-            self._since = now
-            self._last = self._spent
+        if self._running_since is None:
+            self._running_since = now
+            self._last_moved_at = self._counted
 
     def overdue(self, now: int) -> bool:
         """Return whether the peer has stalled, or is slower than the rate."""
-        spent = self.spent(now)
-        if spent - self._last > self.stall:
+        counted = self.spent(now)
+        if counted - self._last_moved_at > self.stall:
             return True
-        return spent > self.grace and self.moved < (spent - self.grace) * self.rate // 1_000_000
+        return counted > self.grace and self.moved < (counted - self.grace) * self.rate // 1_000_000
--- a/sailhitch/core/timer_wheel.py
+++ b/sailhitch/core/timer_wheel.py
@@ -9,19 +9,19 @@
 
 MS: Final = 1000
 NEVER: Final = 1 << 62  # us; a time that never comes
-LATE: Final = 40 * MS  # us of delay after which sockets are read before timers fire
+LATE: Final = 40 * MS  # of delay, after which sockets are read before timers fire
 
 T = TypeVar("T")
 
 
 class TimerWheel(Generic[T]):
-    """Calls `fire(what, at, now)` for each entry when it is due; times are microseconds.
+    """Calls `fire(target, at, now)` for each entry when it is due; times are microseconds.
 
-    An exception from `fire` is passed to `failed`, and the other entries go on. An entry that
+    An exception from `fire` is passed to `failed`, and the other entries still fire. An entry that
     always raises and pushes itself again is logged each time.
 
-    Nearly every entry is a time-out of something that ended long before. `moot(what, at)` returns
-    whether it is, and the loop is not woken for such an entry.
+    Nearly every entry is a time-out of something that ended long before. `is_stale(target, at)`
+    returns whether it is, and the loop is not woken for such an entry.
     """
 
     def __init__(
@@ -31,69 +31,69 @@
         fire: Callable[[T, int, int], None],
         failed: Callable[[T, Exception], None],
         stalled: Callable[[int, int], None],
-        moot: Callable[[T, int], bool] = lambda what, at: False,
+        is_stale: Callable[[T, int], bool],
     ) -> None:
         self.loop = loop
         self.clock = clock
         self.fire = fire
         self.failed = failed
-        self.moot = moot
+        self.is_stale = is_stale
         self.stalled = stalled  # called with the time and the delay, before sockets are read
-        self.lag = 0  # delay of the last turn; 0 up to 2 ms
-        self.worst = 0  # largest delay seen; its reader resets it
+        self.lag = 0  # delay of the last wake-up; 0 up to 2 ms
+        self.max_lag = 0  # largest delay of a stall; its reader resets it
         self._heap: list[tuple[int, int, T]] = []
-        self._seq = 0
-        self._armed = 0
+        self._sequence = 0
+        self._armed_at = 0
         self._handle: asyncio.TimerHandle | None = None
 
-    def push(self, at: int, what: T) -> None:
-        """Fire `what` at that time; an entry can't be cancelled."""
-        self._seq += 1
-        heapq.heappush(self._heap, (at, self._seq, what))
-        if not self._armed or at < self._armed:
+    def push(self, at: int, target: T) -> None:
+        """Fire `target` at that time; an entry can't be cancelled."""
+        self._sequence += 1
+        heapq.heappush(self._heap, (at, self._sequence, target))
+        if not self._armed_at or at < self._armed_at:
             self._arm(at)
 
     def stop(self) -> None:
-        """Fire nothing any more."""
+        """Fire no further entry."""
         if self._handle is not None:
             self._handle.cancel()
 
     def _arm(self, at: int) -> None:
         if self._handle is not None:
             self._handle.cancel()
-        self._armed = at
-        # The loop's timers round down to milliseconds; a timer that is early would fire twice.
+        self._armed_at = at
+        # The loop's timers round down to milliseconds; an early one would have to be set again.
         delay = max(1, (at - self.clock() + 999) // 1000) / 1000
         self._handle = self.loop.call_later(delay, self._wake)
 
     def _wake(self) -> None:
         now = self.clock()
-        late = now - self._armed
+        late = now - self._armed_at
         self._handle = None
         self.lag = late if late > 2 * MS else 0
         if late > LATE:
             # After a stall the loop runs timers before it reads sockets: responses that arrived
             # long ago would count as timed out, and requests would go to draining hosts.
-            self.worst = max(self.worst, late)
-            self._handle = self.loop.call_later(0.001, self._turn)
+            self.max_lag = max(self.max_lag, late)
+            self._handle = self.loop.call_later(0.001, self._fire_due)
             self.stalled(now, late)
             return
-        self._turn()
+        self._fire_due()
 
-    def _turn(self) -> None:
+    def _fire_due(self) -> None:
         heap = self._heap
         now = self.clock()
         try:
             while heap and heap[0][0] <= now:
-                at, _, what = heapq.heappop(heap)
+                at, _, target = heapq.heappop(heap)
                 try:
-                    self.fire(what, at, now)
+                    self.fire(target, at, now)
                 except Exception as error:
-                    self.failed(what, error)
+                    self.failed(target, error)
         finally:
-            # The next turn comes even if `failed` itself raises.
-            self._armed = 0
-            while heap and self.moot(heap[0][2], heap[0][0]):
+            # The timer is set again even if `failed` itself raises.
+            self._armed_at = 0
+            while heap and self.is_stale(heap[0][2], heap[0][0]):
                 heapq.heappop(heap)
             if heap:
                 self._arm(heap[0][0])
--- a/sailhitch/core/upload.py
+++ b/sailhitch/core/upload.py
@@ -1,7 +1,7 @@
-"""The body of a request that goes to a host while it still comes. No I/O.
+"""The body of a request that is streamed to a host. No I/O.
 
-Owns what of it is held, whether it can be sent again, and whose turn it is: the source's to bring
-more or the sink's to take it.
+Owns which part is buffered, whether it can be sent again, and flow control between the source,
+which reads from the client, and the sink, which writes to the host.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 
 class Source(Protocol):
-    """Where it comes from: a front's connection."""
+    """Where the body comes from: a front's connection."""
 
     def pause_reading(self) -> None:
-        """Read no more for now."""
+        """Stop reading for now."""
 
     def resume_reading(self) -> None:
-        """Read on."""
+        """Continue reading."""
 
 
 class Sink(Protocol):
-    """Where it goes: a connection to a host."""
+    """Where the body goes: a connection to a host."""
 
     def more(self, data: bytes, last: bool) -> None:
-        """Some more, perhaps none but the end. Says `Upload.taken` once it has let go of it."""
+        """Send more, perhaps nothing but the end; call `Upload.taken` once it is written."""
 
 
 class Upload:
-    """One body. What has come before a sink is there is its start, and can be sent again."""
+    """One body; its start, which arrived before a sink was there, can be sent again."""
 
     __slots__ = (
         "_pending",
@@ -49,13 +49,13 @@
     ) -> None:
         self.source = source
         self.budget = budget
-        self.chunked = chunked  # its length is not known beforehand
-        self.start: bytearray | None = bytearray(start)  # None: it is not held any more
+        self.chunked = chunked  # its length is not known in advance
+        self.start: bytearray | None = bytearray(start)  # None once it is released
         self.size = len(start)
-        self.complete = False  # its last byte has come
-        self.abandoned = False  # nobody wants it any more
+        self.complete = False  # its last byte has arrived
+        self.abandoned = False  # the request is over
         self.sink: Sink | None = None
-        self._pending = bytearray()  # of the read that is being looked at
+        self._pending = bytearray()  # bytes of the current read
         self._reserved = 0
         self._reserve(len(start))
 
@@ -68,13 +68,13 @@
         return self.start is not None and not self.abandoned
 
     def came(self, data: bytes) -> None:
-        """Some of it has come; `flush` follows once all of a read has."""
+        """Add bytes that have arrived; `flush` follows at the end of each read."""
         self.size += len(data)
         if not self.abandoned:
             self._pending += data
 
     def flush(self) -> None:
-        """All of a read has come: hand it on, or keep it where it can't go yet."""
+        """Pass the bytes of a read to the sink, or buffer them until there is one."""
         if self.abandoned:
             return
         if self.sink is None:
@@ -94,26 +94,30 @@
             self.sink.more(data, self.complete)
 
     def open(self, sink: Sink) -> tuple[bytes, bool]:
-        """Return an attempt begins: the start, and whether that is all. Only while `replayable`."""
+        """Begin an attempt; return the start, and whether it is the complete body.
+
+        Allowed only while `replayable`.
+        """
         assert self.start is not None
         self.sink = sink
         return bytes(self.start), self.complete
 
     def taken(self, sink: Sink) -> None:
-        """The sink holds nothing any more; the source may bring more."""
+        """Continue reading, as the sink has written everything."""
         if self.sink is sink and not self.abandoned and not self.complete:
             self.source.resume_reading()
 
     def left(self, sink: Sink) -> None:
-        """The attempt that took it is over."""
+        """Detach the sink of an attempt that is over."""
         if self.sink is sink:
             self.sink = None
 
     def close(self) -> None:
-        """The request is over: what still comes is thrown away as it comes."""
+        """Discard the body, and what still arrives of it, as the request is over."""
         if not self.abandoned:
             self.abandoned = True
-            self.sink = self.start = None
+            self.sink = None
+            self.start = None
             self._pending.clear()
             self._reserve(0)
             self.source.resume_reading()
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from sailhitch.core.budget import HELD_MOST, LONGEST, Budget
-from sailhitch.core.throughput_watchdog import GRACE, RATE, STALL, ThroughputWatchdog
+from sailhitch.core.throughput_watchdog import GRACE_TIME, MAX_STALL, MIN_RATE, ThroughputWatchdog
 from sailhitch.core.upload import Upload
 from sailhitch.front import Reason
 from sailhitch.net import response_writer, upstream_connection
@@ -119,12 +119,12 @@
             trickle.go(now)
         now += gap
         counted += gap
-        honest.move(1 + gap * RATE // 1_000_000, now)
-        trickle.move(gap * RATE // 1_000_000 // (10 * slow), now)
+        honest.move(1 + gap * MIN_RATE // 1_000_000, now)
+        trickle.move(gap * MIN_RATE // 1_000_000 // (10 * slow), now)
         assert not honest.overdue(now)
-    if counted > 2 * GRACE:
+    if counted > 2 * GRACE_TIME:
         assert trickle.overdue(now)
-    assert honest.overdue(now + STALL + 1)
+    assert honest.overdue(now + MAX_STALL + 1)
 
 
 # --- Over sockets
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailhitch.core.maintenance import REMEMBERED, Maintenance, MaintenanceResult
+from sailhitch.core.maintenance import MAX_KNOWN_NAMES, Maintenance, MaintenanceResult
 from sailhitch.policy_interface import (
     Endpoint,
     EndpointState,
@@ -70,8 +70,8 @@
     assert it.leave("a", S) is MaintenanceResult.UNKNOWN
     it.add_names(("a",))
     it.enter("a", S)
-    it.add_names(f"n{i}" for i in range(REMEMBERED))
-    assert len(it.known_names) == REMEMBERED
+    it.add_names(f"n{i}" for i in range(MAX_KNOWN_NAMES))
+    assert len(it.known_names) == MAX_KNOWN_NAMES
     assert it.knows("a")  # for as long as it is out
     assert it.leave("a", S) is MaintenanceResult.CHANGED
     assert not it.knows("a")
