--- a/sailhitch/core/pool.py
+++ b/sailhitch/core/pool.py
@@ -45,6 +45,7 @@
     from .core import GatewayCore
 
 
+SERVICE_UNAVAILABLE: Final = 503
 CONNECT_EVENT_DELAY: Final = 10_000  # us until the loop reports a connection after a stall
 
 
@@ -282,33 +283,27 @@
         if not request.closed:
             if status == AttemptOutcome.OK:
                 core.respond_served(request, response)
-            elif (
-                status == AttemptOutcome.ERROR
-                and response is not None
-                and self.connection_settings.passes_any_status
-            ):
-                # A host's 503, passed on unchanged, would promise as the gateway's own does that
-                # a retry is harmless.
-                request.fallback_response = response if response.status != 503 else None
+            elif status == AttemptOutcome.ERROR and response is not None:
+                self._keep_fallback(request, response)
         fair = status != AttemptOutcome.TIMEOUT or self._had_fair_time(attempt, now)
         self._outcomes.record(attempt.server, status, fair)
         closed = request.closed
         self.notify_policy(
             request,
             lambda: self.policy.outcome(
-                now,
-                request.id,
-                attempt.number,
-                status,
-                closed,
-                latency,
-                attempt.server,
-                load,
-                fair,
+                now, request.id, attempt.number, status, closed, latency, attempt.server, load, fair
             ),
         )
         core.release_request(request)
 
+    def _keep_fallback(self, request: RequestContext, response: Response) -> None:
+        """Keep a host's error response, for a request that no attempt will serve."""
+        if self.connection_settings.passes_any_status:
+            # A host's 503, passed on unchanged, would promise as the gateway's own does that a
+            # retry is harmless.
+            unsafe = response.status == SERVICE_UNAVAILABLE
+            request.fallback_response = None if unsafe else response
+
     def _had_fair_time(self, attempt: Attempt, now: int) -> bool:
         """Return whether a time-out of this attempt says something of its host.
 
