--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -34,7 +34,7 @@
 from tests.generations import Site, hosted, site, told
 from tests.sockets import Server, Writer, answer, config_value, request, until
 
-LEGACY = ProcessSnapshot(
+SNAPSHOT = ProcessSnapshot(
     ["a", "b"],
     {"a": 5},
     {"b": CompletedBan(1, 2)},
@@ -44,18 +44,18 @@
 
 
 def test_state_is_put_together_from_its_frames() -> None:
-    pieces = SnapshotAssembler()
-    *parts, end = snapshot_frames(encode_snapshot(LEGACY))
+    assembler = SnapshotAssembler()
+    *parts, end = snapshot_frames(encode_snapshot(SNAPSHOT))
     for part in parts:
         assert part[0] == FrameKind.SNAPSHOT
-        pieces.add(part[1:])
+        assembler.add(part[1:])
     assert end == bytes((FrameKind.SNAPSHOT_END,))
-    assert pieces.finish() == LEGACY
+    assert assembler.finish() == SNAPSHOT
 
 
 @given(st.integers(0, 1 << 20), st.integers(0, 255), st.booleans())
 def test_state_that_is_cut_or_changed_is_taken_for_nothing(at: int, other: int, cut: bool) -> None:
-    data = bytearray(encode_snapshot(LEGACY))
+    data = bytearray(encode_snapshot(SNAPSHOT))
     at %= len(data)
     if cut:
         del data[at:]
@@ -68,16 +68,16 @@
 
 
 def test_bans_are_kept_whole_or_as_they_were(tmp_path: Path) -> None:
-    places = HandoverFiles(str(tmp_path), "../n 0")
-    assert places.read_maintenance() is None
-    places.write_maintenance(LEGACY)
-    assert places.read_maintenance() == LEGACY
-    places.maintenance_file.write_bytes(places.maintenance_file.read_bytes()[:-1])
+    files = HandoverFiles(str(tmp_path), "../n 0")
+    assert files.read_maintenance() is None
+    files.write_maintenance(SNAPSHOT)
+    assert files.read_maintenance() == SNAPSHOT
+    files.maintenance_file.write_bytes(files.maintenance_file.read_bytes()[:-1])
     with pytest.raises(HandoverError):
-        places.read_maintenance()
-    gone = HandoverFiles(str(tmp_path / "none"), "n0")
+        files.read_maintenance()
+    missing = HandoverFiles(str(tmp_path / "none"), "n0")
     with pytest.raises(OSError, match="none"):
-        gone.write_maintenance(LEGACY)
+        missing.write_maintenance(SNAPSHOT)
 
 
 @given(st.integers(0, 384), st.integers(0, 384))
@@ -308,11 +308,11 @@
         status = AttemptOutcome.OK if i % 7 else AttemptOutcome.ERROR
         old.outcome(i, 0, status, True, 40 * MS + i, LoadReport(0.5, 20.0 * MS))
         old.now += 20 * MS
-    legacy = ProcessSnapshot([], {}, {}, policy=take_snapshot(old.gateway))
-    told = decode_snapshot(encode_snapshot(legacy)).policy
-    assert told is not None
+    snapshot = ProcessSnapshot([], {}, {}, policy=take_snapshot(old.gateway))
+    policy_snapshot = decode_snapshot(encode_snapshot(snapshot)).policy
+    assert policy_snapshot is not None
     new.now = old.now
-    restore_snapshot(new.gateway, told)
+    restore_snapshot(new.gateway, policy_snapshot)
     assert not new.gateway.endpoint_table.servers["b"].answered_at
     known, before = take_snapshot(new.gateway), take_snapshot(old.gateway)
     assert set(known.servers) == {"a", "c"}
