--- a/sailhitch/tier/block_fetcher.py
+++ b/sailhitch/tier/block_fetcher.py
@@ -1,4 +1,7 @@
-"""Fetches whole contents by digest in blocks: rosters, postures, and states of earlier versions."""
+"""Fetches undivided contents by digest in blocks.
+
+These are configurations, traffic policies, and states of earlier versions.
+"""
 
 from __future__ import annotations
 
@@ -12,91 +15,107 @@
 from .page_fetcher import BLOCK_SIZE
 from .token_bucket import TokenBucket
 
-WINDOW: Final = 16  # blocks asked for at a time
-PATIENCE: Final = 150_000  # us until a block is asked for again
-MOST_CONTENT: Final = 64 << 20  # bytes of a content; ten thousand nodes take one and a half
+MAX_BLOCKS_IN_FLIGHT: Final = 16  # of one content
+BLOCK_TIMEOUT: Final = 150_000  # us until a block is requested again
+MAX_CONTENT_BYTES: Final = 64 << 20  # the state of ten thousand nodes takes 1.5 MB
 
 
 def digest_of(content: bytes) -> str:
-    """Return the digest of a whole content."""
+    """Return the digest of an undivided content."""
     return hashlib.sha256(content).hexdigest()
 
 
 def unpack(packed: bytes) -> bytes:
-    """The content that was packed so; raises ValueError if it is too large, and zlib.error."""
+    """Return a content from its packed form.
+
+    Raises ValueError if it is too large or cut short, and zlib.error.
+    """
     unpacker = zlib.decompressobj()
-    content = unpacker.decompress(packed, MOST_CONTENT)
+    content = unpacker.decompress(packed, MAX_CONTENT_BYTES)
     if unpacker.unconsumed_tail or not unpacker.eof:
         raise ValueError("a content that is too large, or cut short")
     return content
 
 
-class _Fetch:
-    """A content that is on its way."""
+class _ContentFetch:
+    """The blocks of a content received so far."""
 
     def __init__(self, source: str) -> None:
         self.source = source
         self.total: int | None = None
         self.blocks: dict[int, bytes] = {}
-        self.asked: dict[int, int] = {}  # when, by offset
+        self.requested_at: dict[int, int] = {}  # when, by offset
 
     def next_offsets(self, now: int) -> Iterable[int]:
-        """Offsets to ask for: the first block tells how many there are."""
+        """Yield the offsets to request; the first block shows how many there are."""
         offsets = (0,) if self.total is None else range(0, self.total, BLOCK_SIZE)
-        under_way = sum(now - at < PATIENCE for at in self.asked.values())
+        in_flight = sum(now - time < BLOCK_TIMEOUT for time in self.requested_at.values())
         for offset in offsets:
-            if under_way >= WINDOW:
+            if in_flight >= MAX_BLOCKS_IN_FLIGHT:
                 return
-            late = now - self.asked.get(offset, -PATIENCE) >= PATIENCE
-            if offset not in self.blocks and late:
-                under_way += 1
+            is_due = now - self.requested_at.get(offset, -BLOCK_TIMEOUT) >= BLOCK_TIMEOUT
+            if offset not in self.blocks and is_due:
+                in_flight += 1
                 yield offset
 
+    def has_timed_out(self, now: int) -> bool:
+        """Return whether a requested block is overdue."""
+        return any(now - time >= BLOCK_TIMEOUT for time in self.requested_at.values())
+
+    def join_blocks(self) -> bytes:
+        """Return the packed content."""
+        return b"".join(self.blocks[offset] for offset in sorted(self.blocks))
+
 
 class BlockFetcher:
-    """Contents that are lacking, and what is under way for them."""
+    """Contents that are missing, and the requests in flight for them."""
 
     def __init__(self, budget: TokenBucket) -> None:
         self._budget = budget
-        self._fetches: dict[str, _Fetch] = {}
-        self.spoilt = 0  # contents that came whole and were not what they should be
+        self._fetches: dict[str, _ContentFetch] = {}
+        self.corrupt_count = 0  # complete contents that had another digest
 
     def __len__(self) -> int:
         return len(self._fetches)
 
     def add(self, digest: str, source: str) -> None:
-        """Fetch this from a member that has it, or had it."""
+        """Fetch a content from a member that has it, or had it."""
         if digest not in self._fetches:
-            self._fetches[digest] = _Fetch(source)
+            self._fetches[digest] = _ContentFetch(source)
 
     def forget(self, digest: str) -> None:
-        """A content has come by another way."""
+        """Cancel the fetch of a content."""
         self._fetches.pop(digest, None)
 
     def retain_only(self, digests: Iterable[str]) -> None:
-        """Fetch no others than these."""
-        wanted = set(digests)
-        self._fetches = {one: fetch for one, fetch in self._fetches.items() if one in wanted}
+        """Cancel the fetches of all other contents."""
+        retained = set(digests)
+        self._fetches = {
+            digest: fetch for digest, fetch in self._fetches.items() if digest in retained
+        }
 
     def requests(
         self, now: int, others: Sequence[str], rng: random.Random
     ) -> list[tuple[str, BlockRequest]]:
-        """What to ask whom now. A source that does not answer gives way to one of `others`."""
+        """Return the requests to send now, each with its addressee.
+
+        A source that does not answer is replaced by one of `others`.
+        """
         requests: list[tuple[str, BlockRequest]] = []
         for digest, fetch in self._fetches.items():
-            if others and any(now - at >= PATIENCE for at in fetch.asked.values()):
+            if others and fetch.has_timed_out(now):
                 fetch.source = rng.choice(others)
             for offset in list(fetch.next_offsets(now)):
                 if not self._budget.take(BLOCK_SIZE, now):
                     return requests
-                fetch.asked[offset] = now
+                fetch.requested_at[offset] = now
                 requests.append((fetch.source, BlockRequest(digest, offset)))
         return requests
 
     def take(self, block: Block) -> bytes | None:
-        """A block has come; the packed content, once it is whole and right."""
+        """Take a block; return the packed content once it is complete and verified."""
         fetch = self._fetches.get(block.digest)
-        if fetch is None or not 0 < block.total <= MOST_CONTENT or block.offset % BLOCK_SIZE:
+        if fetch is None or not 0 < block.total <= MAX_CONTENT_BYTES or block.offset % BLOCK_SIZE:
             return None
         if fetch.total is None:
             fetch.total = block.total
@@ -104,17 +123,20 @@
         if block.total != fetch.total or len(block.data) != size:
             return None
         fetch.blocks[block.offset] = block.data
-        fetch.asked.pop(block.offset, None)
+        fetch.requested_at.pop(block.offset, None)
         if len(fetch.blocks) * BLOCK_SIZE < fetch.total:
             return None
-        packed = b"".join(fetch.blocks[at] for at in sorted(fetch.blocks))
+        packed = fetch.join_blocks()
         del self._fetches[block.digest]
-        try:
-            is_right = digest_of(unpack(packed)) == block.digest
-        except (ValueError, zlib.error):
-            is_right = False
-        if not is_right:
-            self.spoilt += 1
-            self._fetches[block.digest] = _Fetch(fetch.source)
+        if not _has_digest(packed, block.digest):
+            self.corrupt_count += 1
+            self._fetches[block.digest] = _ContentFetch(fetch.source)
             return None
         return packed
+
+
+def _has_digest(packed: bytes, digest: str) -> bool:
+    try:
+        return digest_of(unpack(packed)) == digest
+    except (ValueError, zlib.error):
+        return False
--- a/sailhitch/tier/content_store.py
+++ b/sailhitch/tier/content_store.py
@@ -1,15 +1,16 @@
-"""Contents by digest: whole ones, and trees of pages; kept packed, fetched from other members.
+"""Stores contents by digest, packed: undivided ones, and trees of pages fetched from other members.
 
 A digest with the prefix `tree:` names the tree whose root page has the digest after it; any other
-is the SHA-256 of one whole content.
-
-The byte budget. A gateway may spend 22 KB a second for control as the mean of a day. One of 150,000
-tenants changed brings up to 16 KB of pages: 1,500 changes a day are 24 MB, or 1.3% of that mean. A
-newcomer fetches the whole state, about 1.5 MB, within 60 s: 25 KB a second at least. `RATE` is 2.6
-times that, as datagrams get lost and a source may be busy: 23 s for the whole. It is 2.9 times the
-daily mean, and a newcomer's 1.5 MB are 0.1% of the 1.9 GB that this mean makes in a day. Answers
-have as much: a member serves one newcomer, or four members with one change each, in a second. With
-`BURST` more at once, a change passes from each member that has it to eight others at once.
+is the SHA-256 of an undivided content.
+
+The byte budget: a gateway may spend 22 KB a second for control as the mean of a day. A change of
+one of 150,000 tenants brings up to 16 KB of pages: 1,500 changes a day are 24 MB, or 1.3% of that
+mean. A new member fetches the complete state, about 1.5 MB, within 60 s: 25 KB a second at least.
+`BYTES_PER_SECOND` is 2.6 times that, as datagrams get lost and a source may be busy: 23 s for the
+state. It is 2.9 times the daily mean, and a new member's 1.5 MB are 0.1% of the 1.9 GB that this
+mean makes in a day. Replies have as much: a member serves one new member, or four members with one
+change each, in a second. With `BURST_BYTES` beyond that, a change passes from each member that has
+it to eight others at once.
 """
 
 from __future__ import annotations
@@ -23,7 +24,13 @@
 from ..pages import Tree, child_digests, compress
 from .block_fetcher import BlockFetcher, digest_of, unpack
 from .messages import Block, BlockRequest, PageBlock, PageRange, PageReply, PageRequest
-from .page_fetcher import BLOCK_HEADER, BLOCK_SIZE, MOST_BLOCKS, MOST_RANGES, PageFetcher
+from .page_fetcher import (
+    BLOCK_HEADER,
+    BLOCK_SIZE,
+    MAX_BLOCKS_PER_RANGE,
+    MAX_RANGES_PER_REQUEST,
+    PageFetcher,
+)
 from .page_store import PageStore
 from .token_bucket import TokenBucket
 
@@ -41,11 +48,11 @@
 TREE_PREFIX: Final = "tree:"
 _TREE = re.compile(f"{TREE_PREFIX}([0-9a-f]{{64}})")
 CONTENT = "content/"
-PAGE = "page/"  # names on disk, before a digest
-RATE: Final = 64 << 10  # bytes a second, of what is asked for and of what is answered
-BURST: Final = 128 << 10  # bytes that may go beyond that at once
-REPLY_SIZE: Final = 1100  # bytes of blocks in a reply; with its envelope and seal within 1,200
-MOST_PAGES: Final = 64 << 20  # bytes of packed pages beyond which none is asked for
+PAGE = "page/"  # prefixes of names on disk, before a digest
+BYTES_PER_SECOND: Final = 64 << 10  # of requested blocks, and as much of those sent
+BURST_BYTES: Final = 128 << 10  # beyond that rate at once
+MAX_REPLY_BYTES: Final = 1100  # of blocks; with its envelope and seal within 1,200
+MAX_STORED_PAGE_BYTES: Final = 64 << 20  # packed; beyond it no page is requested
 
 
 def tree_digest(root: str) -> str:
@@ -54,62 +61,62 @@
 
 
 def root_of(digest: str) -> str | None:
-    """Return the digest of a tree's root page; None for a whole content's digest."""
+    """Return the digest of a tree's root page; None for an undivided content's digest."""
     match = _TREE.fullmatch(digest)
     return None if match is None else match[1]
 
 
-def _roots(digests: Collection[str]) -> set[str]:
+def _tree_roots(digests: Collection[str]) -> set[str]:
     return {root for digest in digests if (root := root_of(digest)) is not None}
 
 
 class Arrival(NamedTuple):
-    """What an answer has brought."""
+    """The effect of a reply."""
 
-    kept: dict[str, bytes]  # what is to be on disk before anything is said of it
-    is_complete: bool  # whether a content that was wanted is here now with all that belongs to it
+    persisted: dict[str, bytes]  # what must be on disk before any message depends on it
+    is_complete: bool  # whether a content that was being fetched is complete now
 
 
-NOTHING: Final = Arrival({}, False)
+NO_ARRIVAL: Final = Arrival({}, False)
 
 
 class ContentStore:
-    """What is here, and what is wanted. Times in microseconds."""
+    """The contents that are here and those being fetched. Times in microseconds."""
 
     def __init__(
         self, contents: Mapping[str, bytes], pages: Mapping[str, bytes] | None = None, now: int = 0
     ) -> None:
-        """`contents` and `pages` are packed ones by digest."""
+        """Create a store of these packed contents and pages, by digest."""
         self.packed = dict(contents)
         self._pages = PageStore(pages or {})
-        asks = TokenBucket(RATE, BURST, now)
-        self._answers = TokenBucket(RATE, BURST, now)
-        self._block_fetcher = BlockFetcher(asks)
-        self._page_fetcher = PageFetcher(asks)
+        request_budget = TokenBucket(BYTES_PER_SECOND, BURST_BYTES, now)
+        self._reply_budget = TokenBucket(BYTES_PER_SECOND, BURST_BYTES, now)
+        self._block_fetcher = BlockFetcher(request_budget)
+        self._page_fetcher = PageFetcher(request_budget)
         self._wanted_roots: set[str] = set()
 
     @classmethod
     def from_disk(cls, kept: Mapping[str, bytes], now: int) -> ContentStore:
-        """Return the store with what of it is on a disk; other names are passed over."""
-        return cls(_named(kept, CONTENT), _named(kept, PAGE), now)
+        """Return the store with the contents on a disk; other names are ignored."""
+        return cls(_strip_prefix(kept, CONTENT), _strip_prefix(kept, PAGE), now)
 
     @property
-    def spoilt(self) -> int:
-        """Contents and pages that came and were not what they should be."""
-        return self._block_fetcher.spoilt + self._page_fetcher.spoilt
+    def corrupt_count(self) -> int:
+        """Contents and pages that arrived and had another digest."""
+        return self._block_fetcher.corrupt_count + self._page_fetcher.corrupt_count
 
-    # --- What is here
+    # --- Contents that are here
 
     def has(self, *digests: str) -> bool:
         """Return whether all of these are here, trees with all of their pages."""
-        return all(self._has_one(digest) for digest in digests)
+        return all(self._has_content(digest) for digest in digests)
 
-    def _has_one(self, digest: str) -> bool:
+    def _has_content(self, digest: str) -> bool:
         root = root_of(digest)
         return digest in self.packed if root is None else self._pages.is_complete(root)
 
     def read(self, digest: str) -> bytes:
-        """Return a whole content; raises KeyError."""
+        """Return an undivided content; raises KeyError."""
         return unpack(self.packed[digest])
 
     def page(self, digest: str) -> bytes:
@@ -117,10 +124,10 @@
         return self._pages.page(digest)
 
     def add(self, content: bytes | Tree) -> tuple[str, dict[str, bytes]]:
-        """Put a content in; its digest, and what is to be on disk for it.
+        """Add a content; return its digest, and what must be on disk for it.
 
         An updated tree has only its new pages. Raises ValueError where others are not here, or a
-        page is malformed; nothing is put in then.
+        page is malformed; nothing is added then.
         """
         if isinstance(content, Tree):
             return tree_digest(content.root), self._add_tree(content)
@@ -131,14 +138,13 @@
         return digest, {CONTENT + digest: packed}
 
     def _add_tree(self, tree: Tree) -> dict[str, bytes]:
-        children = self._children_of_new(tree)
-        kept = {}
-        for digest, below in children.items():
+        persisted = {}
+        for digest, children in self._children_of_new(tree).items():
             packed = compress(tree.pages[digest])
             self._page_fetcher.forget(digest)
-            self._pages.insert(digest, packed, below)
-            kept[PAGE + digest] = packed
-        return kept
+            self._pages.insert(digest, packed, children)
+            persisted[PAGE + digest] = packed
+        return persisted
 
     def _children_of_new(self, tree: Tree) -> dict[str, tuple[str, ...]]:
         """Return the pages of a tree that are not here, with their children; raises ValueError."""
@@ -158,24 +164,25 @@
         return children
 
     def keep_only(self, digests: Collection[str]) -> list[str]:
-        """Let go of all others, and fetch no others; the names on disk of what went."""
-        wanted = set(digests)
-        gone = [digest for digest in self.packed if digest not in wanted]
-        for digest in gone:
+        """Remove all other contents, and fetch no others; return the removed names on disk."""
+        retained = set(digests)
+        removed = [digest for digest in self.packed if digest not in retained]
+        for digest in removed:
             del self.packed[digest]
-        pages = self._pages.retain_only(_roots(wanted))
-        self.fetch_only(wanted)
-        return [CONTENT + digest for digest in gone] + [PAGE + digest for digest in pages]
+        removed_pages = self._pages.retain_only(_tree_roots(retained))
+        self.fetch_only(retained)
+        names = [CONTENT + digest for digest in removed]
+        return names + [PAGE + digest for digest in removed_pages]
 
     # --- Fetching
 
     @property
     def is_fetching(self) -> bool:
-        """Whether something is wanted that is not here."""
+        """Whether a content that is not here is being fetched."""
         return bool(len(self._block_fetcher) or len(self._page_fetcher))
 
     def want(self, digest: str, source: str) -> None:
-        """Fetch this; `source` most likely has it."""
+        """Fetch a content; `source` most likely has it."""
         root = root_of(digest)
         if root is None:
             if digest not in self.packed:
@@ -190,101 +197,103 @@
             self._page_fetcher.add(self._pages.lacking(root))
 
     def add_source(self, name: str) -> None:
-        """A member is known to have what is fetched."""
+        """Prefer a member that is known to have the contents being fetched."""
         self._page_fetcher.add_source(name)
 
     def fetch_only(self, digests: Collection[str]) -> None:
-        """Fetch no others than these; pages that came for others stay until `keep_only`."""
+        """Cancel the fetches of all others; their pages that arrived stay until `keep_only`."""
         self._block_fetcher.retain_only(digests)
-        self._wanted_roots &= _roots(digests)
+        self._wanted_roots &= _tree_roots(digests)
         lacking = {page for root in self._wanted_roots for page in self._pages.lacking(root)}
         self._page_fetcher.retain_only(lacking)
 
     def requests(
         self, now: int, rng: random.Random, others: Sequence[Sequence[str]] | None = None
     ) -> list[tuple[str, BlockRequest | PageRequest]]:
-        """Return what to ask whom now.
+        """Return the requests to send now, each with its addressee.
 
-        `others` are members that may have what is lacking, in ranks of those that most likely do
-        and those that less likely do; None: those of the call before.
+        `others` are members that may have what is missing, the most likely rank first; None: those
+        of the call before.
         """
         if others is not None:
-            self._page_fetcher.set_others(others)
-        anybody = [name for rank in others or () for name in rank]
-        blocks = self._block_fetcher.requests(now, anybody, rng)
-        pages = self._page_fetcher.requests(now, rng) if self._pages.size < MOST_PAGES else []
-        return [*blocks, *pages]
+            self._page_fetcher.set_fallback_sources(others)
+        other_names = [name for rank in others or () for name in rank]
+        requests: list[tuple[str, BlockRequest | PageRequest]] = []
+        requests += self._block_fetcher.requests(now, other_names, rng)
+        if self._pages.size < MAX_STORED_PAGE_BYTES:
+            requests += self._page_fetcher.requests(now, rng)
+        return requests
 
     def take_block(self, block: Block) -> Arrival:
-        """A block of a whole content has come."""
+        """Take a block of an undivided content."""
         packed = self._block_fetcher.take(block)
         if packed is None:
-            return NOTHING
+            return NO_ARRIVAL
         self.packed[block.digest] = packed
         return Arrival({CONTENT + block.digest: packed}, True)
 
     def take_pages(self, sender: str, reply: PageReply, now: int) -> Arrival:
-        """Blocks of pages have come."""
-        kept = {}
+        """Take blocks of pages."""
+        persisted = {}
         for page in self._page_fetcher.take(sender, reply, now):
             self._pages.insert(page.digest, page.packed, page.children)
             for child in page.children:
                 self._page_fetcher.add(self._pages.lacking(child))
-            kept[PAGE + page.digest] = page.packed
+            persisted[PAGE + page.digest] = page.packed
         complete = {root for root in self._wanted_roots if self._pages.is_complete(root)}
         self._wanted_roots -= complete
-        return Arrival(kept, bool(complete))
+        return Arrival(persisted, bool(complete))
 
-    # --- Answering
+    # --- Replies to others' requests
 
     def answer_block(self, request: BlockRequest, now: int) -> Block | None:
-        """A block of a whole content that is here, if the budget has room."""
+        """Return a block of an undivided content that is here, if the budget has room."""
         packed = self.packed.get(request.digest)
         offset = request.offset
         if packed is None or not 0 <= offset < len(packed) or offset % BLOCK_SIZE:
             return None
         data = packed[offset : offset + BLOCK_SIZE]
-        if not self._answers.take(len(data) + BLOCK_HEADER, now):
+        if not self._reply_budget.take(len(data) + BLOCK_HEADER, now):
             return None
         return Block(request.digest, offset, len(packed), data)
 
     def answer_pages(self, request: PageRequest, now: int) -> list[PageReply]:
-        """Blocks of pages that are here, several small ones in a reply.
+        """Return blocks of pages that are here, several small ones in a reply.
 
-        Refused are pages that are not here, and those for which the budget has no room.
+        Pages are refused that are not here, or for which the budget has no room.
         """
         blocks = []
         refused = []
-        for wanted in request.ranges[:MOST_RANGES]:
-            packed = self._pages.packed(wanted.digest.hex())
-            found = [] if packed is None else list(self._blocks(packed, wanted, now))
-            blocks += found
-            if not found:
-                refused.append(wanted.digest)
-        replies = [PageReply(group, []) for group in _grouped(blocks)]
+        for page_range in request.ranges[:MAX_RANGES_PER_REQUEST]:
+            packed = self._pages.packed(page_range.digest.hex())
+            available = [] if packed is None else list(self._blocks(packed, page_range, now))
+            blocks += available
+            if not available:
+                refused.append(page_range.digest)
+        replies = [PageReply(group, []) for group in _group_by_datagram(blocks)]
         return [*replies, PageReply([], refused)] if refused else replies
 
-    def _blocks(self, packed: bytes, wanted: PageRange, now: int) -> Iterator[PageBlock]:
-        """The blocks that were asked for, as far as they are there and the budget has room."""
-        start = wanted.offset
+    def _blocks(self, packed: bytes, page_range: PageRange, now: int) -> Iterator[PageBlock]:
+        """Yield the requested blocks as far as they exist and the budget has room."""
+        start = page_range.offset
         total = len(packed)
         if start < 0 or start % BLOCK_SIZE:
             return
-        end = min(total, start + min(wanted.blocks, MOST_BLOCKS) * BLOCK_SIZE)
+        end = min(total, start + min(page_range.blocks, MAX_BLOCKS_PER_RANGE) * BLOCK_SIZE)
         for offset in range(start, end, BLOCK_SIZE):
             data = packed[offset : offset + BLOCK_SIZE]
-            if not self._answers.take(len(data) + BLOCK_HEADER, now):
+            if not self._reply_budget.take(len(data) + BLOCK_HEADER, now):
                 return
-            yield PageBlock(wanted.digest, offset, total, data)
+            yield PageBlock(page_range.digest, offset, total, data)
 
 
-def _grouped(blocks: Iterable[PageBlock]) -> Iterator[list[PageBlock]]:
-    """Blocks in groups that fit into a datagram each."""
+def _group_by_datagram(blocks: Iterable[PageBlock]) -> Iterator[list[PageBlock]]:
+    """Yield blocks in groups that fit into a datagram each."""
     group: list[PageBlock] = []
     size = 0
     for block in blocks:
         added = len(block.data) + BLOCK_HEADER
-        if group and size + added > REPLY_SIZE:
+        if group and size + added > MAX_REPLY_BYTES:
             yield group
             group = []
             size = 0
@@ -294,8 +303,8 @@
         yield group
 
 
-def _named(kept: Mapping[str, bytes], prefix: str) -> dict[str, bytes]:
-    """Values whose names on disk have a prefix, by the rest of the name."""
+def _strip_prefix(kept: Mapping[str, bytes], prefix: str) -> dict[str, bytes]:
+    """Return the values whose names on disk have a prefix, by the rest of the name."""
     return {
         name.removeprefix(prefix): value for name, value in kept.items() if name.startswith(prefix)
     }
--- a/sailhitch/tier/disk.py
+++ b/sailhitch/tier/disk.py
@@ -1,9 +1,9 @@
-"""What of a member outlasts its process: small values by name, synced before it says anything more.
+"""A member's durable storage: small values by name, synced before any message depends on them.
 
-SQLite by the standard library, one table, a transaction a `Keep`, `synchronous=FULL` on a rollback
-journal. LMDB was weighed: it is as safe and faster to read, which nothing here needs; SQLite tells
-a torn page from a whole one by its journal and needs no size given beforehand. Each value has its
-digest beside it, so that a disk that lies is found at the start and not believed.
+SQLite of the standard library, one table, a transaction for each `Persist`, `synchronous=FULL` on a
+rollback journal. LMDB is as safe and faster to read, which nothing here needs; SQLite detects a
+torn page by its journal and needs no size in advance. Each value has its digest beside it, so that
+corruption is detected at the start.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from pathlib import Path
 from typing import Final
 
-FILE: Final = "tier.sqlite3"
+FILE_NAME: Final = "tier.sqlite3"
 
 
 class DiskError(Exception):
-    """What is kept can't be read or written; the text says why and what to do."""
+    """The file can't be read or written; the text says why and what to do."""
 
 
 class Disk:
-    """One process's; another that opens it is refused for as long as this one holds it."""
+    """The file of one process, which locks it against others."""
 
     def __init__(self, folder: Path) -> None:
-        """Open or create it; raises DiskError."""
-        self.path = folder / FILE
+        """Open or create the file; raises DiskError."""
+        self.path = folder / FILE_NAME
         try:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-            # The driver's own thread does the writing; no two do so at a time.
+            # A thread of the driver's own writes; no two write at a time.
             self._db = sqlite3.connect(self.path, timeout=0, check_same_thread=False)
             self._db.execute("PRAGMA locking_mode=EXCLUSIVE")
             self._db.execute("PRAGMA journal_mode=DELETE")
@@ -41,14 +41,14 @@
         except OSError as error:
             raise DiskError(f"state_dir: {self.path}: {error.strerror}") from None
         except sqlite3.Error as error:
-            raise DiskError(_said(self.path, error)) from None
+            raise DiskError(_describe_error(self.path, error)) from None
 
     def load(self) -> dict[str, bytes]:
-        """Return all that is kept; raises DiskError."""
+        """Return all values by name; raises DiskError."""
         try:
             rows = list(self._db.execute("SELECT name, value, digest FROM kept"))
         except sqlite3.Error as error:
-            raise DiskError(_said(self.path, error)) from None
+            raise DiskError(_describe_error(self.path, error)) from None
         for name, value, digest in rows:
             if hashlib.sha256(value).digest() != digest:
                 raise DiskError(
@@ -58,7 +58,7 @@
         return {name: bytes(value) for name, value, _ in rows}
 
     def write(self, items: dict[str, bytes | None]) -> None:
-        """Have these on disk; raises DiskError, and then none of them is."""
+        """Write values, or delete those that are None, all or none; raises DiskError."""
         try:
             with self._db:
                 for name, value in items.items():
@@ -70,14 +70,14 @@
                             "INSERT OR REPLACE INTO kept VALUES (?, ?, ?)", (name, value, digest)
                         )
         except sqlite3.Error as error:
-            raise DiskError(_said(self.path, error)) from None
+            raise DiskError(_describe_error(self.path, error)) from None
 
     def close(self) -> None:
-        """Let go of it."""
+        """Close the file and release its lock."""
         self._db.close()
 
 
-def _said(path: Path, error: sqlite3.Error) -> str:
+def _describe_error(path: Path, error: sqlite3.Error) -> str:
     text = str(error)
     if "locked" in text:
         return f"{path}: another gateway holds it; end that one, or give this one its own state_dir"
--- a/sailhitch/tier/liveness.py
+++ b/sailhitch/tier/liveness.py
@@ -1,4 +1,4 @@
-"""Which members are there: their records, probes of them, and the refutation of suspicions."""
+"""Liveness of members: their records, probes of them, and the refutation of suspicions."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from .outbox import Outbox
 from .probes import Health, Prober
 
-INCARNATION_KEY: Final = "self"  # the name on disk of this member's latest life
+INCARNATION_KEY: Final = "self"  # the name on disk of this member's latest incarnation
 METADATA_TTL: Final = 10_000_000  # us for which a member's metadata counts after its last record
 
 
 class Liveness:
-    """Joins the table of records and the prober. Effects go to the member's outbox."""
+    """Connects the membership table and the prober. Effects go to the member's outbox."""
 
     def __init__(self, membership: MembershipTable, prober: Prober, outbox: Outbox) -> None:
         self._membership = membership
@@ -25,12 +25,12 @@
         self._name = membership.name
 
     def persist_incarnation(self) -> None:
-        """Have this member's life on disk: the next one is above it."""
+        """Write this member's incarnation to disk, so that the next one is above it."""
         encoded = msgspec.msgpack.encode(self._membership.own_record.incarnation)
         self._outbox.persist({INCARNATION_KEY: encoded})
 
     def on_probe(self, sender: str, message: Ping | Ack | Nack) -> None:
-        """Answer a probe, or take an answer."""
+        """Answer a probe, or take the reply to one."""
         if isinstance(message, Ping):
             self._refute(message.suspected_incarnation)
             self._outbox.send(sender, Ack(message.number))
@@ -39,52 +39,52 @@
         else:
             self._prober.on_nack(sender, message.number)
 
-    def on_gossip(self, sender: str, news: GossipMessage, now: int) -> None:
-        """Take in records and suspicions that came by gossip."""
+    def on_gossip(self, sender: str, message: GossipMessage, now: int) -> None:
+        """Merge the records and suspicions of a gossip message."""
         table = self._membership
         prober = self._prober
-        if table.merge(news.records, now):
+        if table.merge(message.records, now):
             self.persist_incarnation()
             self._outbox.log_event(
                 "name heard in another life", {"life": table.own_record.incarnation}
             )
-        prober.on_records(news.records)
-        self._refute(prober.on_suspicions(news.suspicions, table.incarnation_of, now))
+        prober.on_records(message.records)
+        self._refute(prober.on_suspicions(message.suspicions, table.incarnation_of, now))
         suspected = prober.suspected_incarnation(sender, table.incarnation_of)
         if suspected:
-            # It is there, and may not know what is said of it.
+            # The sender is alive and may not know that it is suspected.
             self._outbox.send(sender, Ping(0, suspected))
 
-    def _refute(self, life: int) -> None:
-        """A life of this member is suspected: go on in the next."""
-        if life and self._membership.raise_incarnation(life):
+    def _refute(self, incarnation: int) -> None:
+        """Take the next incarnation if this one is suspected; 0: it is not."""
+        if incarnation and self._membership.raise_incarnation(incarnation):
             self._prober.on_own_suspicion()
             self.persist_incarnation()
 
     def metadata(self, own: bytes, now: int) -> dict[str, bytes]:
-        """Return the metadata of those that are there, this member too, by name.
+        """Return the metadata of live members, this one included, by name.
 
-        Who dies with a zone has said of it, last, that it is well. Its metadata does not
-        count from when it is suspected.
+        A member that fails together with its zone has last reported the zone as healthy, so its
+        metadata is ignored as soon as it is suspected.
         """
         records = self._membership.records
         health = self._prober.health
-        found = {
+        metadata = {
             name: records[name].metadata
-            for name, seen in self._membership.updated_at.items()
-            if now - seen <= METADATA_TTL
+            for name, updated_at in self._membership.updated_at.items()
+            if now - updated_at <= METADATA_TTL
             and records[name].metadata
             and health(name, records[name].incarnation) is Health.ALIVE
         }
-        return {**found, self._name: own} if own else found
+        return {**metadata, self._name: own} if own else metadata
 
-    def confirmed(self, turn: int) -> list[str]:
-        """Members whose records say that they apply that turn or a later one."""
+    def confirmed(self, revision: int) -> list[str]:
+        """Return the members whose records confirm that revision or a later one."""
         records = self._membership.records
-        return [name for name, record in records.items() if record.confirmed_revision >= turn]
+        return [name for name, record in records.items() if record.confirmed_revision >= revision]
 
-    def members_behind(self, names: tuple[str, ...], turn: int) -> list[str]:
-        """Return those of `names` that are not declared dead and have not confirmed that turn."""
+    def members_behind(self, names: tuple[str, ...], revision: int) -> list[str]:
+        """Return those of `names` that are not declared dead and have not confirmed `revision`."""
         records = self._membership.records
         dead = set(self._prober.dead_members())
         return [
@@ -92,5 +92,5 @@
             for name in names
             if name not in dead
             and name != self._name
-            and (name not in records or records[name].confirmed_revision < turn)
+            and (name not in records or records[name].confirmed_revision < revision)
         ]
--- /dev/null
+++ b/sailhitch/tier/page_fetch.py
@@ -0,0 +1,88 @@
+"""One page that is being fetched in blocks from one source at a time."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import Final
+
+from ..pages import MAX_PAGE_BYTES
+from .messages import PageBlock
+
+BLOCK_SIZE: Final = 1024  # bytes; a block and its seal fit any path's datagrams
+INITIAL_BLOCKS: Final = 4  # requested before a page's length is known; most pages are no longer
+MAX_BLOCKS_PER_RANGE: Final = 16  # of a page, in flight at a time
+# zlib adds five bytes to each stored block of 16 KB and eleven to the whole.
+MAX_PACKED_PAGE_BYTES: Final = MAX_PAGE_BYTES + MAX_PAGE_BYTES // 1000 + 64
+
+
+class PageFetch:
+    """The blocks of a page received so far, and the sources that were tried before."""
+
+    def __init__(self, timeout: int) -> None:
+        self.tried_sources: set[str] = set()
+        self.late_sources: set[str] = set()  # of those tried, whose reply may still come
+        self.begin("", timeout)
+
+    def begin(self, source: str, timeout: int) -> None:
+        """Start over with a source; `timeout` is for its replies, in microseconds."""
+        self.source = source
+        self.timeout = timeout
+        self.total: int | None = None
+        self.blocks: dict[int, bytes] = {}
+        self.requested_at: dict[int, int] = {}  # by offset of a block that has not arrived
+        self.unanswered_requests = 0  # in a row
+
+    def has_timed_out(self, now: int) -> bool:
+        """Return whether a requested block is overdue."""
+        return any(now - time >= self.timeout for time in self.requested_at.values())
+
+    def next_ranges(self, now: int) -> Iterator[tuple[int, int]]:
+        """Yield runs of blocks that were not requested or are overdue, as offset and count."""
+        if self.total is None:
+            if now - self.requested_at.get(0, -self.timeout) >= self.timeout:
+                yield 0, INITIAL_BLOCKS
+            return
+        timeout = self.timeout
+        in_flight = sum(now - time < timeout for time in self.requested_at.values())
+        remaining = MAX_BLOCKS_PER_RANGE - in_flight
+        start = 0
+        count = 0
+        for offset in range(0, self.total, BLOCK_SIZE):
+            elapsed = now - self.requested_at.get(offset, -timeout)
+            needed = offset not in self.blocks and elapsed >= timeout
+            if needed and count < remaining:
+                if not count:
+                    start = offset
+                count += 1
+            elif count:
+                yield start, count
+                remaining -= count
+                count = 0
+            if remaining <= 0:
+                return
+        if count:
+            yield start, count
+
+    def fits(self, block: PageBlock) -> bool:
+        """Return whether a block may belong to the page."""
+        if not 0 < block.total <= MAX_PACKED_PAGE_BYTES or self.total not in (None, block.total):
+            return False
+        if not 0 <= block.offset < block.total or block.offset % BLOCK_SIZE:
+            return False
+        return len(block.data) == min(BLOCK_SIZE, block.total - block.offset)
+
+    def set_total(self, total: int) -> int:
+        """Set the page's length; return how many requested blocks lie beyond it."""
+        self.total = total
+        beyond = [offset for offset in self.requested_at if offset >= total]
+        for offset in beyond:
+            del self.requested_at[offset]
+        return len(beyond)
+
+    def is_complete(self) -> bool:
+        """Return whether all blocks have arrived."""
+        return self.total is not None and len(self.blocks) * BLOCK_SIZE >= self.total
+
+    def join_blocks(self) -> bytes:
+        """Return the packed page."""
+        return b"".join(self.blocks[offset] for offset in sorted(self.blocks))
--- a/sailhitch/tier/page_store.py
+++ b/sailhitch/tier/page_store.py
@@ -1,9 +1,9 @@
-"""Pages of trees, packed, with what is needed to know which trees are whole and which pages go.
+"""Packed pages of trees, with their reference counts and whether their trees are complete.
 
 Pages are counted by their references (parents that are here, and pinned roots), as pages of several
-trees are the same; digests can't form a cycle. A page is complete once all pages below it are here.
-Both are kept up to date page by page: no page is decoded twice, and what a change costs depends on
-the pages that come or go, not on those that stay.
+trees are the same; digests can't form a cycle. A page is complete once all its descendants are
+here. Both are updated page by page: no page is decoded twice, and the cost of a change depends on
+the pages that are added or removed, not on those that stay.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         return digest in self._packed
 
     def is_complete(self, digest: str) -> bool:
-        """Return whether a page and all below it are here."""
+        """Return whether a page and all its descendants are here."""
         return digest in self._complete
 
     def page(self, digest: str) -> bytes:
@@ -45,7 +45,7 @@
         return decompress(self._packed[digest], MAX_PAGE_BYTES)
 
     def children(self, digest: str) -> tuple[str, ...]:
-        """Return the digests that a page holds; raises KeyError."""
+        """Return the digests that a page contains; raises KeyError."""
         return self._children[digest]
 
     def packed(self, digest: str) -> bytes | None:
@@ -53,9 +53,9 @@
         return self._packed.get(digest)
 
     def lacking(self, root: str) -> Iterator[str]:
-        """Pages below `root` that are not here and whose parents are, or the root itself.
+        """Yield the missing pages below `root` whose parents are here, or the root itself.
 
-        Costs the pages that are here and not complete.
+        The cost is that of the pages that are here and not complete.
         """
         waiting = [root]
         seen = {root}
@@ -71,16 +71,17 @@
                     seen.add(child)
                     waiting.append(child)
 
-    # --- Pages that come
+    # --- Adding pages
 
     def insert(self, digest: str, packed: bytes, children: tuple[str, ...]) -> None:
-        """Put in a page that was verified; `children` are the digests that it holds."""
+        """Add a verified page; `children` are the digests that it contains."""
         if digest in self._packed:
             return
-        self._packed[digest], self._children[digest] = packed, children
+        self._packed[digest] = packed
+        self._children[digest] = children
         self.size += len(packed)
         for child in children:
-            self._refer(child)
+            self._add_reference(child)
         if not self._references.get(digest):
             self._unreferenced.add(digest)
         incomplete = [child for child in children if child not in self._complete]
@@ -92,7 +93,7 @@
             self._waiting_parents.setdefault(child, set()).add(digest)
 
     def _set_complete(self, digest: str) -> None:
-        """Note that a page is complete, and each page above it that is so by it."""
+        """Mark a page as complete, and each ancestor that becomes so by it."""
         complete = [digest]
         while complete:
             page = complete.pop()
@@ -103,34 +104,34 @@
                     del self._incomplete_children[parent]
                     complete.append(parent)
 
-    # --- Pages that go
+    # --- Removing pages
 
     def pin(self, root: str) -> None:
-        """Retain a tree, whether its pages are here or to come."""
+        """Retain a tree, whether its pages are here or not yet."""
         if root not in self._pinned:
             self._pinned.add(root)
-            self._refer(root)
+            self._add_reference(root)
 
     def retain_only(self, roots: Collection[str]) -> list[str]:
-        """Let go of all pages that no tree of these reaches; their digests."""
+        """Remove all pages that none of these trees reaches; return their digests."""
         for root in roots:
             self.pin(root)
         for root in self._pinned.difference(roots):
             self._pinned.discard(root)
-            self._unrefer(root)
-        gone = self._unreadable
+            self._remove_reference(root)
+        removed = self._unreadable
         self._unreadable = []
         while self._unreferenced:
             digest = self._unreferenced.pop()
             self._remove(digest)
-            gone.append(digest)
-        return gone
+            removed.append(digest)
+        return removed
 
-    def _refer(self, digest: str) -> None:
+    def _add_reference(self, digest: str) -> None:
         self._references[digest] = self._references.get(digest, 0) + 1
         self._unreferenced.discard(digest)
 
-    def _unrefer(self, digest: str) -> None:
+    def _remove_reference(self, digest: str) -> None:
         self._references[digest] -= 1
         if not self._references[digest]:
             del self._references[digest]
@@ -147,4 +148,4 @@
                 parents.discard(digest)
                 if not parents:
                     del self._waiting_parents[child]
-            self._unrefer(child)
+            self._remove_reference(child)
--- a/sailhitch/tier/probes.py
+++ b/sailhitch/tier/probes.py
@@ -1,14 +1,16 @@
-"""Who is there: SWIM's probes and suspicion (Das, Gupta, Motivala 2002), with Lifeguard's care.
+"""Failure detection: SWIM's probes and suspicion (Das, Gupta, Motivala 2002), with Lifeguard.
 
-In each interval a member probes one other, in a random order that names all before any again. One
-that does not answer is asked through `HELPERS` others; one that does not answer these either is
-suspected, which goes round by gossip, and it can refute by a later life. Who has not refuted in
-time is told dead. By Lifeguard (Dadgar, Phillips, Currey 2018) a member that gets no answers is
-slower to accuse: helpers say at once when they had none either, and each that says nothing, each
-late beat of its own and each refutation counts against the member itself, not against others. A
-suspicion that others confirm by probes of their own ends sooner.
+In each interval a member probes one other, in a random order that covers all before any again. One
+that does not answer is probed through `INDIRECT_PROBES` helpers; one that does not answer these
+either is suspected. Suspicions spread by gossip, and a suspected member refutes them by a later
+incarnation. One that has not refuted in time is declared dead.
 
-Nothing here lets a change go on: a change waits for members, not for what is thought of them.
+By Lifeguard (Dadgar, Phillips, Currey 2018) a member that gets no acks is slower to suspect others:
+helpers send a nack when they had no ack either, and each helper that sends nothing, each late tick
+and each refutation raise the member's own health penalty. A suspicion that others confirm by probes
+of their own expires sooner.
+
+Nothing here lets a change proceed: a change waits for members, whatever their suspected health.
 """
 
 from __future__ import annotations
@@ -21,252 +23,285 @@
 
 from .messages import MemberRecord, Message, Nack, Ping, Relayed, Suspicion
 
-INTERVAL: Final = 1_000_000  # us between two probes of a member that is well
-REPEAT: Final = 200_000  # us until an unanswered question is said again
-PATIENCE: Final = 400_000  # us for an answer to the first question, before helpers are asked
-HELPERS: Final = 3
-NACK_AFTER: Final = 250_000  # us until a helper says that it had no answer either
-UNWELL: Final = 8  # the most that counts against oneself; times stretch by one more than it
-LEAST: Final = 4.0  # intervals by log10 of the members, from suspected to dead, once confirmed
-MOST: Final = 6  # times that, where nobody confirms
-CONFIRMERS: Final = 3  # after whom a suspicion can't end any sooner
-TIMES: Final = 6  # datagrams that a suspicion goes out with
-CARRIED: Final = 4  # suspicions in a datagram at most
-PASSED: Final = 64  # probes of others that are being passed on
-IncarnationOf = Callable[[str], int]  # a member's latest known life
+PROBE_INTERVAL: Final = 1_000_000  # us, of a member without a health penalty
+PING_RETRY_INTERVAL: Final = 200_000  # us until an unanswered ping is repeated
+DIRECT_PROBE_TIMEOUT: Final = 400_000  # us for the ack of a ping, before helpers are asked
+INDIRECT_PROBES: Final = 3  # helpers that are asked
+NACK_DELAY: Final = 250_000  # us until a helper reports that it had no ack either
+MAX_HEALTH_PENALTY: Final = 8  # intervals and time-outs stretch by one more than the penalty
+# Probe intervals by log10 of the members, from suspected to dead, once confirmed.
+SUSPICION_ALPHA: Final = 4.0
+SUSPICION_BETA: Final = 6  # times that, where no other member confirms
+MAX_CONFIRMATIONS: Final = 3  # more of them don't make a suspicion expire any sooner
+MAX_TRANSMISSIONS: Final = 6  # datagrams that carry a suspicion
+MAX_SUSPICIONS_PER_DATAGRAM: Final = 4
+MAX_RELAYED_PINGS: Final = 64  # others' probes that are being relayed
+IncarnationOf = Callable[[str], int]  # the latest known incarnation by member name
 
 
 class Health(Enum):
-    """What a member is taken for."""
+    """A member's state as the failure detector sees it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "dead"
 
 
-class _Suspicion:
-    """That a life of a member is over, since when, and who has found so by probes of its own."""
+class _SuspicionState:
+    """A suspicion of one incarnation, with the members that reported it by probes of their own."""
 
-    def __init__(self, life: int, now: int) -> None:
-        self.incarnation = life
+    def __init__(self, incarnation: int, now: int) -> None:
+        self.incarnation = incarnation
         self.since = now
         self.reporters: set[str] = set()
-        self.told = 0  # datagrams that it went out with since it last changed
+        self.transmissions = 0  # since it last changed
         self.dead = False
 
-    def ends(self, members: int) -> int:
-        """Return when the member is taken for dead."""
-        least = LEAST * max(1.0, math.log10(max(2, members))) * INTERVAL
-        if members - 2 < CONFIRMERS:
-            return self.since + int(least)  # there are too few to wait for
-        by = min(max(1, len(self.reporters)), CONFIRMERS + 1)
-        spread = math.log(by) / math.log(CONFIRMERS + 1)
-        return self.since + int(least * (MOST - (MOST - 1) * spread))
+    def expires_at(self, members: int) -> int:
+        """Return when the member is declared dead."""
+        min_timeout = SUSPICION_ALPHA * max(1.0, math.log10(max(2, members))) * PROBE_INTERVAL
+        if members - 2 < MAX_CONFIRMATIONS:
+            return self.since + int(min_timeout)  # too few members could confirm
+        reporters = min(max(1, len(self.reporters)), MAX_CONFIRMATIONS + 1)
+        confirmed_share = math.log(reporters) / math.log(MAX_CONFIRMATIONS + 1)
+        factor = SUSPICION_BETA - (SUSPICION_BETA - 1) * confirmed_share
+        return self.since + int(min_timeout * factor)
 
 
 class _Probe:
-    """The question under way."""
+    """The probe in flight."""
 
     def __init__(self, number: int, name: str, now: int) -> None:
         self.number = number
         self.name = name
-        self.at = now
-        self.said = now
-        self.helpers: set[str] = set()  # who were asked and have said nothing yet
+        self.started_at = now
+        self.sent_at = now
+        self.helpers: set[str] = set()  # those that have sent neither ack nor nack
 
 
 class Prober:
-    """One member's probes and what it makes of them. Times by its own clock, in microseconds."""
+    """One member's failure detector. Times by its own clock, in microseconds."""
 
     def __init__(self, name: str, rng: random.Random, now: int) -> None:
         self.name = name
         self.rng = rng
-        self.unwell = 0
-        self._suspicions: dict[str, _Suspicion] = {}
+        self.health_penalty = 0
+        self._suspicions: dict[str, _SuspicionState] = {}
         self._probe: _Probe | None = None
-        self._turn: list[str] = []
-        self._number = 0
-        self._next = now
-        self._beat = now
-        self._passed: dict[tuple[str, int], int] = {}  # whose probe, its number: when to say no
-
-    # --- What is thought of others
-
-    def health(self, name: str, life: int) -> Health:
-        """Return what a member of that life is taken for."""
-        one = self._suspicions.get(name)
-        if one is None or one.incarnation < life:
+        self._probe_order: list[str] = []
+        self._last_number = 0
+        self._next_probe_at = now
+        self._last_tick = now
+        self._relayed: dict[tuple[str, int], int] = {}  # nack time, by origin and number
+
+    # --- Suspicions
+
+    def health(self, name: str, incarnation: int) -> Health:
+        """Return the health of a member's incarnation."""
+        suspicion = self._suspicions.get(name)
+        if suspicion is None or suspicion.incarnation < incarnation:
             return Health.ALIVE
-        return Health.DEAD if one.dead else Health.SUSPECT
+        return Health.DEAD if suspicion.dead else Health.SUSPECT
 
     def is_alive(self, name: str) -> bool:
-        """Return whether it is not taken for dead."""
-        one = self._suspicions.get(name)
-        return one is None or not one.dead
+        """Return whether a member is not declared dead."""
+        suspicion = self._suspicions.get(name)
+        return suspicion is None or not suspicion.dead
 
-    def suspected_incarnation(self, name: str, life_of: IncarnationOf) -> int:
-        """The life of a member that is suspected, or 0. Who is suspected is told, and refutes."""
-        one = self._suspicions.get(name)
-        return 0 if one is None or one.incarnation < life_of(name) else one.incarnation
+    def suspected_incarnation(self, name: str, incarnation_of: IncarnationOf) -> int:
+        """Return a member's suspected incarnation, or 0. Probes carry it, so that it can refute."""
+        suspicion = self._suspicions.get(name)
+        if suspicion is None or suspicion.incarnation < incarnation_of(name):
+            return 0
+        return suspicion.incarnation
 
     def dead_members(self) -> list[str]:
-        """Who is taken for dead."""
-        return [name for name, one in self._suspicions.items() if one.dead]
+        """Return the names of the members declared dead."""
+        return [name for name, suspicion in self._suspicions.items() if suspicion.dead]
 
     def has_unsent_updates(self) -> bool:
-        """Return whether a suspicion was not passed on often enough."""
-        return any(one.told < TIMES for one in self._suspicions.values())
+        """Return whether a suspicion was not sent often enough."""
+        return any(
+            suspicion.transmissions < MAX_TRANSMISSIONS for suspicion in self._suspicions.values()
+        )
 
     def suspicions_to_send(self) -> list[Suspicion]:
-        """Suspicions to pass on with a datagram, those that went out least before others."""
+        """Return the suspicions for one datagram, the least sent first."""
         if not self._suspicions:
             return []
-        open_ = [(one.told, name) for name, one in self._suspicions.items() if one.told < TIMES]
-        names = [name for _, name in sorted(open_)[:CARRIED]]
+        unsent = [
+            (suspicion.transmissions, name)
+            for name, suspicion in self._suspicions.items()
+            if suspicion.transmissions < MAX_TRANSMISSIONS
+        ]
+        names = [name for _, name in sorted(unsent)[:MAX_SUSPICIONS_PER_DATAGRAM]]
         for name in names:
-            self._suspicions[name].told += 1
-        if len(names) < CARRIED:
-            # Whoever has started since heard none of it, and finds out by itself alone.
+            self._suspicions[name].transmissions += 1
+        if len(names) < MAX_SUSPICIONS_PER_DATAGRAM:
+            # Members that have started since received none of these.
             dead = [name for name in self.dead_members() if name not in names]
             names += self.rng.sample(dead, min(1, len(dead)))
-        return [self._said(name) for name in names]
+        return [self._message_of(name) for name in names]
 
-    def _said(self, name: str) -> Suspicion:
-        one = self._suspicions[name]
-        return Suspicion(name, one.incarnation, sorted(one.reporters))
+    def _message_of(self, name: str) -> Suspicion:
+        suspicion = self._suspicions[name]
+        return Suspicion(name, suspicion.incarnation, sorted(suspicion.reporters))
 
-    def on_suspicions(self, doubts: Iterable[Suspicion], life_of: IncarnationOf, now: int) -> int:
-        """Others' suspicions; the highest life of this member that is doubted, or 0.
+    def on_suspicions(
+        self, suspicions: Iterable[Suspicion], incarnation_of: IncarnationOf, now: int
+    ) -> int:
+        """Merge others' suspicions; return the highest suspected incarnation of this member, or 0.
 
-        `life_of` tells the latest known of a member: an older one's suspicion is void.
+        A suspicion of an earlier incarnation than `incarnation_of` returns is void.
         """
-        mine = 0
-        for doubt in doubts:
-            if doubt.name == self.name:
-                mine = max(mine, doubt.incarnation)
-            elif doubt.incarnation >= life_of(doubt.name):
-                self._suspect(doubt.name, doubt.incarnation, doubt.reporters, now)
-        return mine
-
-    def on_records(self, rows: Iterable[MemberRecord]) -> None:
-        """Members' words about themselves: a later life than the suspected one refutes it."""
+        own_incarnation = 0
+        for suspicion in suspicions:
+            name = suspicion.name
+            if name == self.name:
+                own_incarnation = max(own_incarnation, suspicion.incarnation)
+            elif suspicion.incarnation >= incarnation_of(name):
+                self._suspect(name, suspicion.incarnation, suspicion.reporters, now)
+        return own_incarnation
+
+    def on_records(self, records: Iterable[MemberRecord]) -> None:
+        """Drop the suspicions that a later incarnation refutes."""
         if not self._suspicions:
             return
-        for row in rows:
-            one = self._suspicions.get(row.name)
-            if one is not None and row.incarnation > one.incarnation:
-                del self._suspicions[row.name]
+        for record in records:
+            suspicion = self._suspicions.get(record.name)
+            if suspicion is not None and record.incarnation > suspicion.incarnation:
+                del self._suspicions[record.name]
 
     def on_own_suspicion(self) -> None:
-        """A sign that this member itself is slow or cut off."""
-        self.unwell = min(UNWELL, self.unwell + 1)
-
-    def _suspect(self, name: str, life: int, by: Iterable[str], now: int) -> None:
-        one = self._suspicions.get(name)
-        if one is None or one.incarnation < life:
-            one = self._suspicions[name] = _Suspicion(life, now)
-        if one.incarnation != life or one.dead:
+        """Raise the health penalty: this member may itself be slow or disconnected."""
+        self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
+
+    def _suspect(self, name: str, incarnation: int, reporters: Iterable[str], now: int) -> None:
+        suspicion = self._suspicions.get(name)
+        if suspicion is None or suspicion.incarnation < incarnation:
+            suspicion = _SuspicionState(incarnation, now)
+            self._suspicions[name] = suspicion
+        if suspicion.incarnation != incarnation or suspicion.dead:
             return
-        more = set(by) - one.reporters
-        if more and len(one.reporters) <= CONFIRMERS:
-            one.reporters |= set(sorted(more)[: CONFIRMERS + 1 - len(one.reporters)])
-            one.told = 0
+        new = sorted(set(reporters) - suspicion.reporters)
+        if new and len(suspicion.reporters) <= MAX_CONFIRMATIONS:
+            suspicion.reporters.update(new[: MAX_CONFIRMATIONS + 1 - len(suspicion.reporters)])
+            suspicion.transmissions = 0
 
     # --- Probing
 
     def on_tick(
-        self, now: int, others: Sequence[str], life_of: IncarnationOf
+        self, now: int, others: Sequence[str], incarnation_of: IncarnationOf
     ) -> list[tuple[str, Message]]:
-        """Time passes; `others` are those to be probed. What to say."""
-        if now - self._beat > INTERVAL:
-            # This process stood still: that nobody answered meanwhile says nothing of others.
+        """Advance the time; return the messages to send, each with its addressee.
+
+        `others` are the members to be probed.
+        """
+        self._check_stall(now)
+        for suspicion in self._suspicions.values():
+            suspicion.dead = suspicion.dead or now >= suspicion.expires_at(len(others) + 1)
+        stretch = self.health_penalty + 1
+        messages = self._due_nacks(now)
+        probe = self._probe
+        if probe is not None:
+            if now - probe.started_at >= PROBE_INTERVAL * stretch:
+                self._on_probe_failed(probe, incarnation_of, now)
+                self._probe = None
+            else:
+                messages += self._continue_probe(probe, stretch, now, others, incarnation_of)
+        if self._probe is None and now >= self._next_probe_at and others:
+            messages += self._start_probe(now, others, incarnation_of)
+        return messages
+
+    def _check_stall(self, now: int) -> None:
+        """After a stall of this process, extend suspicions: it could take no answers meanwhile."""
+        elapsed = now - self._last_tick
+        if elapsed > PROBE_INTERVAL:
             self.on_own_suspicion()
-            late = now - self._beat
-            for one in self._suspicions.values():
-                one.since += late
+            for suspicion in self._suspicions.values():
+                suspicion.since += elapsed
             self._probe = None
-        self._beat = now
-        for one in self._suspicions.values():
-            one.dead = one.dead or now >= one.ends(len(others) + 1)
-        stretch = self.unwell + 1
-        said = self._no_answers(now)
-        probe = self._probe
-        if probe is not None and now - probe.at >= INTERVAL * stretch:
-            self._failed(probe, life_of, now)
-            self._probe = probe = None
-        if probe is not None and now - probe.said >= REPEAT:
-            # One question and one answer get through half of the time where three in ten are lost.
-            probe.said = now
-            said.append(
-                (probe.name, Ping(probe.number, self.suspected_incarnation(probe.name, life_of)))
-            )
-        if probe is not None and not probe.helpers and now - probe.at >= PATIENCE * stretch:
-            said += self._ask_helpers(probe, others, life_of)
-        if self._probe is None and now >= self._next and others:
-            said += self._begin(now, others, life_of)
-        return said
-
-    def _begin(
-        self, now: int, others: Sequence[str], life_of: IncarnationOf
+        self._last_tick = now
+
+    def _continue_probe(
+        self,
+        probe: _Probe,
+        stretch: int,
+        now: int,
+        others: Sequence[str],
+        incarnation_of: IncarnationOf,
     ) -> list[tuple[str, Message]]:
-        while self._turn and self._turn[-1] not in others:
-            self._turn.pop()
-        if not self._turn:
-            self._turn = list(others)
-            self.rng.shuffle(self._turn)
-        self._number += 1
-        name = self._turn.pop()
-        self._probe = _Probe(self._number, name, now)
-        self._next = now + INTERVAL * (self.unwell + 1)
-        return [(name, Ping(self._number, self.suspected_incarnation(name, life_of)))]
+        """Repeat an unanswered ping, and ask helpers once the direct time-out is over."""
+        messages: list[tuple[str, Message]] = []
+        if now - probe.sent_at >= PING_RETRY_INTERVAL:
+            # At a loss of 30%, a single ping and its ack get through half of the time.
+            probe.sent_at = now
+            messages.append((probe.name, self._ping(probe, incarnation_of)))
+        if not probe.helpers and now - probe.started_at >= DIRECT_PROBE_TIMEOUT * stretch:
+            messages += self._ask_helpers(probe, others, incarnation_of)
+        return messages
+
+    def _ping(self, probe: _Probe, incarnation_of: IncarnationOf) -> Ping:
+        return Ping(probe.number, self.suspected_incarnation(probe.name, incarnation_of))
+
+    def _start_probe(
+        self, now: int, others: Sequence[str], incarnation_of: IncarnationOf
+    ) -> list[tuple[str, Message]]:
+        while self._probe_order and self._probe_order[-1] not in others:
+            self._probe_order.pop()
+        if not self._probe_order:
+            self._probe_order = list(others)
+            self.rng.shuffle(self._probe_order)
+        self._last_number += 1
+        name = self._probe_order.pop()
+        probe = _Probe(self._last_number, name, now)
+        self._probe = probe
+        self._next_probe_at = now + PROBE_INTERVAL * (self.health_penalty + 1)
+        return [(name, self._ping(probe, incarnation_of))]
 
     def _ask_helpers(
-        self, probe: _Probe, others: Sequence[str], life_of: IncarnationOf
+        self, probe: _Probe, others: Sequence[str], incarnation_of: IncarnationOf
     ) -> list[tuple[str, Message]]:
         if not self.is_alive(probe.name):
             return []
-        able = [one for one in others if one != probe.name and self.is_alive(one)]
-        probe.helpers = set(self.rng.sample(able, min(HELPERS, len(able))))
-        ping = Relayed(
-            self.name,
-            probe.name,
-            Ping(probe.number, self.suspected_incarnation(probe.name, life_of)),
-        )
-        return [(one, ping) for one in sorted(probe.helpers)]
+        live = [name for name in others if name != probe.name and self.is_alive(name)]
+        probe.helpers = set(self.rng.sample(live, min(INDIRECT_PROBES, len(live))))
+        message = Relayed(self.name, probe.name, self._ping(probe, incarnation_of))
+        return [(helper, message) for helper in sorted(probe.helpers)]
 
-    def _failed(self, probe: _Probe, life_of: IncarnationOf, now: int) -> None:
+    def _on_probe_failed(self, probe: _Probe, incarnation_of: IncarnationOf, now: int) -> None:
         if not self.is_alive(probe.name):
-            return  # as before; it says nothing about this member
+            return  # an expected failure, which is no sign about this member
         for _ in probe.helpers:
-            # Helpers that say nothing at all are more likely out of reach.
+            # Helpers that send no nack are more likely unreachable from here.
             self.on_own_suspicion()
-        self._suspect(probe.name, life_of(probe.name), [self.name], now)
+        self._suspect(probe.name, incarnation_of(probe.name), [self.name], now)
 
     def on_ack(self, name: str, number: int) -> None:
-        """A probed member has answered, by whatever way."""
+        """End the probe that is acked, directly or through a helper."""
         probe = self._probe
         if probe is not None and (probe.name, probe.number) == (name, number):
             self._probe = None
-            self.unwell = max(0, self.unwell - 1)
+            self.health_penalty = max(0, self.health_penalty - 1)
 
     def on_nack(self, helper: str, number: int) -> None:
-        """A helper had no answer either, and can be reached."""
+        """Note that a helper is reachable and had no ack either."""
         if self._probe is not None and self._probe.number == number:
             self._probe.helpers.discard(helper)
 
-    # --- Helping
+    # --- Helping others' probes
 
     def on_relayed_ping(self, origin: str, number: int, now: int) -> None:
-        """Another's probe is passed on."""
-        if len(self._passed) < PASSED:
-            self._passed[origin, number] = now + NACK_AFTER
+        """Note a relayed ping, to send a nack if no ack comes."""
+        if len(self._relayed) < MAX_RELAYED_PINGS:
+            self._relayed[origin, number] = now + NACK_DELAY
 
     def on_relayed_ack(self, origin: str, number: int) -> None:
-        """Its answer has gone back."""
-        self._passed.pop((origin, number), None)
-
-    def _no_answers(self, now: int) -> list[tuple[str, Message]]:
-        late = [key for key, at in self._passed.items() if now >= at]
-        for key in late:
-            del self._passed[key]
-        return [(origin, Nack(number)) for origin, number in late]
+        """Note that the ack of a relayed ping was relayed back."""
+        self._relayed.pop((origin, number), None)
+
+    def _due_nacks(self, now: int) -> list[tuple[str, Message]]:
+        due = [key for key, nack_at in self._relayed.items() if now >= nack_at]
+        for key in due:
+            del self._relayed[key]
+        return [(origin, Nack(number)) for origin, number in due]
--- a/sailhitch/tier/token_bucket.py
+++ b/sailhitch/tier/token_bucket.py
@@ -1,12 +1,12 @@
-"""A token bucket: a mean rate, and how far it may be exceeded at once."""
+"""A token bucket: limits a mean rate, and the burst beyond it."""
 
 from __future__ import annotations
 
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class TokenBucket:
-    """Tokens that come at `rate` a second, of which `burst` are held at most. Full at first."""
+    """Tokens that refill at `rate` a second up to `burst`; full at first. Times in microseconds."""
 
     def __init__(self, rate: int, burst: int, now: int) -> None:
         self._rate = rate
@@ -15,15 +15,15 @@
         self._filled_at = now
 
     def take(self, amount: int, now: int) -> bool:
-        """Take so many tokens if they are there; whether they were. `now` in microseconds."""
+        """Take so many tokens if they are there; return whether they were."""
         elapsed = max(0, now - self._filled_at)
         self._filled_at = now
-        self._level = min(self._burst, self._level + self._rate * elapsed / MICROSECONDS)
+        self._level = min(self._burst, self._level + self._rate * elapsed / MICROSECONDS_PER_SECOND)
         if self._level < amount:
             return False
         self._level -= amount
         return True
 
     def give_back(self, amount: int) -> None:
-        """Return tokens that were taken and not used."""
+        """Put back tokens that were taken and not used."""
         self._level = min(self._burst, self._level + amount)
--- a/sailhitch/tier/wire.py
+++ b/sailhitch/tier/wire.py
@@ -1,12 +1,12 @@
-"""Datagrams between members: sealed with a shared key, versioned, addressed, replays refused.
+"""Datagrams between members: authenticated by a shared key, versioned, addressed, not replayed.
 
-One datagram is `SH`, a byte of version, a byte that names the key, MessagePack of an `Envelope`,
-and 16 bytes of HMAC-SHA256 over all before them. Two keys may be valid at a time, so that one can
-be changed member by member: the first seals, each opens. What is not sealed with one of them gets
-no answer, so nobody can have more sent than he sends.
+A datagram is `SH`, a byte of version, a byte that names the key, MessagePack of an `Envelope`, and
+16 bytes of HMAC-SHA256 over all before them. Two keys may be valid at a time, so that a key can be
+rotated member by member: the first seals, each opens. A datagram that is not sealed with one of
+them gets no reply, so that it can't be used for amplification.
 
-Anything that is replayed within what is refused would do no harm either: all messages may come
-late, doubled and in any order. Refusing them keeps others from having members work.
+A replay would do no harm: all messages may arrive late, duplicated and in any order. Replays are
+rejected so that others can't cause members work.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 
 VERSION: Final = 1
 MAGIC: Final = b"SH"
-TAG: Final = 16
-HEADER: Final = 4
-LARGEST: Final = 8192  # bytes of a datagram that is looked at
-WINDOW: Final = 256  # numbers that may come out of order
-# Lives of members whose numbers are remembered: two for each of the most members of a tier. A life
-# that is forgotten may have its datagrams replayed once.
-SENDERS: Final = 4096
-_LINE = re.compile(r"(\d{1,3})\s+([0-9a-fA-F]{32,128})")
+TAG_SIZE: Final = 16  # bytes
+HEADER_SIZE: Final = 4  # bytes
+MAX_DATAGRAM_BYTES: Final = 8192  # larger datagrams are rejected
+REPLAY_WINDOW: Final = 256  # numbers that may come out of order
+# Senders' processes whose replay windows are kept: two for each member of the largest tier. The
+# datagrams of one that was dropped may be replayed once.
+MAX_REMEMBERED_INCARNATIONS: Final = 4096
+_KEY_LINE = re.compile(r"(\d{1,3})\s+([0-9a-fA-F]{32,128})")
 
 
 class KeyFileError(ValueError):
-    """The key file can't be used; the text says why."""
+    """The key file is invalid; the text says why."""
 
 
 class Keys(msgspec.Struct, frozen=True):
-    """Keys by their number; the first seals."""
+    """Keys by their number; `first` seals."""
 
     first: int
     by_number: dict[int, bytes]
@@ -50,27 +50,27 @@
         lines = Path(path).read_text().splitlines()
     except (OSError, UnicodeDecodeError) as error:
         raise KeyFileError(f"key_file: {path}: {getattr(error, 'strerror', 'not text')}") from None
-    found: dict[int, bytes] = {}
+    keys: dict[int, bytes] = {}
     for i, line in enumerate(lines):
         text = line.partition("#")[0].strip()
         if not text:
             continue
-        match = _LINE.fullmatch(text)
+        match = _KEY_LINE.fullmatch(text)
         if match is None or int(match[1]) > 255 or len(match[2]) % 2:
             raise KeyFileError(
                 f"key_file: {path}: line {i + 1}: not `NUMBER HEX`, a number up to 255 and 16 to "
                 "64 bytes in hex"
             )
-        if int(match[1]) in found:
+        if int(match[1]) in keys:
             raise KeyFileError(f"key_file: {path}: line {i + 1}: key {match[1]} is there already")
-        found[int(match[1])] = bytes.fromhex(match[2])
-    if not 1 <= len(found) <= 2:
-        raise KeyFileError(f"key_file: {path}: {len(found)} keys; one, or two while they change")
-    return Keys(next(iter(found)), found)
+        keys[int(match[1])] = bytes.fromhex(match[2])
+    if not 1 <= len(keys) <= 2:
+        raise KeyFileError(f"key_file: {path}: {len(keys)} keys; one, or two while they change")
+    return Keys(next(iter(keys)), keys)
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message, from whom, to whom, and its number among those of the sender's process."""
+    """A message with its sender, its addressee, and its number in the sender's process."""
 
     sender: str
     boot: int
@@ -86,9 +86,11 @@
         self.keys = keys
         self.name = name
         self.boot = boot
-        self.refused: dict[str, int] = {}  # datagrams, by why
+        self.refused: dict[str, int] = {}  # datagrams, by reason
         self._number = 0
-        self._seen: dict[tuple[str, int], tuple[int, int]] = {}  # the highest, and bits below it
+        self._replay_windows: dict[
+            tuple[str, int], tuple[int, int]
+        ] = {}  # highest number, received bits
         self._encode = msgspec.msgpack.Encoder().encode
         self._decode = msgspec.msgpack.Decoder(Envelope).decode
 
@@ -96,55 +98,56 @@
         """Return a message as a datagram."""
         self._number += 1
         body = self._encode(Envelope(self.name, self.boot, self._number, to, message))
-        head = MAGIC + bytes((VERSION, self.keys.first))
-        return head + body + _tag(self.keys.by_number[self.keys.first], head + body)
+        header = MAGIC + bytes((VERSION, self.keys.first))
+        return header + body + _tag(self.keys.by_number[self.keys.first], header + body)
 
     def open(self, data: bytes) -> Envelope | None:
-        """What a datagram says; None, and counted in `refused`, where it is not for this member."""
-        why = self._why_not(data)
-        if why is None:
+        """Return a datagram's envelope; None, counted in `refused`, if it is rejected."""
+        reason = self._rejection(data)
+        if reason is None:
             try:
-                envelope = self._decode(data[HEADER:-TAG])
+                envelope = self._decode(data[HEADER_SIZE:-TAG_SIZE])
             except (msgspec.DecodeError, RecursionError):
-                why = "form"
+                reason = "form"
             else:
                 if envelope.to != self.name or envelope.sender == self.name:
-                    why = "address"
+                    reason = "address"
                 elif not self._is_new(envelope):
-                    why = "replay"
+                    reason = "replay"
                 else:
                     return envelope
-        self.refused[why] = self.refused.get(why, 0) + 1
+        self.refused[reason] = self.refused.get(reason, 0) + 1
         return None
 
-    def _why_not(self, data: bytes) -> str | None:
-        if not HEADER + TAG < len(data) <= LARGEST or data[:2] != MAGIC:
+    def _rejection(self, data: bytes) -> str | None:
+        if not HEADER_SIZE + TAG_SIZE < len(data) <= MAX_DATAGRAM_BYTES or data[:2] != MAGIC:
             return "size"
         if data[2] != VERSION:
             return "version"
         key = self.keys.by_number.get(data[3])
-        if key is None or not hmac.compare_digest(_tag(key, data[:-TAG]), data[-TAG:]):
+        if key is None or not hmac.compare_digest(_tag(key, data[:-TAG_SIZE]), data[-TAG_SIZE:]):
             return "seal"
         return None
 
     def _is_new(self, envelope: Envelope) -> bool:
-        """Whether this number has not come before, nor is too old to tell (RFC 4303, 3.4.3)."""
+        """Return whether a number is within the window and new (RFC 4303, 3.4.3)."""
         key = (envelope.sender, envelope.boot)
-        top, bits = self._seen.pop(key, (0, 0))
-        ahead = envelope.number - top
+        highest, received = self._replay_windows.pop(key, (0, 0))
+        ahead = envelope.number - highest
         if ahead > 0:
-            top = envelope.number
-            bits = (bits << ahead | 1) & ((1 << WINDOW) - 1)
-            new = True
+            highest = envelope.number
+            received = (received << ahead | 1) & ((1 << REPLAY_WINDOW) - 1)
+            is_new = True
         else:
-            mark = 1 << -ahead
-            new = -ahead < WINDOW and not bits & mark
-            bits |= mark if new else 0
-        self._seen[key] = (top, bits)  # the latest heard of are the last to be forgotten
-        if len(self._seen) > SENDERS:
-            del self._seen[next(iter(self._seen))]
-        return new
+            bit = 1 << -ahead
+            is_new = -ahead < REPLAY_WINDOW and not received & bit
+            received |= bit if is_new else 0
+        # Put last: the least recently used is dropped first.
+        self._replay_windows[key] = (highest, received)
+        if len(self._replay_windows) > MAX_REMEMBERED_INCARNATIONS:
+            del self._replay_windows[next(iter(self._replay_windows))]
+        return is_new
 
 
 def _tag(key: bytes, data: bytes) -> bytes:
-    return hmac.digest(key, data, hashlib.sha256)[:TAG]
+    return hmac.digest(key, data, hashlib.sha256)[:TAG_SIZE]
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -28,10 +28,10 @@
     update,
 )
 from sailhitch.tier.content_store import (
-    BURST,
+    BURST_BYTES,
+    BYTES_PER_SECOND,
+    MAX_REPLY_BYTES,
     PAGE,
-    RATE,
-    REPLY_SIZE,
     ContentStore,
     root_of,
     tree_digest,
@@ -51,10 +51,10 @@
     RegisterState,
     Version,
 )
-from sailhitch.tier.page_fetcher import BLOCK_SIZE, MOST_PATIENCE, MOST_RANGES
+from sailhitch.tier.page_fetcher import BLOCK_SIZE, MAX_RANGES_PER_REQUEST, MAX_TIMEOUT
 from sailhitch.tier.page_store import PageStore
 from sailhitch.tier.voter import Voter
-from sailhitch.tier.wire import LARGEST, Keys, Wire
+from sailhitch.tier.wire import MAX_DATAGRAM_BYTES, Keys, Wire
 
 S = 1_000_000
 STEP = 10_000  # us between two rounds of questions
@@ -123,8 +123,8 @@
             copies = 1 + (self.rng.random() < self.doubled)
             for _ in range(copies if self.rng.random() >= self.loss else 0):
                 arrival = self.sink.take_pages(to, reply, self.now)
-                if arrival.kept:
-                    self.kept.append(arrival.kept)
+                if arrival.persisted:
+                    self.kept.append(arrival.persisted)
 
     def _seal(self, sender: str, message: Message) -> bytes:
         wire = self._wires.setdefault(sender, Wire(Keys(1, {1: b"k" * 32}), sender, 1 << 47))
@@ -168,7 +168,7 @@
     assert play.run(digest)
     assert entries_of(play.sink, digest) == entries
     assert play.disk() == {PAGE + page: compress(raw) for page, raw in tree.pages.items()}
-    assert play.sink.spoilt == 0
+    assert play.sink.corrupt_count == 0
 
 
 def test_many_pages_are_fetched_at_a_time_and_from_several_sources() -> None:
@@ -215,19 +215,19 @@
 def test_several_small_pages_share_a_datagram_and_none_is_large() -> None:
     tree = build(some_entries(300, size=20), 60)
     store = holding(tree)
-    small = [bytes.fromhex(digest) for digest in tree.pages][: 2 * MOST_RANGES]
+    small = [bytes.fromhex(digest) for digest in tree.pages][: 2 * MAX_RANGES_PER_REQUEST]
     replies = store.answer_pages(PageRequest([PageRange(one, 0, 4) for one in small]), 0)
     blocks = [block for reply in replies for block in reply.blocks]
-    assert len(blocks) == MOST_RANGES  # more than that is not looked at
-    assert len(replies) <= -(-len(blocks) * 150 // REPLY_SIZE)
+    assert len(blocks) == MAX_RANGES_PER_REQUEST  # more than that is not looked at
+    assert len(replies) <= -(-len(blocks) * 150 // MAX_REPLY_BYTES)
     large = holding(build({Key("g", "n"): random.Random(1).randbytes(100_000)}))
     [root] = [*build({Key("g", "n"): random.Random(1).randbytes(100_000)}).pages]
     replies += large.answer_pages(PageRequest([PageRange(bytes.fromhex(root), 0, 16)]), 0)
     wire = Wire(Keys(1, {1: b"k" * 32}), "a-gateway-of-a-region-16", 1 << 47)
     sizes = [len(wire.seal("a-gateway-of-a-region-17", reply)) for reply in replies]
     assert max(sizes) <= 1200
-    widest = PageRequest([PageRange(b"\xff" * 32, 255_000, 16)] * MOST_RANGES)
-    assert len(wire.seal("a-gateway-of-a-region-17", widest)) < 1200 < LARGEST
+    widest = PageRequest([PageRange(b"\xff" * 32, 255_000, 16)] * MAX_RANGES_PER_REQUEST)
+    assert len(wire.seal("a-gateway-of-a-region-17", widest)) < 1200 < MAX_DATAGRAM_BYTES
 
 
 # --- What goes wrong
@@ -298,11 +298,11 @@
     alone.want(digest, "a")
     assert not alone.run(digest, 5 * S)
     assert alone.disk() == {}
-    assert alone.sink.spoilt > 0
+    assert alone.sink.corrupt_count > 0
     both = Play({"a": wrong, "b": honest(holding(tree))})
     both.want(digest, "a")
     assert both.run(digest)
-    assert both.sink.spoilt > 0
+    assert both.sink.corrupt_count > 0
     assert entries_of(both.sink, digest) == entries
     assert both.disk() == {PAGE + page: compress(raw) for page, raw in tree.pages.items()}
 
@@ -317,7 +317,7 @@
     ]
     play.want(digest, "a")
     assert not play.run(digest, 3 * S)
-    assert play.sink.spoilt > 0
+    assert play.sink.corrupt_count > 0
     assert play.disk() == {}
 
 
@@ -332,7 +332,7 @@
     digest = tree_digest(tree.root)
     play.want(digest, "a")
     assert play.run(digest, 5 * S)
-    assert play.sink.spoilt == 0
+    assert play.sink.corrupt_count == 0
 
 
 def test_a_source_that_has_the_pages_later_is_asked_again() -> None:
@@ -368,7 +368,7 @@
     [(_, request)] = sink.requests(1, random.Random(1), [["a"]])
     assert isinstance(request, PageRequest)
     [reply] = store.answer_pages(request, 1)
-    assert sink.take_pages("b", reply, 1).kept == {}
+    assert sink.take_pages("b", reply, 1).persisted == {}
     assert not sink.has(tree_digest(tree.root))
     assert sink.take_pages("a", reply, 1).is_complete
 
@@ -379,11 +379,11 @@
     rng = random.Random(1)
     sink.want(digest, "a")
     [(first, request)] = sink.requests(1, rng, [["b"]])
-    [(second, _)] = sink.requests(1 + MOST_PATIENCE, rng)
+    [(second, _)] = sink.requests(1 + MAX_TIMEOUT, rng)
     assert (first, second) == ("a", "b")
     assert isinstance(request, PageRequest)
     [reply] = store.answer_pages(request, 1)
-    assert sink.take_pages("a", reply, 2 + MOST_PATIENCE).is_complete
+    assert sink.take_pages("a", reply, 2 + MAX_TIMEOUT).is_complete
 
 
 def test_a_source_that_stays_silent_is_asked_ever_less() -> None:
@@ -564,7 +564,7 @@
     two = update(store, one.root, {Key("group1", "name1"): b"changed"}, 500)
     store.add(two)
     removed, referred = list[str](), list[str]()
-    remove, refer = PageStore._remove, PageStore._refer
+    remove, refer = PageStore._remove, PageStore._add_reference
 
     def counted_remove(self: PageStore, digest: str) -> None:
         removed.append(digest)
@@ -575,7 +575,7 @@
         refer(self, digest)
 
     monkeypatch.setattr(PageStore, "_remove", counted_remove)
-    monkeypatch.setattr(PageStore, "_refer", counted_refer)
+    monkeypatch.setattr(PageStore, "_add_reference", counted_refer)
     monkeypatch.setattr("sailhitch.tier.page_store.decompress", None)  # no page is decoded
     store.keep_only([tree_digest(two.root)])
     assert len(removed) == len(two.pages)
@@ -982,11 +982,11 @@
     assert play.run(digest)
     size = sum(len(compress(raw)) for raw in tree.pages.values())
     assert size > 1 << 20
-    assert (size - BURST) / RATE < play.now / S < 1.6 * size / RATE
+    assert (size - BURST_BYTES) / BYTES_PER_SECOND < play.now / S < 1.6 * size / BYTES_PER_SECOND
     for begin in range(0, play.now, S // 4):
         for length in (1, 5):
             came = sum(size for at, size in play.came if begin <= at < begin + length * S)
-            assert came <= BURST + RATE * length
+            assert came <= BURST_BYTES + BYTES_PER_SECOND * length
     greedy = [PageRange(bytes.fromhex(page), 0, 16) for page in tree.pages][:16]
     sent = sum(
         len(block.data)
@@ -994,7 +994,7 @@
         for reply in stores["a"].answer_pages(PageRequest(greedy), play.now + i * 10_000)
         for block in reply.blocks
     )
-    assert sent <= BURST + 10 * RATE
+    assert sent <= BURST_BYTES + 10 * BYTES_PER_SECOND
 
 
 def test_the_whole_of_a_million_and_a_half_bytes_comes_within_a_minute() -> None:
--- a/tests/test_tier_model.py
+++ b/tests/test_tier_model.py
@@ -209,13 +209,13 @@
 
 
 def _takes_a_root_for_its_tree(patch: Patch) -> None:
-    real = ContentStore._has_one
+    real = ContentStore._has_content
 
     def has_one(self: ContentStore, digest: str) -> bool:
         root = root_of(digest)
         return real(self, digest) if root is None else root in self._pages
 
-    patch.setattr(ContentStore, "_has_one", has_one)
+    patch.setattr(ContentStore, "_has_content", has_one)
 
 
 def _lets_go_of_what_is_applied(patch: Patch) -> None:
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -17,7 +17,7 @@
 from sailhitch.model.explore import BrokenLineError, Explorer
 from sailhitch.model.tier import World
 from sailhitch.tier.configuration import Configuration, ConfigurationIndex
-from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT, NOTHING, ContentStore
+from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT, NO_ARRIVAL, ContentStore
 from sailhitch.tier.disk import Disk, DiskError
 from sailhitch.tier.effects import ProposalResult
 from sailhitch.tier.lease import GrantTable, Lease
@@ -51,7 +51,7 @@
 )
 from sailhitch.tier.register import Acceptor, Round, VoterMode
 from sailhitch.tier.transitions import Transition, read
-from sailhitch.tier.wire import WINDOW, KeyFileError, Keys, Wire, load_keys
+from sailhitch.tier.wire import REPLAY_WINDOW, KeyFileError, Keys, Wire, load_keys
 from tests.daemons import file_value
 
 OLD, NEW = b"o" * 32, b"n" * 32
@@ -110,7 +110,7 @@
     sealed = [one.seal("g2", VoteRecoveryRequest(i)) for i in range(30)]
     assert all(two.open(sealed[i]) for i in order)
     assert two.open(sealed[again]) is None
-    for _ in range(WINDOW + 30):
+    for _ in range(REPLAY_WINDOW + 30):
         one.seal("g2", VoteRecoveryRequest(0))
     assert two.open(one.seal("g2", VoteRecoveryRequest(1))) is not None
     assert two.open(sealed[again]) is None
@@ -296,12 +296,12 @@
     wrong, kept = other.add(b"another")
     packed = kept[CONTENT + wrong]
     sink.want(digest, "a")
-    assert sink.take_block(Block(digest, 0, len(packed), packed)) == NOTHING
-    assert sink.spoilt == 1
+    assert sink.take_block(Block(digest, 0, len(packed), packed)) == NO_ARRIVAL
+    assert sink.corrupt_count == 1
     assert not sink.has(digest)
-    assert sink.take_block(Block(digest, 0, 1 << 40, b"")) == NOTHING
+    assert sink.take_block(Block(digest, 0, 1 << 40, b"")) == NO_ARRIVAL
     never_asked_for = Block(wrong, 0, len(packed), packed)
-    assert sink.take_block(never_asked_for) == NOTHING
+    assert sink.take_block(never_asked_for) == NO_ARRIVAL
     assert source.answer_block(BlockRequest(digest, 7), 0) is None
     assert source.answer_block(BlockRequest(digest, 1 << 40), 0) is None
 
--- a/tests/test_tier_probes.py
+++ b/tests/test_tier_probes.py
@@ -18,7 +18,7 @@
 from sailhitch.tier.liveness import Liveness
 from sailhitch.tier.member import Member, MemberStatus
 from sailhitch.tier.messages import Ack, Ping, Relayed, Suspicion
-from sailhitch.tier.probes import UNWELL, Health, Prober
+from sailhitch.tier.probes import MAX_HEALTH_PENALTY, Health, Prober
 from sailhitch.tier.relay import UNANSWERED, RelayPolicy
 
 S = 1_000_000
@@ -121,7 +121,7 @@
     real = Prober.on_tick
 
     def tick(self: Prober, now: int, *rest: Any) -> Any:
-        self._beat = now
+        self._last_tick = now
         return real(self, now, *rest)
 
     patch.setattr(Prober, "on_tick", tick)
@@ -151,8 +151,8 @@
     world = _world(6)
     _cut(world, *(("g6", f"g{i}") for i in range(1, 6)))
     _go_on(world, 10)
-    assert _member(world, "g6").prober.unwell >= UNWELL // 2
-    assert all(_member(world, f"g{i}").prober.unwell <= 2 for i in range(1, 6))
+    assert _member(world, "g6").prober.health_penalty >= MAX_HEALTH_PENALTY // 2
+    assert all(_member(world, f"g{i}").prober.health_penalty <= 2 for i in range(1, 6))
 
 
 def test_a_suspicion_ends_sooner_the_more_have_found_it_by_themselves() -> None:
