--- a/benchmarks/scale/tier_slopes.py
+++ b/benchmarks/scale/tier_slopes.py
@@ -307,7 +307,7 @@
 
 def play(members: int, lease: int | None) -> dict[str, float]:
     """A tier at rest, and one change of it that contradicts, until all is at rest again."""
-    world = World(1, members, VOTERS, lease, beat=BEAT, every=SECOND)
+    world = World(1, members, VOTERS, lease, beat=BEAT, write_interval=SECOND)
     tally = Tally(world)
     world.start()
     world.kernel.run(_quiet_from(members) * SECOND)
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -26,7 +26,9 @@
 
 def play(members: int, loss: float, seed: int) -> dict[str, float]:
     """One play; raises AssertionError where the change does not end in time."""
-    world = World(seed, members, min(5, members) if members > 3 else 3, beat=100_000, every=S)
+    world = World(
+        seed, members, min(5, members) if members > 3 else 3, beat=100_000, write_interval=S
+    )
     began = time.perf_counter()
     world.network.loss = loss
     world.start()
@@ -60,7 +62,9 @@
 
 def restart(members: int, loss: float, seed: int) -> float:
     """Seconds from a kill -9 of all at once, and their start, until all are in."""
-    world = World(seed, members, min(5, members) if members > 3 else 3, beat=100_000, every=S)
+    world = World(
+        seed, members, min(5, members) if members > 3 else 3, beat=100_000, write_interval=S
+    )
     world.start()
     world.kernel.run(15 * S)
     world.network.loss = loss
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -34,7 +34,7 @@
         members,
         min(5, members),
         beat=100_000,
-        every=S // 25,
+        write_interval=S // 25,
         first=range(30),
         acts=30,
         zones=NODES,
@@ -50,7 +50,7 @@
 def out(world: World, zone: str) -> list[bool]:
     """Of each gateway, whether it uses nothing of a zone."""
     here = {name for name, its in NODES.items() if its == zone}
-    return [here <= process.unused for process in world.processes.values()]
+    return [here <= process.inactive_nodes for process in world.processes.values()]
 
 
 def leave(members: int, loss: float, seed: int) -> tuple[float, float, float]:
@@ -66,7 +66,7 @@
         assert world.kernel.now < began + 120 * S, f"{members} members, seed {seed}: not left"
     world.frozen.clear()
     since = world.kernel.now
-    while any(process.unused for process in world.processes.values()):
+    while any(process.inactive_nodes for process in world.processes.values()):
         world.kernel.run(world.kernel.now + S // 10)
         assert world.kernel.now < since + 300 * S, f"{members} members, seed {seed}: not back"
     return (first - began) / S, (last - began) / S, (world.kernel.now - since) / S
--- a/sailhitch/model/contents.py
+++ b/sailhitch/model/contents.py
@@ -1,25 +1,34 @@
-"""Contents of the model's versions, as trees of several pages, and what is on a disk of them.
+"""Contents of the model's versions, as trees of several pages.
 
 A version permits a set of acts. Beside an entry for each act and the weight, which contradicts
-nothing, there are entries that stay the same, so that versions share most of their pages.
+nothing, there are constant entries, so that versions share most of their pages.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from ..pages import MAX_PAGE_BYTES as MOST
-from ..pages import Key, PageSource, Tree, build, child_digests, decompress, read_entries, update
+from ..pages import (
+    MAX_PAGE_BYTES,
+    Key,
+    PageSource,
+    Tree,
+    build,
+    child_digests,
+    decompress,
+    read_entries,
+    update,
+)
 from ..tier.content_store import CONTENT, PAGE, root_of
 
 LEAF_SIZE = 64  # bytes: a few entries a leaf, so that a tree of a few entries has several pages
-ACTS = "acts"
+ACTS_GROUP = "acts"
 WEIGHT = Key("weight", "weight")
-CONSTANT = {Key("constant", f"entry{i}"): b"%d" % i for i in range(12)}
+CONSTANT_ENTRIES = {Key("constant", f"entry{i}"): b"%d" % i for i in range(12)}
 
 
 class Contents:
-    """Makes the trees of versions. `constant` are the entries that are the same in each."""
+    """Builds the trees of versions; `constant` are the entries that are the same in each."""
 
     def __init__(self, constant: Mapping[Key, bytes], leaf_size: int) -> None:
         self._constant = constant
@@ -37,21 +46,23 @@
     def updated(
         self, source: PageSource, root: str, old: frozenset[int], new: frozenset[int], weight: int
     ) -> Tree:
-        """The tree made from that of a version that permits `old`, with its new pages alone."""
-        changes: dict[Key, bytes | None] = {Key(ACTS, str(act)): None for act in old - new}
+        """Return the tree updated from a version's that permits `old`, with its new pages alone."""
+        changes: dict[Key, bytes | None] = {Key(ACTS_GROUP, str(act)): None for act in old - new}
         return update(source, root, {**changes, **_entries(new, weight)}, self._leaf_size)
 
 
 def _entries(allow: frozenset[int], weight: int) -> dict[Key, bytes]:
-    return {**{Key(ACTS, str(act)): b"" for act in allow}, WEIGHT: b"%d" % weight}
+    return {**{Key(ACTS_GROUP, str(act)): b"" for act in allow}, WEIGHT: b"%d" % weight}
 
 
-DEFAULT = Contents(CONSTANT, LEAF_SIZE)
+DEFAULT_CONTENTS = Contents(CONSTANT_ENTRIES, LEAF_SIZE)
 
 
 def permitted(source: PageSource, root: str) -> frozenset[int]:
-    """The acts that a version permits, read from its pages; raises KeyError if one is lacking."""
-    return frozenset(int(key.name) for key, _ in read_entries(source, root) if key.group == ACTS)
+    """Return the acts that a version's pages permit; raises KeyError if a page is missing."""
+    return frozenset(
+        int(key.name) for key, _ in read_entries(source, root) if key.group == ACTS_GROUP
+    )
 
 
 def is_on_disk(disk: Mapping[str, bytes], digest: str) -> bool:
@@ -64,5 +75,5 @@
         packed = disk.get(PAGE + waiting.pop())
         if packed is None:
             return False
-        waiting += child_digests(decompress(packed, MOST))
+        waiting += child_digests(decompress(packed, MAX_PAGE_BYTES))
     return True
--- a/sailhitch/model/explore.py
+++ b/sailhitch/model/explore.py
@@ -1,18 +1,18 @@
-"""Every order of events in small worlds of the register: all that can happen, not a sample.
+"""Explores every order of events in small worlds of the register, instead of a random sample.
 
-A world has three voters and two proposers with one change each, made from the same version. At each
-step any request under way arrives, and its answer does or is lost; or it arrives and is still under
-way (doubled); or a voter is killed and comes back with what it had synced; or a proposer starts its
-next ballot. A request that is lost is one that has not arrived when all is looked at, which is done
-in every state. The search goes through all states that differ; `Explored` tells how many.
+A world has three voters and two proposers with one change each, made from the same version. In each
+step a request in flight arrives, and its reply arrives or is lost; or it arrives and stays in
+flight (duplicated); or a voter is killed and restarts with what it had synced; or a proposer starts
+its next ballot. A lost request is one that has not arrived when a state is checked, which is done
+for every state. The search visits all distinct states; `Exploration` has their number.
 
-An answer arrives at once or never: that it is late makes no difference to its voter, and to the
-proposer the same as if what it does on hearing it were late, which is tried. Stamps are all one:
-disks that lose votes are the seeds' part (`story`).
+A reply arrives at once or never: a late one makes no difference to its voter, and to the proposer
+the same as if the proposer acted late on it, which is explored. All stamps are the same: disks that
+lose votes are covered by random scenarios (`scenario`).
 
-The cores are those of the daemon, `Acceptor` and `Round`; what surrounds them there (timers, who
-asks whom again) is left open, so that whatever it might do is among what is tried. Each core's step
-from one state by one message is taken once and remembered, which makes the search fast.
+The cores are those of the daemon, `Acceptor` and `Round`. What surrounds them there (timers, whom
+to ask again) is left open, so that whatever it may do is explored. Each core's step from one state
+by one message is computed once and cached.
 """
 
 from __future__ import annotations
@@ -40,24 +40,24 @@
 
 VOTERS: Final = ("v1", "v2", "v3")
 PROPOSERS: Final = ("p", "q")
-FIRST: Final = RegisterState(1, 1, 1, Version(1, 0, "a", "", "", 0, "first"), None, "r")
-FOUNDED: Final = Ballot(1, "v1", 0)
+FIRST_STATE: Final = RegisterState(1, 1, 1, Version(1, 0, "a", "", "", 0, "first"), None, "r")
+BOOTSTRAP_BALLOT: Final = Ballot(1, "v1", 0)
 T = TypeVar("T")
 
 
-class BrokenLineError(AssertionError):
-    """Two changes made from one version both took effect."""
+class LostUpdateError(AssertionError):
+    """Two changes made from the same version both took effect."""
 
 
 def change_of(name: str) -> StateChange:
-    """Return a change made from the first version, that says whether it won."""
+    """Return a change made from the first version, whose result shows whether it took effect."""
 
     def change(now: RegisterState | None) -> Transition | None:
         if now is None:
             return None
         if now.active.change_id == name:
             return Transition(now, ProposalResult.ACTIVE)
-        if now.active.serial != FIRST.active.serial:
+        if now.active.serial != FIRST_STATE.active.serial:
             return Transition(now, ProposalResult.STALE)
         version = Version(now.last_serial + 1, now.active.serial, name, name, "", 0, name)
         return Transition(
@@ -71,211 +71,243 @@
 
 
 @dataclass
-class Explored:
-    """What a search came to."""
+class Exploration:
+    """The outcome of a search."""
 
     states: int = 0
-    ends: set[tuple[str, ...]] = field(default_factory=set)  # how both changes ended, where known
-    whole: bool = True  # whether all of it was searched
+    results: set[tuple[str, ...]] = field(default_factory=set)  # of both changes, where known
+    complete: bool = True  # whether the search visited all states
 
 
-class _Known(Generic[T]):
-    """Numbers for values that are alike."""
+class _Interned(Generic[T]):
+    """Numbers for values, the same for equal keys."""
 
     def __init__(self) -> None:
         self.values: list[T] = []
         self._numbers: dict[bytes, int] = {}
 
     def number(self, key: Any, value: T) -> int:
-        said = msgspec.msgpack.encode(key)
-        found = self._numbers.get(said)
-        if found is None:
-            found = self._numbers[said] = len(self.values)
+        encoded = msgspec.msgpack.encode(key)
+        number = self._numbers.get(encoded)
+        if number is None:
+            number = len(self.values)
+            self._numbers[encoded] = number
             self.values.append(value)
-        return found
+        return number
 
 
-class _World(NamedTuple):
-    """A state; votes, rounds and messages by their numbers."""
+class _Datagram(NamedTuple):
+    sender: str
+    to: str
+    message: Message
+
+
+class _WorldState(NamedTuple):
+    """A state of the world; votes, rounds and datagrams by their numbers."""
 
     votes: tuple[int, ...]
     synced: tuple[int, ...]
     rounds: tuple[int, ...]  # -1: none begun
-    left: tuple[int, ...]  # ballots that each proposer may still begin
-    under_way: frozenset[int]
-    crashes: int
-    doubles: int
+    ballots_left: tuple[int, ...]  # by proposer
+    in_flight: frozenset[int]
+    crashes_left: int
+    duplicates_left: int
+
+
+class _VoterStep(NamedTuple):
+    vote: int
+    reply: int
+
+
+class _ProposerStep(NamedTuple):
+    round: int
+    requests: tuple[int, ...]
 
 
 class Explorer:
-    """A search. Mutations replace `voter`, or `syncs`."""
+    """A search; mutation tests replace `acceptor_type` or `syncs_votes`."""
 
-    voter = Acceptor
-    syncs = True  # whether a vote is synced before its answer goes out
+    acceptor_type = Acceptor
+    syncs_votes = True  # whether a vote is synced before its reply is sent
 
     def __init__(self) -> None:
-        self._votes: _Known[Vote] = _Known()
-        self._rounds: _Known[Round] = _Known()
-        self._messages: _Known[tuple[str, str, Message]] = _Known()
-        self._voted: dict[tuple[int, int], tuple[int, int]] = {}
-        self._heard: dict[tuple[int, int], tuple[int, tuple[int, ...]]] = {}
-        self._begun: dict[tuple[str, int], tuple[int, tuple[int, ...]]] = {}
+        self._votes: _Interned[Vote] = _Interned()
+        self._rounds: _Interned[Round] = _Interned()
+        self._datagrams: _Interned[_Datagram] = _Interned()
+        self._voter_steps: dict[tuple[int, int], _VoterStep] = {}
+        self._reply_steps: dict[tuple[int, int], _ProposerStep] = {}
+        self._begin_steps: dict[tuple[str, int], _ProposerStep] = {}
 
     def explore(
-        self, ballots: int = 1, crashes: int = 0, doubles: int = 0, most: int = 5_000_000
-    ) -> Explored:
-        """Search a world whole, or until `most` states; raises BrokenLineError.
+        self, ballots: int = 1, crashes: int = 0, duplicates: int = 0, max_states: int = 5_000_000
+    ) -> Exploration:
+        """Search a world completely, or `max_states` of it; raises LostUpdateError.
 
-        `ballots` a proposer, `crashes` and `doubles` in all.
+        `ballots` are for each proposer, `crashes` and `duplicates` in total.
         """
-        found = Explored()
-        first = self._first(ballots, crashes, doubles)
+        exploration = Exploration()
+        first = self._first_state(ballots, crashes, duplicates)
         seen = {first}
         stack = [first]
         while stack:
-            at = stack.pop()
-            found.states += 1
-            if found.states >= most:
-                found.whole = False
+            state = stack.pop()
+            exploration.states += 1
+            if exploration.states >= max_states:
+                exploration.complete = False
                 break
-            self._check(at, found)
-            for after in self._nexts(at):
-                if after not in seen:
-                    seen.add(after)
-                    stack.append(after)
-        return found
-
-    def _first(self, ballots: int, crashes: int, doubles: int) -> _World:
+            self._check(state, exploration)
+            for successor in self._successors(state):
+                if successor not in seen:
+                    seen.add(successor)
+                    stack.append(successor)
+        return exploration
+
+    def _first_state(self, ballots: int, crashes: int, duplicates: int) -> _WorldState:
         voter = self._acceptor("v1", None)
-        voter.prepare(FOUNDED)
-        voter.accept(Accept(FOUNDED, FIRST, {}))
+        voter.prepare(BOOTSTRAP_BALLOT)
+        voter.accept(Accept(BOOTSTRAP_BALLOT, FIRST_STATE, {}))
         first = msgspec.structs.replace(voter.vote, stamp=1)
-        vote = self._votes.number(first, first)
-        votes = (vote,) * len(VOTERS)
-        left = (ballots,) * len(PROPOSERS)
-        return _World(votes, votes, (-1,) * len(PROPOSERS), left, frozenset(), crashes, doubles)
+        votes = (self._votes.number(first, first),) * len(VOTERS)
+        rounds = (-1,) * len(PROPOSERS)
+        ballots_left = (ballots,) * len(PROPOSERS)
+        return _WorldState(votes, votes, rounds, ballots_left, frozenset(), crashes, duplicates)
 
     def _acceptor(self, name: str, vote: Vote | None) -> Acceptor:
-        made = self.voter(name, VOTERS, vote)
-        made.mode = VoterMode.VOTING
-        return made
-
-    def _check(self, at: _World, found: Explored) -> None:
-        ended = [self._rounds.values[r] for r in at.rounds if r >= 0]
-        ended = [one for one in ended if one.phase is Phase.CHOSEN]
-        ends = [one.transition.result for one in ended if one.transition is not None]
-        heads = [one.chosen.state for one in ended if one.chosen is not None]
-        torn = any(a.revision == b.revision and a != b for a in heads for b in heads)
-        if torn or ends.count(ProposalResult.ACTIVE) > 1:
-            raise BrokenLineError(f"both won: {[one.chosen for one in ended]}")
-        if len(ends) == len(PROPOSERS):
-            found.ends.add(tuple(end.value for end in ends))
-
-    # --- What may happen
-
-    def _nexts(self, at: _World) -> Iterator[_World]:
-        """Each world that may come next."""
+        acceptor = self.acceptor_type(name, VOTERS, vote)
+        acceptor.mode = VoterMode.VOTING
+        return acceptor
+
+    def _check(self, state: _WorldState, exploration: Exploration) -> None:
+        begun = [self._rounds.values[number] for number in state.rounds if number >= 0]
+        chosen = [round_ for round_ in begun if round_.phase is Phase.CHOSEN]
+        results = [round_.transition.result for round_ in chosen if round_.transition is not None]
+        states = [round_.chosen.state for round_ in chosen if round_.chosen is not None]
+        differ = any(a.revision == b.revision and a != b for a in states for b in states)
+        if differ or results.count(ProposalResult.ACTIVE) > 1:
+            raise LostUpdateError(f"both won: {[round_.chosen for round_ in chosen]}")
+        if len(results) == len(PROPOSERS):
+            exploration.results.add(tuple(result.value for result in results))
+
+    # --- Successors of a state
+
+    def _successors(self, state: _WorldState) -> Iterator[_WorldState]:
+        yield from self._ballots_begun(state)
+        for number in state.in_flight:
+            for successor in self._deliver(state, number):
+                yield successor._replace(in_flight=successor.in_flight - {number})
+                if state.duplicates_left:
+                    yield successor._replace(duplicates_left=state.duplicates_left - 1)
+        if state.crashes_left and state.votes != state.synced:
+            for i in range(len(VOTERS)):
+                yield state._replace(
+                    votes=_with_value(state.votes, i, state.synced[i]),
+                    crashes_left=state.crashes_left - 1,
+                )
+
+    def _ballots_begun(self, state: _WorldState) -> Iterator[_WorldState]:
+        """Yield the states in which a proposer has started its next ballot."""
         for i, name in enumerate(PROPOSERS):
-            done = at.rounds[i] >= 0 and self._rounds.values[at.rounds[i]].chosen is not None
-            if at.left[i] and not done:
-                number, said = self._begin(name, at.left[i])
-                yield at._replace(
-                    rounds=_put(at.rounds, i, number),
-                    left=_put(at.left, i, at.left[i] - 1),
-                    under_way=at.under_way | set(said),
+            number = state.rounds[i]
+            is_chosen = number >= 0 and self._rounds.values[number].chosen is not None
+            left = state.ballots_left[i]
+            if left and not is_chosen:
+                step = self._begin(name, left)
+                yield state._replace(
+                    rounds=_with_value(state.rounds, i, step.round),
+                    ballots_left=_with_value(state.ballots_left, i, left - 1),
+                    in_flight=state.in_flight | set(step.requests),
                 )
-        for message in at.under_way:
-            for after in self._arrive(at, message):
-                yield after._replace(under_way=after.under_way - {message})
-                if at.doubles:
-                    yield after._replace(doubles=at.doubles - 1)
-        if at.crashes and at.votes != at.synced:
-            for i in range(len(VOTERS)):
-                yield at._replace(votes=_put(at.votes, i, at.synced[i]), crashes=at.crashes - 1)
-
-    def _begin(self, name: str, left: int) -> tuple[int, tuple[int, ...]]:
-        """Return a proposer starts its next ballot; those of the two lie between each other."""
-        found = self._begun.get((name, left))
-        if found is None:
-            ballot = Ballot(100 - 2 * left + PROPOSERS.index(name), name, 0)
-            made = Round(ballot, VOTERS, change_of(name))
-            found = self._begun[name, left] = (self._number(made), self._say(name, made))
-        return found
-
-    def _number(self, one: Round) -> int:
-        accepted = [(v, sorted(known)) for v, known in sorted(one._accepted.items())]
-        key = (one.ballot, one.phase.value, one.transition, list(one._promises.items()), accepted)
-        return self._rounds.number(key, one)
-
-    def _say(self, name: str, at: Round, only: tuple[str, ...] = VOTERS) -> tuple[int, ...]:
-        kinds = Prepare if at.phase is Phase.PREPARE else Accept
-        said = [
-            (name, voter, message)
-            for voter, message in at.unanswered()
-            if voter in only and isinstance(message, kinds)
+
+    def _begin(self, name: str, ballots_left: int) -> _ProposerStep:
+        """Start a proposer's next ballot; the ballots of the two proposers alternate."""
+        step = self._begin_steps.get((name, ballots_left))
+        if step is None:
+            ballot = Ballot(100 - 2 * ballots_left + PROPOSERS.index(name), name, 0)
+            round_ = Round(ballot, VOTERS, change_of(name))
+            number = self._intern_round(round_)
+            step = _ProposerStep(number, self._intern_requests(name, round_, VOTERS))
+            self._begin_steps[name, ballots_left] = step
+        return step
+
+    def _intern_round(self, round_: Round) -> int:
+        accepted = [(name, sorted(known)) for name, known in sorted(round_._accepted.items())]
+        promises = list(round_._promises.items())
+        key = (round_.ballot, round_.phase.value, round_.transition, promises, accepted)
+        return self._rounds.number(key, round_)
+
+    def _intern_requests(
+        self, name: str, round_: Round, voters: tuple[str, ...]
+    ) -> tuple[int, ...]:
+        request_type = Prepare if round_.phase is Phase.PREPARE else Accept
+        requests = [
+            _Datagram(name, voter, message)
+            for voter, message in round_.unanswered()
+            if voter in voters and isinstance(message, request_type)
         ]
-        return tuple(self._messages.number(one, one) for one in said)
-
-    def _arrive(self, at: _World, message: int) -> Iterator[_World]:
-        """Return a request reaches its voter, and the answer its proposer, or nobody."""
-        sender, to, _ = self._messages.values[message]
-        i = VOTERS.index(to)
-        k = PROPOSERS.index(sender)
-        vote, answer = self._vote(at.votes[i], message)
-        synced = _put(at.synced, i, vote) if self.syncs else at.synced
-        after = at._replace(votes=_put(at.votes, i, vote), synced=synced)
-        yield after
-        number, said = self._hear(at.rounds[k], answer)
-        if number != at.rounds[k]:
-            yield after._replace(
-                rounds=_put(at.rounds, k, number), under_way=after.under_way | set(said)
+        return tuple(self._datagrams.number(request, request) for request in requests)
+
+    def _deliver(self, state: _WorldState, request: int) -> Iterator[_WorldState]:
+        """Deliver a request to its voter, and the reply to its proposer or to nobody."""
+        sender, to, _ = self._datagrams.values[request]
+        voter = VOTERS.index(to)
+        proposer = PROPOSERS.index(sender)
+        vote, reply = self._vote(state.votes[voter], request)
+        synced = _with_value(state.synced, voter, vote) if self.syncs_votes else state.synced
+        voted = state._replace(votes=_with_value(state.votes, voter, vote), synced=synced)
+        yield voted
+        step = self._receive_reply(state.rounds[proposer], reply)
+        if step.round != state.rounds[proposer]:
+            yield voted._replace(
+                rounds=_with_value(state.rounds, proposer, step.round),
+                in_flight=voted.in_flight | set(step.requests),
             )
 
-    def _vote(self, vote: int, message: int) -> tuple[int, int]:
-        found = self._voted.get((vote, message))
-        if found is None:
-            sender, to, said = self._messages.values[message]
+    def _vote(self, vote: int, request: int) -> _VoterStep:
+        step = self._voter_steps.get((vote, request))
+        if step is None:
+            sender, to, message = self._datagrams.values[request]
             voter = self._acceptor(to, self._votes.values[vote])
             answer: Message
-            if isinstance(said, Prepare):
-                promise = voter.prepare(said.ballot)[0]
-                answer = msgspec.structs.replace(promise, stamp=1)
+            if isinstance(message, Prepare):
+                answer = msgspec.structs.replace(voter.prepare(message.ballot)[0], stamp=1)
             else:
-                assert isinstance(said, Accept)
-                answer = msgspec.structs.replace(voter.accept(said)[0], stamp=1)
-            vote_now = msgspec.structs.replace(voter.vote, stamp=1)
-            back = (to, sender, answer)
-            found = (self._votes.number(vote_now, vote_now), self._messages.number(back, back))
-            self._voted[vote, message] = found
-        return found
-
-    def _hear(self, number: int, message: int) -> tuple[int, tuple[int, ...]]:
-        found = self._heard.get((number, message))
-        if found is None:
-            sender, to, said = self._messages.values[message]
-            at = _copied(self._rounds.values[number])
-            before = at.phase
-            if isinstance(said, Promise):
-                at.on_promise(sender, said)
-            elif isinstance(said, Accepted):
-                at.on_accepted(sender, said)
-            said_now: tuple[int, ...] = ()
-            if at.phase is Phase.ACCEPT and isinstance(said, Promise):
-                # To a voter whose promise comes late it is said alone; again to the others, as the
-                # daemon would, brings nothing that a doubled request does not.
-                only = VOTERS if before is not at.phase else (sender,)
-                said_now = self._say(to, at, only)
-            found = (self._number(at), said_now)
-            self._heard[number, message] = found
-        return found
-
-
-def _put(values: tuple[int, ...], at: int, value: int) -> tuple[int, ...]:
-    return (*values[:at], value, *values[at + 1 :])
-
-
-def _copied(one: Round) -> Round:
-    made = copy.copy(one)
-    made._promises = dict(one._promises)
-    made._accepted = {name: set(known) for name, known in one._accepted.items()}
-    return made
+                assert isinstance(message, Accept)
+                answer = msgspec.structs.replace(voter.accept(message)[0], stamp=1)
+            new_vote = msgspec.structs.replace(voter.vote, stamp=1)
+            reply = _Datagram(to, sender, answer)
+            step = _VoterStep(
+                self._votes.number(new_vote, new_vote), self._datagrams.number(reply, reply)
+            )
+            self._voter_steps[vote, request] = step
+        return step
+
+    def _receive_reply(self, number: int, reply: int) -> _ProposerStep:
+        step = self._reply_steps.get((number, reply))
+        if step is None:
+            sender, to, message = self._datagrams.values[reply]
+            round_ = _copy_round(self._rounds.values[number])
+            phase_before = round_.phase
+            if isinstance(message, Promise):
+                round_.on_promise(sender, message)
+            elif isinstance(message, Accepted):
+                round_.on_accepted(sender, message)
+            requests: tuple[int, ...] = ()
+            if round_.phase is Phase.ACCEPT and isinstance(message, Promise):
+                # A voter whose promise comes late is sent the request alone: sending it to the
+                # others again, as the daemon would, adds nothing to a duplicated request.
+                voters = VOTERS if phase_before is not round_.phase else (sender,)
+                requests = self._intern_requests(to, round_, voters)
+            step = _ProposerStep(self._intern_round(round_), requests)
+            self._reply_steps[number, reply] = step
+        return step
+
+
+def _with_value(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
+    return (*values[:index], value, *values[index + 1 :])
+
+
+def _copy_round(round_: Round) -> Round:
+    copied = copy.copy(round_)
+    copied._promises = dict(round_._promises)
+    copied._accepted = {name: set(known) for name, known in round_._accepted.items()}
+    return copied
--- a/sailhitch/model/invariants.py
+++ b/sailhitch/model/invariants.py
@@ -1,6 +1,6 @@
-"""What was really decided and done, and whether a promise was broken.
+"""Checks the design note's promises against what was really chosen and written.
 
-It looks at disks and at acts, never at what a member says of itself.
+It inspects disks and writes, never what a member reports about itself.
 """
 
 from __future__ import annotations
@@ -17,157 +17,167 @@
 from ..tier.register import Vote, majority
 from ..tier.voter import content_digests
 
-RECOVERY = 10_000_000  # us; promise 5
-Allows = Callable[[str, int], bool]  # whether the version with this digest permits an act
+MAX_RECOVERY = 10_000_000  # us; promise 5
+Allows = Callable[[str, int], bool]  # whether the version with a digest permits an act
 
 
 class InvariantViolationError(AssertionError):
-    """A promise was broken; the text says which and by what."""
+    """A promise was broken; the text says which one and how."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteEvent:
-    """Something that was done."""
+    """An act of a member that rules may forbid."""
 
     at: int
     member: str
     act: int
-    revision: int  # of the rules that it was done under
+    revision: int  # of the state that the member applied
 
 
 class InvariantChecker:
-    """Holds the promises of the design note at every event, by its numbers."""
+    """Checks the design note's promises, by its numbers, at every event."""
 
     def __init__(self, voters: tuple[str, ...], allows: Allows) -> None:
-        self.need = majority(len(voters))
+        self.quorum = majority(len(voters))
         self.allows = allows
         self.votes: dict[Ballot, set[str]] = {}
         self.states: dict[Ballot, RegisterState] = {}
-        self.chosen: dict[int, RegisterState] = {}  # by turn
-        self._ballots: list[Ballot] = []  # of what was decided, lowest first
+        self.chosen: dict[int, RegisterState] = {}  # by revision
+        self._ballots: list[Ballot] = []  # of the chosen states, lowest first
         self.latest: RegisterState | None = None
-        self.in_force: Version | None = None  # active, and somebody acts by it or was told
-        self.in_force_at = self.in_force_turn = 0
+        self.in_force: Version | None = None  # active, and applied by a member
+        self.in_force_at = 0
+        self.in_force_revision = 0
         self.write_count = 0
 
-    # --- Promise 1: one line
+    # --- Promise 1: one sequence of states
 
-    def on_vote(self, voter: str, kept: bytes, has: Callable[[str], bool]) -> None:
-        """A voter's vote is on its disk; `has` says whether a content is there too, whole."""
-        vote = msgspec.msgpack.decode(kept, type=Vote)
+    def on_vote(self, voter: str, encoded: bytes, has: Callable[[str], bool]) -> None:
+        """Record a vote on a disk; `has` returns whether a complete content is there too."""
+        vote = msgspec.msgpack.decode(encoded, type=Vote)
         if vote.accepted is None:
             return
         ballot = vote.accepted.ballot
-        head = vote.accepted.state
-        lacking = [digest for digest in content_digests(head) if not has(digest)]
-        if lacking:
+        state = vote.accepted.state
+        missing = [digest for digest in content_digests(state) if not has(digest)]
+        if missing:
             raise InvariantViolationError(
-                f"1: {voter} has accepted turn {head.revision} without {lacking}"
+                f"1: {voter} has accepted revision {state.revision} without {missing}"
             )
-        if self.states.setdefault(ballot, head) != head:
-            raise InvariantViolationError(f"1: two heads under one ballot {ballot}")
+        if self.states.setdefault(ballot, state) != state:
+            raise InvariantViolationError(f"1: two states under one ballot {ballot}")
         voters = self.votes.setdefault(ballot, set())
         voters.add(voter)
-        if len(voters) == self.need:
-            self._choose(ballot, head)
-
-    def _choose(self, ballot: Ballot, head: RegisterState) -> None:
-        """In the order of ballots, which is that of the line; a low one may be decided late."""
-        at = bisect.bisect(self._ballots, ballot)
-        self._ballots.insert(at, ballot)
-        if at:
-            self._check(self.states[self._ballots[at - 1]], head)
-        if at + 1 < len(self._ballots):
-            self._check(head, self.states[self._ballots[at + 1]])
+        if len(voters) == self.quorum:
+            self._choose(ballot, state)
+
+    def _choose(self, ballot: Ballot, state: RegisterState) -> None:
+        """Insert a chosen state in the order of ballots; a low ballot may be chosen late."""
+        index = bisect.bisect(self._ballots, ballot)
+        self._ballots.insert(index, ballot)
+        if index:
+            self._check_successor(self.states[self._ballots[index - 1]], state)
+        if index + 1 < len(self._ballots):
+            self._check_successor(state, self.states[self._ballots[index + 1]])
         else:
-            self.latest = head
-        self.chosen[head.revision] = head
+            self.latest = state
+        self.chosen[state.revision] = state
 
-    def _check(self, last: RegisterState, head: RegisterState) -> None:
-        if head.revision < last.revision or (head.revision == last.revision and head != last):
+    def _check_successor(self, previous: RegisterState, state: RegisterState) -> None:
+        if state.revision < previous.revision or (
+            state.revision == previous.revision and state != previous
+        ):
             raise InvariantViolationError(
-                f"1: turn {last.revision} was decided, and then another turn {head.revision}"
+                f"1: revision {previous.revision} was decided, and then another "
+                f"revision {state.revision}"
             )
-        if head.revision == last.revision + 1 and not _follows(last, head):
+        if state.revision == previous.revision + 1 and not _is_successor(previous, state):
             raise InvariantViolationError(
-                f"1: turn {head.revision} does not follow from the one before: {head}"
+                f"1: revision {state.revision} does not follow from the one before: {state}"
             )
 
-    def on_result(self, by: str, done: JobCompleted, change: str) -> None:
-        """A proposer was told how its change ended."""
-        head = done.state
-        if self.chosen.get(head.revision) != head:
+    def on_result(self, member: str, completed: JobCompleted, change: str) -> None:
+        """Check the result of a change that a proposer received."""
+        state = completed.state
+        if self.chosen.get(state.revision) != state:
             raise InvariantViolationError(
-                f"1: {by} was told of turn {head.revision}, which was not decided so"
+                f"1: {member} was told of revision {state.revision}, which was not decided so"
             )
-        found = (
-            (head.active, head.traffic_policy)
-            if done.result is ProposalResult.ACTIVE
-            else (head.pending,)
+        changes = (
+            (state.active, state.traffic_policy)
+            if completed.result is ProposalResult.ACTIVE
+            else (state.pending,)
         )
-        here = any(one is not None and one.change_id == change for one in found)
-        if done.result in (ProposalResult.ACTIVE, ProposalResult.PENDING) and not here:
+        is_contained = any(one is not None and one.change_id == change for one in changes)
+        if completed.result in (ProposalResult.ACTIVE, ProposalResult.PENDING) and not is_contained:
             raise InvariantViolationError(
-                f"1: {by} was told that {change} is {done.result.value}, and it is not"
+                f"1: {member} was told that {change} is {completed.result.value}, and it is not"
             )
 
-    # --- Promise 2: no contradiction
+    # --- Promise 2: no contradicting writes
 
-    def on_apply_requested(self, by: str, acting: AppliedVersions) -> None:
-        """A process is told to go by this."""
-        head = self.chosen.get(acting.revision)
-        told = (acting.active, acting.pending, acting.traffic_policy)
-        if head is None or (head.active, head.pending, head.traffic_policy) != told:
+    def on_apply_requested(self, member: str, versions: AppliedVersions) -> None:
+        """Check the versions that a process is requested to apply."""
+        state = self.chosen.get(versions.revision)
+        requested = (versions.active, versions.pending, versions.traffic_policy)
+        if state is None or (state.active, state.pending, state.traffic_policy) != requested:
             raise InvariantViolationError(
-                f"1: {by} acts by turn {acting.revision}, which was not decided"
+                f"1: {member} acts by revision {versions.revision}, which was not decided"
             )
 
-    def on_applied(self, now: int, acting: AppliedVersions) -> None:
-        """A process goes by this from here on."""
-        if acting.revision > self.in_force_turn:
-            self.in_force_turn = acting.revision
-            if self.in_force is None or self.in_force.serial != acting.active.serial:
-                self.in_force = acting.active
+    def on_applied(self, now: int, versions: AppliedVersions) -> None:
+        """Record the versions that a process applies from now on."""
+        if versions.revision > self.in_force_revision:
+            self.in_force_revision = versions.revision
+            if self.in_force is None or self.in_force.serial != versions.active.serial:
+                self.in_force = versions.active
                 self.in_force_at = now
 
-    def on_write(self, deed: WriteEvent) -> None:
-        """A process has done something that rules may forbid."""
+    def on_write(self, write: WriteEvent) -> None:
+        """Check a write of a process against the version in force."""
         self.write_count += 1
-        if self.in_force is not None and not self.allows(self.in_force.digest, deed.act):
-            after = (deed.at - self.in_force_at) / 1e6
+        if self.in_force is not None and not self.allows(self.in_force.digest, write.act):
+            seconds_after = (write.at - self.in_force_at) / 1e6
             raise InvariantViolationError(
-                f"2: {deed.member} did {deed.act} under turn {deed.revision}, {after:.3f} s after "
-                f"serial {self.in_force.serial}, which forbids it, was in force"
+                f"2: {write.member} did {write.act} under revision {write.revision}, "
+                f"{seconds_after:.3f} s after serial {self.in_force.serial}, which forbids it, "
+                "was in force"
             )
 
-    # --- Promise 5: who is there
+    # --- Promise 5: liveness
 
-    def on_declared_dead(self, now: int, by: str, name: str, trouble: int) -> None:
-        """One takes another for dead; `trouble` is when one of them was last out of reach."""
-        if now - trouble > RECOVERY:
+    def on_declared_dead(self, now: int, observer: str, name: str, last_unreachable: int) -> None:
+        """Check a declaration of death; `last_unreachable` is of either of the two members."""
+        if now - last_unreachable > MAX_RECOVERY:
+            seconds_after = (now - last_unreachable) / 1e6
             raise InvariantViolationError(
-                f"5: {by} takes {name} for dead, {(now - trouble) / 1e6:.1f} s after either of "
+                f"5: {observer} takes {name} for dead, {seconds_after:.1f} s after either of "
                 "them was out of reach"
             )
 
-    def check_liveness(self, by: str, dead: set[str], up: set[str], all_: Iterable[str]) -> None:
-        """So long after the last fault, at the latest, each knows who runs and who does not."""
-        wrong = dead ^ {name for name in all_ if name not in up}
+    def check_liveness(
+        self, observer: str, dead: set[str], up: set[str], members: Iterable[str]
+    ) -> None:
+        """Check, long after the last fault, that a member knows which members are down."""
+        wrong = dead ^ {name for name in members if name not in up}
         if wrong:
-            raise InvariantViolationError(f"5: {by} is wrong about {', '.join(sorted(wrong))}")
+            raise InvariantViolationError(
+                f"5: {observer} is wrong about {', '.join(sorted(wrong))}"
+            )
 
-    # --- Promise 4: it ends
+    # --- Promise 4: termination
 
-    def check_known(self, turns: dict[str, int]) -> None:
-        """So long after the last fault, at the latest, all that run know what was decided."""
-        for name, turn in turns.items():
-            if self.latest is not None and turn < self.latest.revision:
+    def check_latest_known(self, revisions: dict[str, int]) -> None:
+        """Check, long after the last fault, that all live members know the latest state."""
+        for name, revision in revisions.items():
+            if self.latest is not None and revision < self.latest.revision:
                 raise InvariantViolationError(
-                    f"4: {name} knows turn {turn}; {self.latest.revision} was decided"
+                    f"4: {name} knows revision {revision}; {self.latest.revision} was decided"
                 )
 
     def check_ended(self, statuses: dict[str, MemberStatus], revisions: dict[str, int]) -> None:
-        """So long after the last fault, at the latest, nothing is pending and all act by one."""
+        """Check, long after the last fault, that nothing is pending and all apply one state."""
         if self.latest is None:
             raise InvariantViolationError("4: nothing was ever decided")
         if self.latest.pending is not None:
@@ -182,21 +192,23 @@
                 )
 
 
-def _follows(last: RegisterState, head: RegisterState) -> bool:
-    """Return whether one head may be made from the other, by what the changes are for."""
-    same = head.active == last.active
-    if head.traffic_policy != last.traffic_policy:
-        base = 0 if last.traffic_policy is None else last.traffic_policy.serial
-        rest = (head.active, head.pending, head.configuration_digest) == (
-            last.active,
-            last.pending,
-            last.configuration_digest,
+def _is_successor(previous: RegisterState, state: RegisterState) -> bool:
+    """Return whether a permitted change makes one state from the other."""
+    keeps_active = state.active == previous.active
+    if state.traffic_policy != previous.traffic_policy:
+        base = 0 if previous.traffic_policy is None else previous.traffic_policy.serial
+        keeps_others = (state.active, state.pending, state.configuration_digest) == (
+            previous.active,
+            previous.pending,
+            previous.configuration_digest,
+        )
+        return (
+            keeps_others and state.traffic_policy is not None and state.traffic_policy.base == base
         )
-        return rest and head.traffic_policy is not None and head.traffic_policy.base == base
-    if last.pending is None:
-        if head.pending is not None:
-            return same and head.pending.base == last.active.serial
-        return same or head.active.base == last.active.serial
-    if head.pending is not None:
-        return same and head.pending == last.pending
-    return same or head.active == last.pending
+    if previous.pending is None:
+        if state.pending is not None:
+            return keeps_active and state.pending.base == previous.active.serial
+        return keeps_active or state.active.base == previous.active.serial
+    if state.pending is not None:
+        return keeps_active and state.pending == previous.pending
+    return keeps_active or state.active == previous.pending
--- a/sailhitch/model/process.py
+++ b/sailhitch/model/process.py
@@ -1,31 +1,30 @@
-"""What every process has: a clock of its own rate, a disk that forgets what was not synced, pauses.
+"""A modelled process: a clock of its own rate, a disk that loses unsynced writes, pauses, crashes.
 
-Effects of a core happen in their order, and none before what is to be on disk ahead of it is there.
+Effects of a core are performed in order, each after the writes before it are synced.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
 from ..tier.effects import ApplyVersions, Effect, JobCompleted, LogEvent, Persist, Send
 from .kernel import Kernel
 
-SYNC = (200, 6_000)  # us that a sync takes, at least and at most
+SYNC_DURATION_RANGE = (200, 6_000)  # us that a sync takes, at least and at most
 WRITE_RETRY = 100_000  # us until a write that failed is tried again
 
 
 class Disk:
-    """What is synced, and copies of earlier days."""
+    """The synced values, and snapshots of earlier times."""
 
     def __init__(self) -> None:
         self.now: dict[str, bytes] = {}
-        self.days: list[dict[str, bytes]] = []  # copies, oldest first
+        self.days: list[dict[str, bytes]] = []  # snapshots, oldest first
         self.full = False
 
     def write(self, items: dict[str, bytes | None]) -> None:
-        """These are synced."""
+        """Write values as synced; None deletes one."""
         for name, value in items.items():
             if value is None:
                 self.now.pop(name, None)
@@ -33,121 +32,129 @@
                 self.now[name] = value
 
     def lose(self) -> None:
-        """Another disk, an empty one, is in its place."""
+        """Replace the disk by an empty one."""
         self.now = {}
 
     def copy(self) -> None:
-        """Keep a copy of today."""
+        """Take a snapshot."""
         self.days.append(dict(self.now))
 
 
 class Process:
-    """A process's outside: up, paused or down."""
+    """A process that is up, paused or down."""
 
     def __init__(self, kernel: Kernel, name: str, rate: float) -> None:
         self.kernel = kernel
         self.name = name
         self.rate = rate
         self.disk = Disk()
-        self.up = self.paused = self.disk_is_failing = False
+        self.up = False
+        self.paused = False
+        self.disk_is_failing = False
         self.incarnation = 0  # how often it was started
         self._offset = int(kernel.stream(f"clock {name}").integers(1, 1 << 40))
         self._effects: deque[Effect] = deque()
-        self._busy = False
-        self._waiting: list[Callable[[], None]] = []  # what comes while it is paused
+        self._is_syncing = False
+        self._deferred: list[Callable[[], None]] = []  # what comes while it is paused
         self._rng = kernel.stream(f"process {name}")
 
     def clock(self) -> int:
-        """Its own steady time: at its own rate, from its own beginning; it runs on in a pause."""
+        """Return the monotonic time, of the process's own rate and start; it runs in pauses too."""
         return self._offset + int(self.kernel.now * self.rate)
 
-    def guarded(self, work: Callable[[], None]) -> Callable[[], None]:
+    def guarded(self, callback: Callable[[], None]) -> Callable[[], None]:
         """`work` as this life would do it: not after its end, and after a pause once it is over."""
-        life = self.incarnation
+        incarnation = self.incarnation
 
         def run() -> None:
-            if not self.up or self.incarnation != life:
+            if not self.up or self.incarnation != incarnation:
                 return
             if self.paused:
-                self._waiting.append(run)
+                self._deferred.append(run)
             else:
-                work()
+                callback()
 
         return run
 
     def begin(self) -> None:
-        """The process starts; what it held in memory is gone."""
+        """Start the process with nothing in memory."""
         self.up = True
         self.paused = False
         self.disk_is_failing = False
         self.incarnation += 1
         self._effects.clear()
-        self._waiting.clear()
-        self._busy = False
+        self._deferred.clear()
+        self._is_syncing = False
 
     def kill(self) -> None:
-        """Kill -9."""
+        """Kill the process (SIGKILL)."""
         self.up = False
 
     def pause(self) -> None:
-        """SIGSTOP."""
+        """Pause the process (SIGSTOP)."""
         self.paused = True
 
     def wake(self) -> None:
-        """SIGCONT: what has come meanwhile is done first, in its order."""
+        """Resume the process (SIGCONT); run the callbacks deferred meanwhile, in order."""
         if not (self.up and self.paused):
             return
         self.paused = False
-        waiting = self._waiting
-        self._waiting = []
+        waiting = self._deferred
+        self._deferred = []
         for work in waiting:
             work()
 
     # --- Effects
 
-    def take(self, effects: list[Effect]) -> None:
-        """Have these happen, in their order; while the disk fails, messages are lost."""
+    def enqueue(self, effects: list[Effect]) -> None:
+        """Perform effects in order; while the disk fails, messages are lost."""
         self._effects.extend(
             e for e in effects if not (self.disk_is_failing and isinstance(e, Send))
         )
-        self._go_on()
+        self._run_effects()
 
-    def _go_on(self) -> None:
-        while self._effects and not self._busy:
+    def _run_effects(self) -> None:
+        while self._effects and not self._is_syncing:
             effect = self._effects.popleft()
             if isinstance(effect, Persist):
-                self._busy = True
-                delay = int(self._rng.integers(*SYNC))
-                self.kernel.after(delay, self._synced, self.incarnation, effect, self.disk.now)
+                self._is_syncing = True
+                delay = int(self._rng.integers(*SYNC_DURATION_RANGE))
+                self.kernel.after(
+                    delay, self._on_sync_complete, self.incarnation, effect, self.disk.now
+                )
             else:
-                self.happen(effect)
+                self.perform(effect)
 
-    def _synced(self, life: int, keep: Persist, medium: dict[str, bytes]) -> None:
-        # What was under way to a disk does not come to be on the one that is in its place now.
-        if self.incarnation != life or self.disk.now is not medium:
+    def _on_sync_complete(
+        self, incarnation: int, persist: Persist, medium: dict[str, bytes]
+    ) -> None:
+        # A write to a disk that was replaced does not reach the new one.
+        if self.incarnation != incarnation or self.disk.now is not medium:
             return
         if not self.up:
-            # Killed during the sync: it may have come to its end all the same.
+            # Killed during the sync: it may have completed all the same.
             if self._rng.random() < 0.5 and not self.disk.full:
-                self.written(keep)
+                self.on_synced(persist)
             return
         self.disk_is_failing = self.disk.full
         if self.disk_is_failing:
-            # Nothing that rests on it may be said; messages count as lost meanwhile.
-            self._effects = deque(one for one in self._effects if not isinstance(one, Send))
-            self.kernel.after(WRITE_RETRY, self._synced, life, keep, medium)
+            # No message that depends on the write may be sent; messages are lost meanwhile.
+            self._effects = deque(
+                effect for effect in self._effects if not isinstance(effect, Send)
+            )
+            self.kernel.after(WRITE_RETRY, self._on_sync_complete, incarnation, persist, medium)
             return
-        self.written(keep)
-        self.guarded(self._release)()
+        self.on_synced(persist)
+        self.guarded(self._resume_effects)()
 
-    def _release(self) -> None:
-        self._busy = False
-        self._go_on()
+    def _resume_effects(self) -> None:
+        self._is_syncing = False
+        self._run_effects()
 
-    def written(self, keep: Persist) -> None:
-        """A sync has come to its end."""
-        self.disk.write(keep.items)
+    def on_synced(self, persist: Persist) -> None:
+        """Record a completed sync."""
+        self.disk.write(persist.items)
 
-    def happen(self, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> Any:
-        """Something happens that needs no disk."""
+    def perform(self, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
+        """Perform an effect that needs no disk."""
         raise NotImplementedError
--- a/sailhitch/model/tier.py
+++ b/sailhitch/model/tier.py
@@ -1,275 +1,27 @@
-"""Members of a tier in the model: the daemon's cores, and rules that are sets of permitted acts.
-
-A version's content is a tree of pages that holds the acts that it permits, and a weight that
-contradicts nothing. Each process does what it is free to do, many times a second; `truth` looks at
-every one of them.
-"""
+"""The model's world: a tier of processes, its network, and the checks of its promises."""
 
 from __future__ import annotations
 
-import random
-from collections.abc import Callable, Collection, Mapping
-from functools import partial
-from typing import Any
-
-import msgspec
+from collections.abc import Collection, Mapping
+from typing import Final
 
-from ..tier.content_store import root_of, tree_digest
-from ..tier.effects import AppliedVersions, ApplyVersions, JobCompleted, LogEvent, Persist, Send
-from ..tier.member import BootstrapVersion, Member, MemberStatus, TierConfig
-from ..tier.messages import Message, Version
-from ..tier.register import VOTE_KEY
-from ..zones.controller import ZoneController, ZoneTerms, all_inactive_nodes
-from ..zones.traffic_policy import EMPTY_POLICY, TrafficPolicy, decode
-from .contents import DEFAULT, Contents, is_on_disk, permitted
-from .invariants import InvariantChecker, InvariantViolationError, WriteEvent
+from ..tier.config import TierConfig
+from ..tier.content_store import tree_digest
+from ..tier.messages import Message
+from .contents import DEFAULT_CONTENTS, Contents
+from .invariants import InvariantChecker
 from .kernel import Kernel
 from .network import Network
-from .process import Process
-
-ACTS = 6  # different acts that rules permit or forbid
-EVERY = 20_000  # us between two acts of a process
-WATCH = 50_000  # us between two looks at who is out of reach
-MOST_LOSS = 0.3  # of datagrams: above it members may take each other for dead
-SWITCH = (500, 40_000)  # us that going by other rules takes
-
-
-class TierProcess(Process):
-    """A member with a disk and a clock, and what it does."""
-
-    def __init__(self, world: World, name: str, rate: float) -> None:
-        super().__init__(world.kernel, name, rate)
-        self.world = world
-        self.member: Member | None = None
-        self.view: AppliedVersions | None = None  # what it goes by
-        self.allowed: frozenset[int] = frozenset()
-        self.log: list[tuple[int, str]] = []
-        self.changes: dict[int, str] = {}  # by job
-        self.ended: dict[int, JobCompleted] = {}  # by job
-        self.controller: ZoneController | None = None
-        self.unused: frozenset[str] = frozenset()
-        self._switched_at = 0
-        self._draw = random.Random(world.kernel.seed * 1009 + len(world.processes))
-
-    def start(self) -> None:
-        """Start, or start anew, from what is on the disk."""
-        self.begin()
-        world = self.world
-        rng = random.Random(int(self._rng.integers(1 << 62)))
-        boot = int(self._rng.integers(1, 1 << 48))
-        founding = BootstrapVersion(world.founding, 1, "model")
-        self.view = None
-        self.changes = {}
-        self.ended = {}
-        self.member = Member(
-            world.terms(self.name), boot, dict(self.disk.now), rng, self.clock(), founding
-        )
-        self._switched_at = 0
-        self.controller = None
-        if world.zones:
-            terms = ZoneTerms(1, world.step, world.place_of(self.name), world.act)
-            self.controller = ZoneController(terms, rng)
-            self.controller.apply(0, EMPTY_POLICY, {"all": world.zones}, self.clock())
-        self.unused = frozenset()
-        self._take()
-        self._tick()
-        self.kernel.after(int(self._rng.integers(EVERY)), self.guarded(self._act))
-
-    def _take(self) -> None:
-        assert self.member is not None
-        self.take(self.member.take_effects())
-
-    def _tick(self) -> None:
-        assert self.member is not None
-        self.member.on_tick(self.clock())
-        self._steer()
-        self._take()
-        for name in self.member.prober.dead_members():
-            self.world.check_dead(self.name, name)
-        self.kernel.after(self.world.beat, self.guarded(self._tick))
-
-    def _steer(self) -> None:
-        controller = self.controller
-        member = self.member
-        now = self.clock()
-        if controller is None or member is None or not controller.due(now):
-            return
-        member.metadata, news = controller.report(now)
-        if news:
-            member.gossip_soon(now)
-        found = controller.look(now, controller.on_reports(member.metadata_by_member(now)))
-        if found is not None and member.member_status(now) is MemberStatus.ACTIVE:
-            self.pose_zones(found[0])
-
-    def hear(self, sender: str, message: Message) -> None:
-        """A datagram has come."""
-        if self.up and not self.paused:  # as `guarded` would do it, for most of what happens here
-            self._heard(sender, message)
-        else:
-            self.guarded(lambda: self._heard(sender, message))()
-
-    def _heard(self, sender: str, message: Message) -> None:
-        assert self.member is not None
-        self.member.on_message(sender, message, self.clock())
-        self._take()
-
-    def _act(self) -> None:
-        """Do something, if the rules that it goes by allow it at this moment."""
-        assert self.member is not None
-        act = self._draw.randrange(self.world.acts)
-        free = self.view is not None and act in self.allowed
-        free = free and str(act) not in self.unused
-        if free and self.member.member_status(self.clock()) is MemberStatus.ACTIVE:
-            assert self.view is not None
-            zone = self.world.zones.get(str(act))
-            if self.controller is not None and zone is not None:
-                self.controller.record(str(act), zone in self.world.frozen, False, self.clock())
-            self.world.checker.on_write(
-                WriteEvent(self.kernel.now, self.name, act, self.view.revision)
-            )
-        self.kernel.after(self.world.every, self.guarded(self._act))
-
-    # --- Effects
+from .tier_process import ACT_COUNT, WRITE_INTERVAL, TierProcess
 
-    def happen(self, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> Any:
-        world = self.world
-        if isinstance(effect, Send):
-            world.network.send(self.name, effect.to, effect.message)
-        elif isinstance(effect, ApplyVersions):
-            world.checker.on_apply_requested(self.name, effect.versions)
-            delay = int(self._rng.integers(*SWITCH))
-            self._switched_at = max(self._switched_at, self.kernel.now) + delay
-            self.kernel.at(self._switched_at, self.guarded(lambda: self._switch(effect.versions)))
-        elif isinstance(effect, JobCompleted):
-            if effect.job in self.changes:
-                world.checker.on_result(self.name, effect, self.changes[effect.job])
-            self.ended[effect.job] = effect
-            self.log.append((self.kernel.now, f"job {effect.job} {effect.result.value}"))
-        else:
-            self.log.append((self.kernel.now, f"{effect.event} {effect.fields}"))
+__all__ = ["ACT_COUNT", "TierProcess", "World"]
 
-    def _switch(self, acting: AppliedVersions) -> None:
-        assert self.member is not None
-        self.view = acting
-        self.allowed = self._read(acting.active)
-        if acting.pending is not None:
-            self.allowed &= self._read(acting.pending)
-        if self.controller is not None and acting.traffic_policy is not None:
-            posture = decode(self.member.contents.read(acting.traffic_policy.digest))
-            nodes = {"all": self.world.zones}
-            self.controller.apply(acting.traffic_policy.serial, posture, nodes, self.clock())
-            self.unused = all_inactive_nodes(posture, nodes)
-        self.world.checker.on_applied(self.kernel.now, acting)
-        self.member.confirm_applied(acting.revision, self.clock())
-        self._take()
-
-    def _read(self, version: Version) -> frozenset[int]:
-        """Return what a version permits, from the pages that this member has."""
-        assert self.member is not None
-        root = root_of(version.digest)
-        assert root is not None
-        try:
-            found = permitted(self.member.contents, root)
-        except KeyError as error:
-            raise InvariantViolationError(
-                f"1: {self.name} acts by {version} without its page {error}"
-            ) from None
-        assert found == self.world.permitted(version.digest), version
-        return found
-
-    def written(self, keep: Persist) -> None:
-        super().written(keep)
-        vote = keep.items.get(VOTE_KEY)
-        if vote is not None:
-            has = partial(is_on_disk, self.disk.now)
-            self.world.checker.on_vote(self.name, vote, has)
-
-    # --- What operators ask for
-
-    def propose(self, flip: int, weight: int) -> None:
-        """Permit an act that is forbidden, or forbid one that is not (`flip` below 0: neither)."""
-        if not self.up or self.paused or self.member is None or self.member.chosen is None:
-            return
-        active = self.member.chosen.state.active
-        if active.digest not in self.world.permits:
-            return
-        old = self.world.permitted(active.digest)
-        new = old ^ {flip} if 0 <= flip < ACTS else old
-        self.offer(active, frozenset(new), weight)
-
-    def offer(self, base: Version, new: frozenset[int], weight: int) -> int:
-        """Offer a version that permits these acts, made from `base`; the number of the job."""
-        assert self.member is not None
-        contents, store = self.world.contents, self.member.contents
-        made = contents.tree(new, weight)
-        old = self.world.permitted(base.digest)
-        root = None
-        if store.has(base.digest):
-            root = root_of(base.digest)
-        if root is not None:
-            changed = contents.updated(store, root, old, new, weight)
-            assert changed.root == made.root, "the same entries have two roots"
-            made = changed
-        self.world.permits[tree_digest(made.root)] = new
-        waits = new != old
-        return self._asked(self.member.propose(made, base.serial, waits, "model", 0))
-
-    def _asked(self, job: int) -> int:
-        """A change is under way; the truth knows it by what the core calls it."""
-        assert self.member is not None
-        self.changes[job] = f"{self.name}-{self.member.boot:x}-{job - 1}"
-        self._take()
-        return job
-
-    def propose_traffic_policy(self, weight: int) -> None:
-        """Propose another posture; it permits and forbids nothing."""
-        if not self.up or self.paused or self.member is None or self.view is None:
-            return
-        held = self.view.traffic_policy
-        made = msgspec.json.encode({"weight": weight})
-        self._asked(
-            self.member.propose_traffic_policy(made, 0 if held is None else held.serial, "model", 0)
-        )
-
-    def pose_zones(self, posture: TrafficPolicy) -> int:
-        """Propose this about zones; the number of the job."""
-        assert self.member is not None
-        assert self.controller is not None
-        return self._asked(
-            self.member.propose_traffic_policy(posture.encode(), self.controller.serial, "model", 0)
-        )
-
-    def ask(self, what: Callable[[Member], int | None]) -> int | None:
-        """Have the core do a job; its number, or None where it can't now."""
-        assert self.member is not None
-        job = what(self.member)
-        self._take()
-        return job
-
-    def says_gone(self, name: str, quiet: int) -> bool:
-        """Have another struck off by an operator; whether it is in the roster and may be.
-
-        `quiet` is for how long it must have given no sign of life, in microseconds.
-        """
-        assert self.member is not None
-        if not self.member.is_caught_up() or name not in self.member.configuration.members:
-            return False
-        if self.member.why_not_evictable(name, quiet, self.clock()):
-            return False
-        self.ask(lambda member: member.evict(name))
-        return True
-
-    def withdraw(self) -> None:
-        """Give up what is pending."""
-        if self.up and not self.paused and self.member is not None and self.member.chosen:
-            pending = self.member.chosen.state.pending
-            if pending is not None:
-                self.member.withdraw(pending.serial)
-                self._take()
+REACHABILITY_CHECK_INTERVAL: Final = 50_000  # us
+MAX_RELIABLE_LOSS: Final = 0.3  # of datagrams: above it members may declare each other dead
 
 
 class World:
-    """A tier of so many members, of which the first `voters` vote."""
+    """A tier of members, of which the first `voters` vote."""
 
     def __init__(
         self,
@@ -278,21 +30,31 @@
         voters: int = 3,
         lease: int | None = None,
         beat: int = 200_000,
-        every: int = EVERY,
+        write_interval: int = WRITE_INTERVAL,
         late: Collection[str] = (),
-        first: Collection[int] = range(0, ACTS, 2),
-        acts: int = ACTS,
+        first: Collection[int] = range(0, ACT_COUNT, 2),
+        acts: int = ACT_COUNT,
         zones: Mapping[str, str] | None = None,
         step: int = 1_000_000,
         act: bool = False,
-        contents: Contents = DEFAULT,
+        contents: Contents = DEFAULT_CONTENTS,
     ) -> None:
-        """`beat` and `every` in microseconds: of the members' cores, and between two acts.
-
-        Those in `late` are in no other's file, and are started by whoever plays. Of `acts`
-        different ones the tier's first version permits those in `first`. `zones` has the zone of
-        each act, by its number as a text, that is sending to a node; `step` is of a way back,
-        `act` whether members leave what the fleet takes for gone.
+        """Create the processes.
+
+        Args:
+            seed: Of all random numbers.
+            members: Their number.
+            voters: The number of those that vote.
+            lease: Its length in microseconds, if members hold one.
+            beat: Microseconds between two ticks of a member's core.
+            write_interval: Microseconds between two writes of a process.
+            late: Members that no other's configuration file has; the caller starts them.
+            first: The acts that the first version permits.
+            acts: The number of different acts.
+            zones: The zone of each act, by its number as text, that sends to a node.
+            step: Microseconds of a step of a zone's recovery ramp.
+            act: Whether members stop sending to a zone that the fleet considers down.
+            contents: Builds the versions' trees.
         """
         self.kernel = Kernel(seed)
         self.network = Network(self.kernel, self._deliver)
@@ -300,19 +62,19 @@
         self.voters = self.names[:voters]
         self.lease = lease
         self.beat = beat
-        self.every = every
+        self.write_interval = write_interval
         self.late = frozenset(late)
         self.zones = dict(zones or {})
         self.step = step
         self.act = act
-        self.frozen: set[str] = set()  # zones whose nodes answer nothing
-        self._trouble = dict.fromkeys(self.names, 0)  # when each last was out of others' reach
+        self.frozen: set[str] = set()  # zones whose nodes don't answer
+        self._last_unreachable = dict.fromkeys(self.names, 0)  # times
         self.first = frozenset(first)
         self.acts = acts
         self.contents = contents
-        self.founding = contents.tree(self.first, 0)
+        self.bootstrap_tree = contents.tree(self.first, 0)
         # What each version permits, by its digest.
-        self.permits = {tree_digest(self.founding.root): self.first}
+        self.acts_by_digest = {tree_digest(self.bootstrap_tree.root): self.first}
         self.checker = InvariantChecker(
             self.voters, lambda digest, act: act in self.permitted(digest)
         )
@@ -321,71 +83,71 @@
         for name, rate in zip(self.names, rates, strict=True):
             self.processes[name] = TierProcess(self, name, float(rate))
 
-    def terms(self, name: str) -> TierConfig:
-        peers = tuple(one for one in self.names if one == name or one not in self.late)
+    def config_of(self, name: str) -> TierConfig:
+        peers = tuple(peer for peer in self.names if peer == name or peer not in self.late)
         return TierConfig(name, self.voters, peers, self.lease)
 
-    def place_of(self, name: str) -> str:
-        """Return the zone that a member is in: of those that there are, by turns."""
+    def zone_of(self, name: str) -> str:
+        """Return a member's zone; members are spread over the zones by turns."""
         zones = sorted(set(self.zones.values()))
         return zones[self.names.index(name) % len(zones)]
 
     def permitted(self, digest: str) -> frozenset[int]:
         """Return what a version permits."""
-        return self.permits[digest]
+        return self.acts_by_digest[digest]
 
-    def _deliver(self, sender: str, to: str, message: Any) -> None:
-        self.processes[to].hear(sender, message)
+    def _deliver(self, sender: str, to: str, message: Message) -> None:
+        self.processes[to].receive(sender, message)
 
     def start(self) -> None:
-        """All start, within half a second and in any order."""
-        self._watch()
+        """Start all processes, within half a second and in random order."""
+        self._track_reachability()
         for name, process in self.processes.items():
             delay = int(self.kernel.stream(f"start {name}").integers(500_000))
             if name not in self.late:
                 self.kernel.after(delay, process.start)
 
-    def _watch(self) -> None:
-        """Note who can't be expected to hear or to be heard."""
+    def _track_reachability(self) -> None:
+        """Record the members that can't be expected to communicate now."""
         now = self.kernel.now
         network = self.network
         for name, process in self.processes.items():
-            out = not process.up or process.paused or process.disk_is_failing
-            if out or network.loss > MOST_LOSS:
-                self._trouble[name] = now
+            unreachable = not process.up or process.paused or process.disk_is_failing
+            if unreachable or network.loss > MAX_RELIABLE_LOSS:
+                self._last_unreachable[name] = now
         for link in network.cuts:
             for name in link:
-                self._trouble[name] = now
-        self.kernel.after(WATCH, self._watch)
+                self._last_unreachable[name] = now
+        self.kernel.after(REACHABILITY_CHECK_INTERVAL, self._track_reachability)
 
-    def check_dead(self, by: str, name: str) -> None:
-        """Promise 5: `by` takes another for dead."""
-        since = max(self._trouble[by], self._trouble[name])
-        self.checker.on_declared_dead(self.kernel.now, by, name, since)
+    def check_declared_dead(self, observer: str, name: str) -> None:
+        """Check promise 5 for a member that another has declared dead."""
+        since = max(self._last_unreachable[observer], self._last_unreachable[name])
+        self.checker.on_declared_dead(self.kernel.now, observer, name, since)
 
-    def check_known(self) -> None:
-        """Promise 4: all that are up know what was decided."""
+    def check_latest_known(self) -> None:
+        """Check promise 4: all live members know the latest state."""
         heads = {p.name: p.member.chosen for p in self.processes.values() if p.up and p.member}
-        self.checker.check_known(
+        self.checker.check_latest_known(
             {name: 0 if known is None else known.state.revision for name, known in heads.items()}
         )
 
     def check_end(self) -> None:
-        """Promises 4 and 5, of those that are up."""
+        """Check promises 4 and 5 for all live members."""
         self.check_settled()
-        self.check_who_is_there()
+        self.check_liveness()
 
     def check_settled(self) -> None:
-        """Promise 4, of those that are up."""
-        self.check_known()
+        """Check promise 4 for all live members."""
+        self.check_latest_known()
         up = [p for p in self.processes.values() if p.up and p.member is not None]
         self.checker.check_ended(
             {p.name: p.member.member_status(p.clock()) for p in up if p.member is not None},
             {p.name: 0 if p.view is None else p.view.revision for p in up},
         )
 
-    def check_who_is_there(self) -> None:
-        """Promise 5: all that are up take for dead those alone that are not."""
+    def check_liveness(self) -> None:
+        """Check promise 5: all live members declare exactly the others dead."""
         up = [p for p in self.processes.values() if p.up and p.member is not None]
         for process in up:
             assert process.member is not None
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -699,7 +699,7 @@
 def _of_versions(world: World, *versions: Version) -> set[str]:
     """Names on disk of all pages of these versions."""
     everything: dict[str, bytes] = {}
-    for allow in world.permits.values():
+    for allow in world.acts_by_digest.values():
         everything.update(world.contents.tree(allow, 0).pages)
     roots = {root for version in versions if (root := root_of(version.digest)) is not None}
     return {PAGE + page for page in _reached(everything, roots)}
@@ -812,17 +812,17 @@
     process, kept = world.processes["g5"], list[set[str]]()
     process.kill()
     process.disk.lose()
-    real = process.written
+    real = process.on_synced
 
-    def written(keep: Persist) -> None:
-        real(keep)
-        pages = {name for name, value in keep.items.items() if name.startswith(PAGE) and value}
+    def on_synced(persist: Persist) -> None:
+        real(persist)
+        pages = {name for name, value in persist.items.items() if name.startswith(PAGE) and value}
         if pages:
             kept.append(pages)
             if process.incarnation == 2 and len(kept) == steps:
                 process.kill()
 
-    process.written = written  # type: ignore[method-assign]
+    process.on_synced = on_synced  # type: ignore[method-assign]
     process.start()
     world.kernel.run(world.kernel.now + 5 * S)
     assert world.checker.latest is not None
@@ -935,7 +935,7 @@
 
 
 def test_a_change_brings_a_member_few_pages_of_a_large_state() -> None:
-    world = World(1, 5, 3, contents=LARGE, every=S)
+    world = World(1, 5, 3, contents=LARGE, write_interval=S)
     world.start()
     world.kernel.run(60 * S)  # all have it by then
     world.check_end()
@@ -954,7 +954,7 @@
 
 
 def test_a_newcomer_has_a_large_state_within_a_minute_while_gossip_goes_on() -> None:
-    world = World(1, 5, 3, contents=LARGE, every=S, late=["g5"])
+    world = World(1, 5, 3, contents=LARGE, write_interval=S, late=["g5"])
     world.start()
     world.kernel.run(60 * S)
     assert world.checker.latest is not None
--- a/tests/test_tier_cases.py
+++ b/tests/test_tier_cases.py
@@ -41,7 +41,7 @@
 ) -> None:
     world = stood(lease=lease)
     proposer = world.processes["g4"]
-    real, sent = proposer.happen, [0]
+    real, sent = proposer.perform, [0]
 
     def happen(effect: Any) -> Any:
         real(effect)
@@ -49,11 +49,11 @@
         if sent[0] == count:
             proposer.kill()
 
-    proposer.happen = happen  # type: ignore[method-assign]
+    proposer.perform = happen  # type: ignore[method-assign]
     proposer.propose(1, 0)
     world.kernel.run(world.kernel.now + 5 * S)
     assert not proposer.up
-    del proposer.happen
+    del proposer.perform
     proposer.start()
     assert settled(world).pending is None
 
@@ -143,7 +143,7 @@
 def test_what_one_member_cannot_read_does_not_become_active() -> None:
     world = stood()
     old = world.processes["g5"]
-    real = old.happen
+    real = old.perform
 
     def happen(effect: Any) -> Any:
         if isinstance(effect, ApplyVersions):
@@ -154,7 +154,7 @@
             return None
         return real(effect)
 
-    old.happen = happen  # type: ignore[method-assign]
+    old.perform = happen  # type: ignore[method-assign]
     world.processes["g1"].propose(1, 0)
     world.kernel.run(world.kernel.now + 10 * S)
     asked = world.processes["g2"]
@@ -164,7 +164,7 @@
     (why,) = [one["trouble"] for one in told["members"] if one["name"] == "g5"]
     assert why == "the state would be out of form: x"
     world.processes["g3"].withdraw()
-    del old.happen
+    del old.perform
     assert settled(world).active.serial == 1
 
 
@@ -256,7 +256,7 @@
         world = stood(seed=seed)
         process = world.processes["g1"]
         process.propose(1, 0)
-        while not process._busy:
+        while not process._is_syncing:
             world.kernel.run(world.kernel.now + 100)
         process.kill()
         process.disk.lose()
--- a/tests/test_tier_model.py
+++ b/tests/test_tier_model.py
@@ -66,13 +66,13 @@
 
 
 def test_a_slow_switch_alone_breaks_nothing(monkeypatch: Patch) -> None:
-    monkeypatch.setattr("sailhitch.model.tier.SWITCH", SLOW)
+    monkeypatch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW)
     assert [seed for seed in range(15) if find_violation(draw_scenario(seed))] == []
 
 
 def test_a_run_is_a_function_of_story_and_seed() -> None:
     ends = [play(draw_scenario(7)) for _ in range(2)]
-    assert ends[0].kernel.events == ends[1].kernel.events
+    assert ends[0].kernel.event_count == ends[1].kernel.event_count
     assert ends[0].checker.chosen == ends[1].checker.chosen
     assert ends[0].checker.write_count > 1000
 
@@ -99,20 +99,20 @@
 
 
 def _views(patch: Patch, chosen: Callable[[World, AppliedVersions], Any]) -> None:
-    real = TierProcess._switch
+    real = TierProcess._apply
 
     def switch(self: TierProcess, acting: AppliedVersions) -> None:
         real(self, acting)
-        self.allowed = self.world.permitted(chosen(self.world, acting).digest)
+        self.permitted_acts = self.world.permitted(chosen(self.world, acting).digest)
 
-    patch.setattr(TierProcess, "_switch", switch)
+    patch.setattr(TierProcess, "_apply", switch)
 
 
 def _confirms_before_it_acts(patch: Patch) -> None:
-    patch.setattr("sailhitch.model.tier.SWITCH", SLOW)
+    patch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW)
     # Contents that it lets go of too early would be found out first.
     patch.setattr(ContentExchange, "applied", lambda self, turn: None)
-    real = TierProcess.happen
+    real = TierProcess.perform
 
     def happen(self: TierProcess, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
         real(self, effect)
@@ -120,7 +120,7 @@
             assert self.member is not None
             self.member.confirm_applied(effect.versions.revision, self.clock())
 
-    patch.setattr(TierProcess, "happen", happen)
+    patch.setattr(TierProcess, "perform", happen)
 
 
 def _accepts_an_older_ballot(patch: Patch) -> None:
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -14,7 +14,7 @@
 
 from sailhitch.daemon.schema import MOST_MEMBERS, FileError, parse_value
 from sailhitch.lab.scenario import ScenarioError, load_scenario
-from sailhitch.model.explore import BrokenLineError, Explorer
+from sailhitch.model.explore import Explorer, LostUpdateError
 from sailhitch.model.tier import World
 from sailhitch.tier.configuration import Configuration, ConfigurationIndex
 from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT, NO_ARRIVAL, ContentStore
@@ -447,9 +447,9 @@
 
 def test_every_order_of_two_changes_at_three_voters_keeps_one_line() -> None:
     found = Explorer().explore()
-    assert found.whole
+    assert found.complete
     assert found.states > 100_000
-    assert ("active", "stale") in found.ends
+    assert ("active", "stale") in found.results
 
 
 class _AcceptsOlder(Acceptor):
@@ -459,16 +459,16 @@
 
 
 class _NotSynced(Explorer):
-    syncs = False
+    syncs_votes = False
 
 
 class _Older(Explorer):
-    voter = _AcceptsOlder
+    acceptor_type = _AcceptsOlder
 
 
 @pytest.mark.parametrize(("explorer", "crashes"), [(_Older, 0), (_NotSynced, 1)])
 def test_the_search_finds_what_breaks_the_line(explorer: type[Explorer], crashes: int) -> None:
-    with pytest.raises(BrokenLineError):
+    with pytest.raises(LostUpdateError):
         explorer().explore(crashes=crashes)
 
 
--- a/tests/test_tier_probes.py
+++ b/tests/test_tier_probes.py
@@ -27,7 +27,7 @@
 
 
 def _world(members: int, loss: float = 0.0, seed: int = 1, **more: Any) -> World:
-    world = World(seed, members, min(5, members), every=S, **more)
+    world = World(seed, members, min(5, members), write_interval=S, **more)
     world.network.loss = loss
     world.start()
     world.kernel.run(8 * S)
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_lease_rests_on_others_word_where_no_voter_can_be_reached(seed: int) -> None:
-    world = World(seed, 6, 3, 3 * S, every=S)
+    world = World(seed, 6, 3, 3 * S, write_interval=S)
     world.start()
     world.kernel.run(8 * S)
     _cut(world, *(("g6", voter) for voter in world.voters))
@@ -221,12 +221,12 @@
 
 
 def test_a_newcomer_that_no_file_names_is_a_member_that_changes_wait_for() -> None:
-    world = World(3, 5, 3, every=S // 50, late=["g5"])
+    world = World(3, 5, 3, write_interval=S // 50, late=["g5"])
     world.start()
     world.kernel.run(8 * S)
     newcomer = world.processes["g5"]
     assert _member(world, "g4").admit("g5", "127.0.0.1:9") is not None
-    world.processes["g4"]._take()
+    world.processes["g4"]._process_effects()
     _go_on(world, 2)
     newcomer.start()
     _go_on(world, 6)
@@ -244,4 +244,4 @@
     world = _world(3)
     _go_on(world, 20)
     with pytest.raises(InvariantViolationError, match="5: g1 takes g2 for dead"):
-        world.check_dead("g1", "g2")
+        world.check_declared_dead("g1", "g2")
--- a/tests/test_tier_recovery.py
+++ b/tests/test_tier_recovery.py
@@ -224,7 +224,7 @@
 def _broken_at_rest(world: World) -> str | None:
     try:
         world.kernel.run(world.kernel.now + 20 * S)
-        world.check_known()
+        world.check_latest_known()
     except InvariantViolationError as error:
         return str(error)
     return None
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -258,7 +258,7 @@
         seed,
         members,
         min(5, members),
-        every=S // 50,
+        write_interval=S // 50,
         first=range(12),
         acts=12,
         zones=nodes,
@@ -287,7 +287,7 @@
 def _out(world: World, zone: str) -> list[int]:
     """Of each gateway that runs, how many nodes of a zone it does not use."""
     here = {name for name, its in world.zones.items() if its == zone}
-    return [len(p.unused & here) for p in world.processes.values() if p.up and not p.paused]
+    return [len(p.inactive_nodes & here) for p in world.processes.values() if p.up and not p.paused]
 
 
 @pytest.mark.parametrize(("members", "loss"), [(3, 0.0), (9, 0.1), (25, 0.1)])
