--- a/benchmarks/tier_seeds.py
+++ b/benchmarks/tier_seeds.py
@@ -1,8 +1,8 @@
-"""Plays many seeds of random faults on a tier in the model; prints each broken promise as a story.
+"""Plays many seeds of random faults on a modelled tier; prints each violation with its scenario.
 
     python benchmarks/tier_seeds.py [--from 0] [--seeds 20000] [--jobs 4] [--death]
 
-With `--death` a member is killed for good in each story. Exits 1 where a promise was broken. The
+With `--death` a member dies for good in each scenario. Exits 1 if a promise was broken. The
 tests play the first 200, and the first 100 with a death.
 """
 
@@ -23,43 +23,48 @@
 
 
 def play(seed: int) -> tuple[int, str | None]:
-    """A seed, and the promise that it breaks."""
+    """Return a seed, and the promise that its scenario breaks."""
     return seed, find_violation(draw_scenario(seed))
 
 
 def play_with_death(seed: int) -> tuple[int, str | None]:
-    """The same where a member is killed for good."""
+    """Return the same for the scenario in which a member dies for good."""
     return seed, find_violation(draw_scenario_with_death(seed))
 
 
 def main() -> int:
-    """Play them; returns the exit code."""
+    """Play the seeds; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--from", dest="first", type=int, default=0)
     parser.add_argument("--seeds", type=int, default=20_000)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--death", action="store_true")
     options = parser.parse_args()
-    story, one = (
-        (draw_scenario_with_death, play_with_death) if options.death else (draw_scenario, play)
-    )
-    began, bad = time.perf_counter(), []
+    draw = draw_scenario_with_death if options.death else draw_scenario
+    play_seed = play_with_death if options.death else play
+    started_at = time.perf_counter()
+    failed = []
     with ProcessPoolExecutor(options.jobs) as pool:
         seeds = range(options.first, options.first + options.seeds)
-        for i, (seed, said) in enumerate(pool.map(one, seeds, chunksize=20), 1):
-            if said is not None:
-                bad.append(seed)
-                print(f"seed {seed}: {said}", file=sys.stderr, flush=True)
+        for i, (seed, violation) in enumerate(pool.map(play_seed, seeds, chunksize=20), 1):
+            if violation is not None:
+                failed.append(seed)
+                print(f"seed {seed}: {violation}", file=sys.stderr, flush=True)
             if i % 1000 == 0:
-                took = time.perf_counter() - began
-                print(f"{i} played, {len(bad)} broken, {took:.0f} s", file=sys.stderr, flush=True)
-    for seed in bad[:5]:
-        print(format_scenario(*shrink(story(seed))))
-    took = time.perf_counter() - began
+                elapsed = time.perf_counter() - started_at
+                print(
+                    f"{i} played, {len(failed)} broken, {elapsed:.0f} s",
+                    file=sys.stderr,
+                    flush=True,
+                )
+    for seed in failed[:5]:
+        print(format_scenario(*shrink(draw(seed))))
+    elapsed = time.perf_counter() - started_at
     print(
-        f"{options.seeds} seeds, {len(bad)} broken, {took:.0f} s, {options.jobs} jobs: {bad[:20]}"
+        f"{options.seeds} seeds, {len(failed)} broken, {elapsed:.0f} s, {options.jobs} jobs: "
+        f"{failed[:20]}"
     )
-    return 1 if bad else 0
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -247,7 +247,7 @@
 def _whole(make: Callable[[bytes, bytes], bytes]) -> Callable[[ContentStore], Source]:
     """Sends another packed page, whole and in one piece, made of its digest and packed form."""
 
-    def made(store: ContentStore) -> Source:
+    def build(store: ContentStore) -> Source:
         def answer(request: PageRequest, now: int) -> list[PageReply]:
             replies = []
             for wanted in request.ranges:
@@ -262,7 +262,7 @@
 
         return answer
 
-    return made
+    return build
 
 
 def _flipped(data: bytes) -> bytes:
@@ -485,14 +485,14 @@
 
 
 def _reached(pages: Mapping[str, bytes], roots: set[str]) -> set[str]:
-    found: set[str] = set()
+    reached: set[str] = set()
     waiting = list(roots)
     while waiting:
         page = waiting.pop()
-        if page in pages and page not in found:
-            found.add(page)
+        if page in pages and page not in reached:
+            reached.add(page)
             waiting += child_digests(pages[page])
-    return found
+    return reached
 
 
 @settings(max_examples=60)
@@ -525,10 +525,10 @@
         assert {page for page in everything if page in store} == here
         assert store.size == sum(len(compress(raw)) for raw in pages.values())
         for page in everything:
-            whole = _reached(everything, {page}) <= here
-            assert store.is_complete(page) == whole
+            is_complete = _reached(everything, {page}) <= here
+            assert store.is_complete(page) == is_complete
             lacking = {*store.lacking(page)}
-            assert lacking == set() if whole else lacking and not lacking & here
+            assert lacking == set() if is_complete else lacking and not lacking & here
 
 
 def test_pages_shared_with_a_version_that_stays_are_retained() -> None:
@@ -549,12 +549,12 @@
 
 
 def _all_of(store: ContentStore, root: str) -> set[str]:
-    found, waiting = set[str](), [root]
+    reached, waiting = set[str](), [root]
     while waiting:
         page = waiting.pop()
-        found.add(page)
+        reached.add(page)
         waiting += child_digests(store.page(page))
-    return found
+    return reached
 
 
 def test_letting_go_of_one_of_two_versions_costs_what_goes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -736,10 +736,10 @@
     leaf = next(page for page, raw in tree.pages.items() if not child_digests(raw))
     pages = {page: compress(raw) for page, raw in tree.pages.items() if page != leaf}
     store, out, ballot = ContentStore({}, pages), list[Effect](), Ballot(1, "g1", 7)
-    roster, _ = store.add(b"{}")
+    configuration_digest, _ = store.add(b"{}")
     voter = Voter("g1", ("g1",), None, store, {}, None, lambda: ballot, 7, out)
     version = Version(1, 0, tree_digest(tree.root), "g1", "", 0, "g1-7-0")
-    accept = Accept(ballot, RegisterState(1, 1, 1, version, None, roster), {})
+    accept = Accept(ballot, RegisterState(1, 1, 1, version, None, configuration_digest), {})
     assert voter.prepare(Prepare(ballot)) is not None
     out.clear()
     assert voter.accept(accept) is None
@@ -763,8 +763,8 @@
 
     world.network.send = counted  # type: ignore[method-assign]
     world.processes["g4"].propose(1, 0)
-    head = _rested(world)
-    assert (head.active.serial, head.active.proposer) == (2, "g4")
+    register_state = _rested(world)
+    assert (register_state.active.serial, register_state.active.proposer) == (2, "g4")
     assert {*asked.values()} == {1}
 
 
@@ -799,11 +799,11 @@
     full.disk.full = False
     if restarted:
         full.start()
-    head = _rested(world)
-    assert (head.active.serial, head.pending) == (2, None)
+    register_state = _rested(world)
+    assert (register_state.active.serial, register_state.pending) == (2, None)
     assert not full.disk_is_failing
     assert _member(world, "g1").waiting_for() == []
-    assert _pages_on(full) == _of_versions(world, head.active)
+    assert _pages_on(full) == _of_versions(world, register_state.active)
 
 
 @pytest.mark.parametrize("steps", range(1, 12))
@@ -858,8 +858,8 @@
     assert member.is_caught_up()
     assert not member.contents.is_fetching
     heal()
-    head = _rested(world)
-    assert (head.active.serial, head.pending) == (1, None)
+    register_state = _rested(world)
+    assert (register_state.active.serial, register_state.pending) == (1, None)
     assert _pages_on(world.processes["g5"]) == before
     assert _pages_on(world.processes["g4"]) == before
     for voter in world.voters:  # they keep for a while what they were asked to accept
@@ -883,16 +883,18 @@
     old.disk.now = dict(old.disk.days[-1])
     assert withdrawn <= _pages_on(old)
     old.start()
-    head = _rested(world)
-    assert _pages_on(old) == _of_versions(world, head.active)
+    register_state = _rested(world)
+    assert _pages_on(old) == _of_versions(world, register_state.active)
 
 
 def test_a_disk_of_the_version_before_is_read_as_it_is() -> None:
     """A member of a tier of its own, with a state and a roster as whole contents."""
-    state, roster = b'{"nodes":{}}', Configuration(("g1",), ()).encode()
-    digest, roster_digest = sha256(state).hexdigest(), sha256(roster).hexdigest()
+    state, configuration = b'{"nodes":{}}', Configuration(("g1",), ()).encode()
+    digest, configuration_digest = sha256(state).hexdigest(), sha256(configuration).hexdigest()
     version = Version(4, 3, digest, "g1", "ann", 5, "g1-63-0")
-    decided = ChosenState(Ballot(7, "g1", 99), RegisterState(6, 4, 1, version, None, roster_digest))
+    decided = ChosenState(
+        Ballot(7, "g1", 99), RegisterState(6, 4, 1, version, None, configuration_digest)
+    )
     encode = msgspec.msgpack.encode
     disk = {
         "known": encode(decided),
@@ -900,7 +902,7 @@
         "stamps": encode({"g1": 9}),
         "vote": encode([Ballot(7, "g1", 99), decided, 9]),
         f"content/{digest}": zlib.compress(state, 6),
-        f"content/{roster_digest}": zlib.compress(roster, 6),
+        f"content/{configuration_digest}": zlib.compress(configuration, 6),
     }
     member = Member(TierConfig("g1", ("g1",), ("g1",)), 5, disk, random.Random(1), 0, None)
     for now in range(0, S, S // 10):
@@ -928,7 +930,7 @@
                 member.confirm_applied(effect.versions.revision, now)
     assert member.applying.active.digest == tree_digest(tree.root)
     contents = {name for name in disk if "/" in name}
-    assert contents == {PAGE + page for page in tree.pages} | {f"content/{roster_digest}"}
+    assert contents == {PAGE + page for page in tree.pages} | {f"content/{configuration_digest}"}
 
 
 LARGE = Contents(some_entries(6000, size=250), 4096)
@@ -942,8 +944,8 @@
     before = {name: _pages_on(process) for name, process in world.processes.items()}
     sent = _count(world, "g5")
     world.processes["g4"].propose(1, 0)
-    head = _rested(world)
-    assert head.active.serial == 2
+    register_state = _rested(world)
+    assert register_state.active.serial == 2
     replies = [message for message in sent if isinstance(message, PageReply)]
     wire = Wire(Keys(1, {1: b"k" * 32}), "a-gateway-of-a-region-16", 1 << 47)
     size = sum(len(wire.seal("a-gateway-of-a-region-17", reply)) for reply in replies)
--- a/tests/test_tier_model.py
+++ b/tests/test_tier_model.py
@@ -51,8 +51,8 @@
 
 def test_the_promises_hold_through_random_faults() -> None:
     with ProcessPoolExecutor() as pool:
-        found = [one for one in pool.map(_play, range(SEEDS), chunksize=5) if one[1]]
-    assert not found, format_scenario(*shrink(draw_scenario(found[0][0])))
+        violations = [result for result in pool.map(_play, range(SEEDS), chunksize=5) if result[1]]
+    assert not violations, format_scenario(*shrink(draw_scenario(violations[0][0])))
 
 
 def test_a_member_that_left_and_came_back_with_an_older_disk_keeps_no_change_waiting() -> None:
@@ -111,7 +111,7 @@
 def _confirms_before_it_acts(patch: Patch) -> None:
     patch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW)
     # Contents that it lets go of too early would be found out first.
-    patch.setattr(ContentExchange, "applied", lambda self, turn: None)
+    patch.setattr(ContentExchange, "applied", lambda self, revision: None)
     real = TierProcess.perform
 
     def happen(self: TierProcess, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
@@ -139,12 +139,12 @@
     real = Round._choose
 
     def choose(self: Round) -> None:
-        least = min(self._promises, key=lambda v: self._promises[v].accepted is not None)
-        self._promises = {least: self._promises[least]} | self._promises
-        said = self._promises[least].accepted
+        first = min(self._promises, key=lambda v: self._promises[v].accepted is not None)
+        self._promises = {first: self._promises[first]} | self._promises
+        accepted = self._promises[first].accepted
         for voter, promise in self._promises.items():
             self._promises[voter] = type(promise)(
-                promise.ballot, True, promise.promised, said, promise.stamp
+                promise.ballot, True, promise.promised, accepted, promise.stamp
             )
         real(self)
 
@@ -219,7 +219,7 @@
 
 
 def _lets_go_of_what_is_applied(patch: Patch) -> None:
-    patch.setattr(ContentExchange, "applying", lambda self, head: None)
+    patch.setattr(ContentExchange, "applying", lambda self, state: None)
 
 
 S = 1_000_000
@@ -299,24 +299,26 @@
     mutation: Callable[[Patch], None], first: int | Scenario, promises: str, monkeypatch: Patch
 ) -> None:
     if isinstance(first, Scenario):
-        stories = [msgspec.structs.replace(first, seed=seed) for seed in range(40)]
+        scenarios = [msgspec.structs.replace(first, seed=seed) for seed in range(40)]
     else:
-        stories = [draw_scenario(seed) for seed in (first, *range(60))]
+        scenarios = [draw_scenario(seed) for seed in (first, *range(60))]
     mutation(monkeypatch)
-    said = next((said for story in stories if (said := find_violation(story))), None)
-    assert said is not None
-    assert said[0] in promises, said
+    violation = next(
+        (violation for scenario in scenarios if (violation := find_violation(scenario))), None
+    )
+    assert violation is not None
+    assert violation[0] in promises, violation
 
 
 def test_no_story_told_here_breaks_a_promise_by_itself() -> None:
-    for story in (LOST, OLD, DEAF, ALL_OUT):
+    for scenario in (LOST, OLD, DEAF, ALL_OUT):
         for seed in range(5):
-            assert find_violation(msgspec.structs.replace(story, seed=seed)) is None
+            assert find_violation(msgspec.structs.replace(scenario, seed=seed)) is None
 
 
-@pytest.mark.parametrize("story", [LOST, OLD], ids=["lost", "old"])
-def test_a_lost_or_an_old_disk_of_a_voter_takes_nothing_back(story: Scenario) -> None:
-    world = play(story)
+@pytest.mark.parametrize("scenario", [LOST, OLD], ids=["lost", "old"])
+def test_a_lost_or_an_old_disk_of_a_voter_takes_nothing_back(scenario: Scenario) -> None:
+    world = play(scenario)
     assert world.checker.latest is not None
     assert world.checker.latest.revision >= 3
 
@@ -324,6 +326,6 @@
 def test_a_failing_story_is_cut_down_to_a_short_one(monkeypatch: Patch) -> None:
     _acts_on_old_until_active(monkeypatch)
     seed = next(s for s in range(50) if find_violation(draw_scenario(s)))
-    small, said = shrink(draw_scenario(seed))
+    small, violation = shrink(draw_scenario(seed))
     assert len(small.events) <= 2 < len(draw_scenario(seed).events)
-    assert "propose" in format_scenario(small, said)
+    assert "propose" in format_scenario(small, violation)
--- a/tests/test_tier_probes.py
+++ b/tests/test_tier_probes.py
@@ -87,8 +87,8 @@
     [(probed, _)] = prober.on_tick(0, others, lambda name: 1)
     prober.on_suspicions([Suspicion("e", 1, ["a"])], lambda name: 1, 0)
     prober.on_tick(60 * S, others, lambda name: 1)
-    found = {name: prober.health(name, 1) for name in others}
-    assert found == dict.fromkeys(others, Health.ALIVE) | {"e": Health.SUSPECT}, probed
+    health = {name: prober.health(name, 1) for name in others}
+    assert health == dict.fromkeys(others, Health.ALIVE) | {"e": Health.SUSPECT}, probed
 
 
 def _one_that_comes_out_of_a_cut() -> None:
@@ -213,8 +213,8 @@
     member.take_effects()
     member.on_message("g2", Relayed("g3", "g4", Ping(1, 0)), 0)
     member.on_message("g2", Relayed("g2", "g4", Ack(1)), 0)
-    said = [one for one in member.take_effects() if isinstance(one, Send)]
-    assert [(one.to, one.message) for one in said] == [("g4", Relayed("g2", "g4", Ack(1)))]
+    sent = [effect for effect in member.take_effects() if isinstance(effect, Send)]
+    assert [(effect.to, effect.message) for effect in sent] == [("g4", Relayed("g2", "g4", Ack(1)))]
 
 
 # --- Joining
--- a/tests/test_tier_recovery.py
+++ b/tests/test_tier_recovery.py
@@ -74,12 +74,12 @@
 
 def test_a_member_that_left_and_came_back_acts_by_no_withdrawn_rules() -> None:
     """It is cut off right after it came back, while another member changes the rules."""
-    found = {}
+    violations = {}
     for flip in (0, 2, 4, 5):
         more = Event(19 * S, "part", (0,), 8 * S), Event(int(19.5 * S), "propose", (1,), 0, flip)
-        story = msgspec.structs.replace(LEFT_AND_BACK, events=(*LEFT_AND_BACK.events, *more))
-        found[flip] = find_violation(story)
-    assert found == {0: None, 2: None, 4: None, 5: None}
+        scenario = msgspec.structs.replace(LEFT_AND_BACK, events=(*LEFT_AND_BACK.events, *more))
+        violations[flip] = find_violation(scenario)
+    assert violations == {0: None, 2: None, 4: None, 5: None}
 
 
 @pytest.mark.parametrize("disk", ["as it was", "empty"])
@@ -113,7 +113,7 @@
 
 def test_a_voter_tells_of_rounds_that_it_promised_and_accepted_nothing_after() -> None:
     version = Version(1, 0, "a", "g1", "", 0, "c")
-    head = RegisterState(1, 1, 1, version, None, "r")
+    state = RegisterState(1, 1, 1, version, None, "r")
     first, second, third = Ballot(1, "g1", 0), Ballot(2, "g1", 0), Ballot(3, "g2", 0)
     acceptor = Acceptor("v1", ("v1",), None)
 
@@ -122,12 +122,12 @@
 
     acceptor.prepare(first)
     assert unfinished() == ["g1"]
-    acceptor.accept(Accept(first, head, {}))
+    acceptor.accept(Accept(first, state, {}))
     assert unfinished() == []
     acceptor.prepare(second)
     acceptor.prepare(third)
     assert unfinished() == ["g1", "g2"]
-    acceptor.learn(ChosenState(second, head))
+    acceptor.learn(ChosenState(second, state))
     assert unfinished() == ["g2"]
     kept = msgspec.msgpack.decode(msgspec.msgpack.encode(acceptor.vote), type=Vote)
     assert Acceptor("v1", ("v1",), kept).has_unfinished("g2")
@@ -235,16 +235,20 @@
 
 def _play_death(case: tuple[str, str, int]) -> str | None:
     name, change, seed = case
-    said = _killed_during(seed, name, CHANGES[change])
-    return None if said is None else f"{name} {change} seed {seed}: {said}"
+    violation = _killed_during(seed, name, CHANGES[change])
+    return None if violation is None else f"{name} {change} seed {seed}: {violation}"
 
 
 def test_what_a_dead_proposer_had_decided_is_known_to_all_that_run() -> None:
     """g1 is a voter, and g4 is none."""
     cases = itertools.product(("g1", "g4"), CHANGES, range(KILLED))
     with ProcessPoolExecutor(2) as pool:
-        found = [said for said in pool.map(_play_death, cases, chunksize=10) if said is not None]
-    assert found == []
+        violations = [
+            violation
+            for violation in pool.map(_play_death, cases, chunksize=10)
+            if violation is not None
+        ]
+    assert violations == []
 
 
 def _founder_killed(seed: int) -> str | None:
@@ -258,8 +262,10 @@
 
 def test_a_tier_whose_founder_died_is_known_to_all_that_run_or_is_not_founded() -> None:
     with ProcessPoolExecutor(2) as pool:
-        found = list(pool.map(_founder_killed, range(KILLED), chunksize=5))
-    assert [(seed, said) for seed, said in enumerate(found) if said is not None] == []
+        violations = list(pool.map(_founder_killed, range(KILLED), chunksize=5))
+    assert [
+        (seed, violation) for seed, violation in enumerate(violations) if violation is not None
+    ] == []
 
 
 def _until_known_dead(seed: int) -> float:
@@ -288,8 +294,8 @@
     find out by probes of its own: 35 to 53 s of ten seeds at 20 members, and longer with more.
     """
     with ProcessPoolExecutor(2) as pool:
-        found = list(pool.map(_until_known_dead, range(6)))
-    assert max(found) <= 30, found
+        durations = list(pool.map(_until_known_dead, range(6)))
+    assert max(durations) <= 30, durations
 
 
 def _play(seed: int) -> tuple[int, str | None]:
@@ -298,5 +304,5 @@
 
 def test_the_promises_hold_where_a_member_dies_for_good() -> None:
     with ProcessPoolExecutor(2) as pool:
-        found = [one for one in pool.map(_play, range(DEATHS), chunksize=5) if one[1]]
-    assert not found, format_scenario(*shrink(draw_scenario_with_death(found[0][0])))
+        violations = [result for result in pool.map(_play, range(DEATHS), chunksize=5) if result[1]]
+    assert not violations, format_scenario(*shrink(draw_scenario_with_death(violations[0][0])))
