--- a/sailhitch/model/invariants.py
+++ b/sailhitch/model/invariants.py
@@ -109,7 +109,9 @@
             if completed.result is ProposalResult.ACTIVE
             else (state.pending,)
         )
-        is_contained = any(one is not None and one.change_id == change for one in changes)
+        is_contained = any(
+            version is not None and version.change_id == change for version in changes
+        )
         if completed.result in (ProposalResult.ACTIVE, ProposalResult.PENDING) and not is_contained:
             raise InvariantViolationError(
                 f"1: {member} was told that {change} is {completed.result.value}, and it is not"
--- a/sailhitch/model/tier.py
+++ b/sailhitch/model/tier.py
@@ -7,6 +7,7 @@
 
 from ..tier.config import TierConfig
 from ..tier.content_store import tree_digest
+from ..tier.member import Member
 from ..tier.messages import Message
 from .contents import DEFAULT_CONTENTS, Contents
 from .invariants import InvariantChecker
@@ -84,6 +85,7 @@
             self.processes[name] = TierProcess(self, name, float(rate))
 
     def config_of(self, name: str) -> TierConfig:
+        """Return a member's configuration file."""
         peers = tuple(peer for peer in self.names if peer == name or peer not in self.late)
         return TierConfig(name, self.voters, peers, self.lease)
 
@@ -125,11 +127,21 @@
         since = max(self._last_unreachable[observer], self._last_unreachable[name])
         self.checker.on_declared_dead(self.kernel.now, observer, name, since)
 
+    def _live_members(self) -> dict[str, Member]:
+        """Return the cores of the processes that are up, by name."""
+        return {
+            process.name: process.member
+            for process in self.processes.values()
+            if process.up and process.member is not None
+        }
+
     def check_latest_known(self) -> None:
         """Check promise 4: all live members know the latest state."""
-        heads = {p.name: p.member.chosen for p in self.processes.values() if p.up and p.member}
         self.checker.check_latest_known(
-            {name: 0 if known is None else known.state.revision for name, known in heads.items()}
+            {
+                name: 0 if member.chosen is None else member.chosen.state.revision
+                for name, member in self._live_members().items()
+            }
         )
 
     def check_end(self) -> None:
@@ -140,20 +152,17 @@
     def check_settled(self) -> None:
         """Check promise 4 for all live members."""
         self.check_latest_known()
-        up = [p for p in self.processes.values() if p.up and p.member is not None]
-        self.checker.check_ended(
-            {p.name: p.member.member_status(p.clock()) for p in up if p.member is not None},
-            {p.name: 0 if p.view is None else p.view.revision for p in up},
-        )
+        statuses = {}
+        revisions = {}
+        for name, member in self._live_members().items():
+            process = self.processes[name]
+            statuses[name] = member.member_status(process.clock())
+            revisions[name] = 0 if process.view is None else process.view.revision
+        self.checker.check_ended(statuses, revisions)
 
     def check_liveness(self) -> None:
         """Check promise 5: all live members declare exactly the others dead."""
-        up = [p for p in self.processes.values() if p.up and p.member is not None]
-        for process in up:
-            assert process.member is not None
-            self.checker.check_liveness(
-                process.name,
-                set(process.member.prober.dead_members()),
-                {p.name for p in up},
-                self.names,
-            )
+        live = self._live_members()
+        for name, member in live.items():
+            dead = set(member.prober.dead_members())
+            self.checker.check_liveness(name, dead, set(live), self.names)
--- a/sailhitch/model/tier_process.py
+++ b/sailhitch/model/tier_process.py
@@ -131,6 +131,7 @@
     # --- Effects
 
     def perform(self, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
+        """Perform an effect of the core that needs no disk."""
         world = self.world
         if isinstance(effect, Send):
             world.network.send(self.name, effect.to, effect.message)
@@ -179,13 +180,14 @@
         return acts
 
     def on_synced(self, persist: Persist) -> None:
+        """Record a completed sync, and check the vote in it."""
         super().on_synced(persist)
         vote = persist.items.get(VOTE_KEY)
         if vote is not None:
             has = partial(is_on_disk, self.disk.now)
             self.world.checker.on_vote(self.name, vote, has)
 
-    # --- What operators ask for
+    # --- Operators' requests
 
     def propose(self, flip: int, weight: int) -> None:
         """Propose to flip whether an act is permitted (`flip` below 0: none)."""
@@ -201,7 +203,8 @@
     def offer(self, base: Version, new: frozenset[int], weight: int) -> int:
         """Propose a version that permits these acts, made from `base`; return the job."""
         assert self.member is not None
-        contents, store = self.world.contents, self.member.contents
+        contents = self.world.contents
+        store = self.member.contents
         tree = contents.tree(new, weight)
         old = self.world.permitted(base.digest)
         root = None
