--- a/benchmarks/scale/tier_slopes.py
+++ b/benchmarks/scale/tier_slopes.py
@@ -306,8 +306,8 @@
 
 
 def play(members: int, lease: int | None) -> dict[str, float]:
-    """Return a tier at rest, and one change of it that contradicts, until all is at rest again."""
-    world = World(1, members, VOTERS, lease, beat=BEAT, every=SECOND)
+    """A tier at rest, and one change of it that contradicts, until all is at rest again."""
+    world = World(1, members, VOTERS, lease, beat=BEAT, write_interval=SECOND)
     tally = Tally(world)
     world.start()
     world.kernel.run(_quiet_from(members) * SECOND)
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -28,10 +28,10 @@
     update,
 )
 from sailhitch.tier.content_store import (
-    BURST,
+    BURST_BYTES,
+    BYTES_PER_SECOND,
+    MAX_REPLY_BYTES,
     PAGE,
-    RATE,
-    REPLY_SIZE,
     ContentStore,
     root_of,
     tree_digest,
@@ -51,10 +51,10 @@
     RegisterState,
     Version,
 )
-from sailhitch.tier.page_fetcher import BLOCK_SIZE, MOST_PATIENCE, MOST_RANGES
+from sailhitch.tier.page_fetcher import BLOCK_SIZE, MAX_RANGES_PER_REQUEST, MAX_TIMEOUT
 from sailhitch.tier.page_store import PageStore
 from sailhitch.tier.voter import Voter
-from sailhitch.tier.wire import LARGEST, Keys, Wire
+from sailhitch.tier.wire import MAX_DATAGRAM_BYTES, Keys, Wire
 
 S = 1_000_000
 STEP = 10_000  # us between two rounds of questions
@@ -123,8 +123,8 @@
             copies = 1 + (self.rng.random() < self.doubled)
             for _ in range(copies if self.rng.random() >= self.loss else 0):
                 arrival = self.sink.take_pages(to, reply, self.now)
-                if arrival.kept:
-                    self.kept.append(arrival.kept)
+                if arrival.persisted:
+                    self.kept.append(arrival.persisted)
 
     def _seal(self, sender: str, message: Message) -> bytes:
         wire = self._wires.setdefault(sender, Wire(Keys(1, {1: b"k" * 32}), sender, 1 << 47))
@@ -168,7 +168,7 @@
     assert play.run(digest)
     assert entries_of(play.sink, digest) == entries
     assert play.disk() == {PAGE + page: compress(raw) for page, raw in tree.pages.items()}
-    assert play.sink.spoilt == 0
+    assert play.sink.corrupt_count == 0
 
 
 def test_many_pages_are_fetched_at_a_time_and_from_several_sources() -> None:
@@ -215,19 +215,19 @@
 def test_several_small_pages_share_a_datagram_and_none_is_large() -> None:
     tree = build(some_entries(300, size=20), 60)
     store = holding(tree)
-    small = [bytes.fromhex(digest) for digest in tree.pages][: 2 * MOST_RANGES]
+    small = [bytes.fromhex(digest) for digest in tree.pages][: 2 * MAX_RANGES_PER_REQUEST]
     replies = store.answer_pages(PageRequest([PageRange(one, 0, 4) for one in small]), 0)
     blocks = [block for reply in replies for block in reply.blocks]
-    assert len(blocks) == MOST_RANGES  # more than that is not looked at
-    assert len(replies) <= -(-len(blocks) * 150 // REPLY_SIZE)
+    assert len(blocks) == MAX_RANGES_PER_REQUEST  # more than that is not looked at
+    assert len(replies) <= -(-len(blocks) * 150 // MAX_REPLY_BYTES)
     large = holding(build({Key("g", "n"): random.Random(1).randbytes(100_000)}))
     [root] = [*build({Key("g", "n"): random.Random(1).randbytes(100_000)}).pages]
     replies += large.answer_pages(PageRequest([PageRange(bytes.fromhex(root), 0, 16)]), 0)
     wire = Wire(Keys(1, {1: b"k" * 32}), "a-gateway-of-a-region-16", 1 << 47)
     sizes = [len(wire.seal("a-gateway-of-a-region-17", reply)) for reply in replies]
     assert max(sizes) <= 1200
-    widest = PageRequest([PageRange(b"\xff" * 32, 255_000, 16)] * MOST_RANGES)
-    assert len(wire.seal("a-gateway-of-a-region-17", widest)) < 1200 < LARGEST
+    widest = PageRequest([PageRange(b"\xff" * 32, 255_000, 16)] * MAX_RANGES_PER_REQUEST)
+    assert len(wire.seal("a-gateway-of-a-region-17", widest)) < 1200 < MAX_DATAGRAM_BYTES
 
 
 # --- What goes wrong
@@ -247,7 +247,7 @@
 def _whole(make: Callable[[bytes, bytes], bytes]) -> Callable[[ContentStore], Source]:
     """Sends another packed page, whole and in one piece, made of its digest and packed form."""
 
-    def made(store: ContentStore) -> Source:
+    def build(store: ContentStore) -> Source:
         def answer(request: PageRequest, now: int) -> list[PageReply]:
             replies = []
             for wanted in request.ranges:
@@ -262,7 +262,7 @@
 
         return answer
 
-    return made
+    return build
 
 
 def _flipped(data: bytes) -> bytes:
@@ -298,11 +298,11 @@
     alone.want(digest, "a")
     assert not alone.run(digest, 5 * S)
     assert alone.disk() == {}
-    assert alone.sink.spoilt > 0
+    assert alone.sink.corrupt_count > 0
     both = Play({"a": wrong, "b": honest(holding(tree))})
     both.want(digest, "a")
     assert both.run(digest)
-    assert both.sink.spoilt > 0
+    assert both.sink.corrupt_count > 0
     assert entries_of(both.sink, digest) == entries
     assert both.disk() == {PAGE + page: compress(raw) for page, raw in tree.pages.items()}
 
@@ -317,7 +317,7 @@
     ]
     play.want(digest, "a")
     assert not play.run(digest, 3 * S)
-    assert play.sink.spoilt > 0
+    assert play.sink.corrupt_count > 0
     assert play.disk() == {}
 
 
@@ -332,7 +332,7 @@
     digest = tree_digest(tree.root)
     play.want(digest, "a")
     assert play.run(digest, 5 * S)
-    assert play.sink.spoilt == 0
+    assert play.sink.corrupt_count == 0
 
 
 def test_a_source_that_has_the_pages_later_is_asked_again() -> None:
@@ -368,7 +368,7 @@
     [(_, request)] = sink.requests(1, random.Random(1), [["a"]])
     assert isinstance(request, PageRequest)
     [reply] = store.answer_pages(request, 1)
-    assert sink.take_pages("b", reply, 1).kept == {}
+    assert sink.take_pages("b", reply, 1).persisted == {}
     assert not sink.has(tree_digest(tree.root))
     assert sink.take_pages("a", reply, 1).is_complete
 
@@ -379,11 +379,11 @@
     rng = random.Random(1)
     sink.want(digest, "a")
     [(first, request)] = sink.requests(1, rng, [["b"]])
-    [(second, _)] = sink.requests(1 + MOST_PATIENCE, rng)
+    [(second, _)] = sink.requests(1 + MAX_TIMEOUT, rng)
     assert (first, second) == ("a", "b")
     assert isinstance(request, PageRequest)
     [reply] = store.answer_pages(request, 1)
-    assert sink.take_pages("a", reply, 2 + MOST_PATIENCE).is_complete
+    assert sink.take_pages("a", reply, 2 + MAX_TIMEOUT).is_complete
 
 
 def test_a_source_that_stays_silent_is_asked_ever_less() -> None:
@@ -485,14 +485,14 @@
 
 
 def _reached(pages: Mapping[str, bytes], roots: set[str]) -> set[str]:
-    found: set[str] = set()
+    reached: set[str] = set()
     waiting = list(roots)
     while waiting:
         page = waiting.pop()
-        if page in pages and page not in found:
-            found.add(page)
+        if page in pages and page not in reached:
+            reached.add(page)
             waiting += child_digests(pages[page])
-    return found
+    return reached
 
 
 @settings(max_examples=60)
@@ -525,10 +525,10 @@
         assert {page for page in everything if page in store} == here
         assert store.size == sum(len(compress(raw)) for raw in pages.values())
         for page in everything:
-            whole = _reached(everything, {page}) <= here
-            assert store.is_complete(page) == whole
+            is_complete = _reached(everything, {page}) <= here
+            assert store.is_complete(page) == is_complete
             lacking = {*store.lacking(page)}
-            assert lacking == set() if whole else lacking and not lacking & here
+            assert lacking == set() if is_complete else lacking and not lacking & here
 
 
 def test_pages_shared_with_a_version_that_stays_are_retained() -> None:
@@ -549,12 +549,12 @@
 
 
 def _all_of(store: ContentStore, root: str) -> set[str]:
-    found, waiting = set[str](), [root]
+    reached, waiting = set[str](), [root]
     while waiting:
         page = waiting.pop()
-        found.add(page)
+        reached.add(page)
         waiting += child_digests(store.page(page))
-    return found
+    return reached
 
 
 def test_letting_go_of_one_of_two_versions_costs_what_goes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -564,7 +564,7 @@
     two = update(store, one.root, {Key("group1", "name1"): b"changed"}, 500)
     store.add(two)
     removed, referred = list[str](), list[str]()
-    remove, refer = PageStore._remove, PageStore._refer
+    remove, refer = PageStore._remove, PageStore._add_reference
 
     def counted_remove(self: PageStore, digest: str) -> None:
         removed.append(digest)
@@ -575,7 +575,7 @@
         refer(self, digest)
 
     monkeypatch.setattr(PageStore, "_remove", counted_remove)
-    monkeypatch.setattr(PageStore, "_refer", counted_refer)
+    monkeypatch.setattr(PageStore, "_add_reference", counted_refer)
     monkeypatch.setattr("sailhitch.tier.page_store.decompress", None)  # no page is decoded
     store.keep_only([tree_digest(two.root)])
     assert len(removed) == len(two.pages)
@@ -699,7 +699,7 @@
 def _of_versions(world: World, *versions: Version) -> set[str]:
     """Names on disk of all pages of these versions."""
     everything: dict[str, bytes] = {}
-    for allow in world.permits.values():
+    for allow in world.acts_by_digest.values():
         everything.update(world.contents.tree(allow, 0).pages)
     roots = {root for version in versions if (root := root_of(version.digest)) is not None}
     return {PAGE + page for page in _reached(everything, roots)}
@@ -736,10 +736,10 @@
     leaf = next(page for page, raw in tree.pages.items() if not child_digests(raw))
     pages = {page: compress(raw) for page, raw in tree.pages.items() if page != leaf}
     store, out, ballot = ContentStore({}, pages), list[Effect](), Ballot(1, "g1", 7)
-    roster, _ = store.add(b"{}")
+    configuration_digest, _ = store.add(b"{}")
     voter = Voter("g1", ("g1",), None, store, {}, None, lambda: ballot, 7, out)
     version = Version(1, 0, tree_digest(tree.root), "g1", "", 0, "g1-7-0")
-    accept = Accept(ballot, RegisterState(1, 1, 1, version, None, roster), {})
+    accept = Accept(ballot, RegisterState(1, 1, 1, version, None, configuration_digest), {})
     assert voter.prepare(Prepare(ballot)) is not None
     out.clear()
     assert voter.accept(accept) is None
@@ -763,8 +763,8 @@
 
     world.network.send = counted  # type: ignore[method-assign]
     world.processes["g4"].propose(1, 0)
-    head = _rested(world)
-    assert (head.active.serial, head.active.proposer) == (2, "g4")
+    register_state = _rested(world)
+    assert (register_state.active.serial, register_state.active.proposer) == (2, "g4")
     assert {*asked.values()} == {1}
 
 
@@ -799,11 +799,11 @@
     full.disk.full = False
     if restarted:
         full.start()
-    head = _rested(world)
-    assert (head.active.serial, head.pending) == (2, None)
+    register_state = _rested(world)
+    assert (register_state.active.serial, register_state.pending) == (2, None)
     assert not full.disk_is_failing
     assert _member(world, "g1").waiting_for() == []
-    assert _pages_on(full) == _of_versions(world, head.active)
+    assert _pages_on(full) == _of_versions(world, register_state.active)
 
 
 @pytest.mark.parametrize("steps", range(1, 12))
@@ -812,17 +812,17 @@
     process, kept = world.processes["g5"], list[set[str]]()
     process.kill()
     process.disk.lose()
-    real = process.written
+    real = process.on_synced
 
-    def written(keep: Persist) -> None:
-        real(keep)
-        pages = {name for name, value in keep.items.items() if name.startswith(PAGE) and value}
+    def on_synced(persist: Persist) -> None:
+        real(persist)
+        pages = {name for name, value in persist.items.items() if name.startswith(PAGE) and value}
         if pages:
             kept.append(pages)
             if process.incarnation == 2 and len(kept) == steps:
                 process.kill()
 
-    process.written = written  # type: ignore[method-assign]
+    process.on_synced = on_synced  # type: ignore[method-assign]
     process.start()
     world.kernel.run(world.kernel.now + 5 * S)
     assert world.checker.latest is not None
@@ -858,8 +858,8 @@
     assert member.is_caught_up()
     assert not member.contents.is_fetching
     heal()
-    head = _rested(world)
-    assert (head.active.serial, head.pending) == (1, None)
+    register_state = _rested(world)
+    assert (register_state.active.serial, register_state.pending) == (1, None)
     assert _pages_on(world.processes["g5"]) == before
     assert _pages_on(world.processes["g4"]) == before
     for voter in world.voters:  # they keep for a while what they were asked to accept
@@ -883,16 +883,18 @@
     old.disk.now = dict(old.disk.days[-1])
     assert withdrawn <= _pages_on(old)
     old.start()
-    head = _rested(world)
-    assert _pages_on(old) == _of_versions(world, head.active)
+    register_state = _rested(world)
+    assert _pages_on(old) == _of_versions(world, register_state.active)
 
 
 def test_a_disk_of_the_version_before_is_read_as_it_is() -> None:
     """A member of a tier of its own, with a state and a roster as whole contents."""
-    state, roster = b'{"nodes":{}}', Configuration(("g1",), ()).encode()
-    digest, roster_digest = sha256(state).hexdigest(), sha256(roster).hexdigest()
+    state, configuration = b'{"nodes":{}}', Configuration(("g1",), ()).encode()
+    digest, configuration_digest = sha256(state).hexdigest(), sha256(configuration).hexdigest()
     version = Version(4, 3, digest, "g1", "ann", 5, "g1-63-0")
-    decided = ChosenState(Ballot(7, "g1", 99), RegisterState(6, 4, 1, version, None, roster_digest))
+    decided = ChosenState(
+        Ballot(7, "g1", 99), RegisterState(6, 4, 1, version, None, configuration_digest)
+    )
     encode = msgspec.msgpack.encode
     disk = {
         "known": encode(decided),
@@ -900,7 +902,7 @@
         "stamps": encode({"g1": 9}),
         "vote": encode([Ballot(7, "g1", 99), decided, 9]),
         f"content/{digest}": zlib.compress(state, 6),
-        f"content/{roster_digest}": zlib.compress(roster, 6),
+        f"content/{configuration_digest}": zlib.compress(configuration, 6),
     }
     member = Member(TierConfig("g1", ("g1",), ("g1",)), 5, disk, random.Random(1), 0, None)
     for now in range(0, S, S // 10):
@@ -928,22 +930,22 @@
                 member.confirm_applied(effect.versions.revision, now)
     assert member.applying.active.digest == tree_digest(tree.root)
     contents = {name for name in disk if "/" in name}
-    assert contents == {PAGE + page for page in tree.pages} | {f"content/{roster_digest}"}
+    assert contents == {PAGE + page for page in tree.pages} | {f"content/{configuration_digest}"}
 
 
 LARGE = Contents(some_entries(6000, size=250), 4096)
 
 
 def test_a_change_brings_a_member_few_pages_of_a_large_state() -> None:
-    world = World(1, 5, 3, contents=LARGE, every=S)
+    world = World(1, 5, 3, contents=LARGE, write_interval=S)
     world.start()
     world.kernel.run(60 * S)  # all have it by then
     world.check_end()
     before = {name: _pages_on(process) for name, process in world.processes.items()}
     sent = _count(world, "g5")
     world.processes["g4"].propose(1, 0)
-    head = _rested(world)
-    assert head.active.serial == 2
+    register_state = _rested(world)
+    assert register_state.active.serial == 2
     replies = [message for message in sent if isinstance(message, PageReply)]
     wire = Wire(Keys(1, {1: b"k" * 32}), "a-gateway-of-a-region-16", 1 << 47)
     size = sum(len(wire.seal("a-gateway-of-a-region-17", reply)) for reply in replies)
@@ -954,7 +956,7 @@
 
 
 def test_a_newcomer_has_a_large_state_within_a_minute_while_gossip_goes_on() -> None:
-    world = World(1, 5, 3, contents=LARGE, every=S, late=["g5"])
+    world = World(1, 5, 3, contents=LARGE, write_interval=S, late=["g5"])
     world.start()
     world.kernel.run(60 * S)
     assert world.checker.latest is not None
@@ -982,11 +984,11 @@
     assert play.run(digest)
     size = sum(len(compress(raw)) for raw in tree.pages.values())
     assert size > 1 << 20
-    assert (size - BURST) / RATE < play.now / S < 1.6 * size / RATE
+    assert (size - BURST_BYTES) / BYTES_PER_SECOND < play.now / S < 1.6 * size / BYTES_PER_SECOND
     for begin in range(0, play.now, S // 4):
         for length in (1, 5):
             came = sum(size for at, size in play.came if begin <= at < begin + length * S)
-            assert came <= BURST + RATE * length
+            assert came <= BURST_BYTES + BYTES_PER_SECOND * length
     greedy = [PageRange(bytes.fromhex(page), 0, 16) for page in tree.pages][:16]
     sent = sum(
         len(block.data)
@@ -994,7 +996,7 @@
         for reply in stores["a"].answer_pages(PageRequest(greedy), play.now + i * 10_000)
         for block in reply.blocks
     )
-    assert sent <= BURST + 10 * RATE
+    assert sent <= BURST_BYTES + 10 * BYTES_PER_SECOND
 
 
 def test_the_whole_of_a_million_and_a_half_bytes_comes_within_a_minute() -> None:
--- a/tests/test_tier_cases.py
+++ b/tests/test_tier_cases.py
@@ -41,7 +41,7 @@
 ) -> None:
     world = stood(lease=lease)
     proposer = world.processes["g4"]
-    real, sent = proposer.happen, [0]
+    real, sent = proposer.perform, [0]
 
     def happen(effect: Any) -> Any:
         real(effect)
@@ -49,11 +49,11 @@
         if sent[0] == count:
             proposer.kill()
 
-    proposer.happen = happen  # type: ignore[method-assign]
+    proposer.perform = happen  # type: ignore[method-assign]
     proposer.propose(1, 0)
     world.kernel.run(world.kernel.now + 5 * S)
     assert not proposer.up
-    del proposer.happen
+    del proposer.perform
     proposer.start()
     assert settled(world).pending is None
 
@@ -144,7 +144,7 @@
 def test_a_version_that_one_member_cannot_apply_is_not_activated() -> None:
     world = stood()
     old = world.processes["g5"]
-    real = old.happen
+    real = old.perform
 
     def happen(effect: Any) -> Any:
         if isinstance(effect, ApplyVersions):
@@ -155,7 +155,7 @@
             return None
         return real(effect)
 
-    old.happen = happen  # type: ignore[method-assign]
+    old.perform = happen  # type: ignore[method-assign]
     world.processes["g1"].propose(1, 0)
     world.kernel.run(world.kernel.now + 10 * S)
     reader = world.processes["g2"]
@@ -165,7 +165,7 @@
     (fault,) = [row["trouble"] for row in status["members"] if row["name"] == "g5"]
     assert fault == "the state would be out of form: x"
     world.processes["g3"].withdraw()
-    del old.happen
+    del old.perform
     assert settled(world).active.serial == 1
 
 
@@ -259,7 +259,7 @@
         world = stood(seed=seed)
         process = world.processes["g1"]
         process.propose(1, 0)
-        while not process._busy:
+        while not process._is_syncing:
             world.kernel.run(world.kernel.now + 100)
         process.kill()
         process.disk.lose()
--- a/tests/test_tier_model.py
+++ b/tests/test_tier_model.py
@@ -53,8 +53,8 @@
 
 def test_the_promises_hold_through_random_faults() -> None:
     with ProcessPoolExecutor() as pool:
-        found = [one for one in pool.map(_play, range(SEEDS), chunksize=5) if one[1]]
-    assert not found, format_scenario(*shrink(draw_scenario(found[0][0])))
+        violations = [result for result in pool.map(_play, range(SEEDS), chunksize=5) if result[1]]
+    assert not violations, format_scenario(*shrink(draw_scenario(violations[0][0])))
 
 
 def test_a_member_that_left_and_came_back_with_an_older_disk_keeps_no_change_waiting() -> None:
@@ -68,13 +68,13 @@
 
 
 def test_a_slow_switch_alone_breaks_nothing(monkeypatch: Patch) -> None:
-    monkeypatch.setattr("sailhitch.model.tier.SWITCH", SLOW)
+    monkeypatch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW)
     assert [seed for seed in range(15) if find_violation(draw_scenario(seed))] == []
 
 
 def test_a_run_is_a_function_of_story_and_seed() -> None:
     ends = [play(draw_scenario(7)) for _ in range(2)]
-    assert ends[0].kernel.events == ends[1].kernel.events
+    assert ends[0].kernel.event_count == ends[1].kernel.event_count
     assert ends[0].checker.chosen == ends[1].checker.chosen
     assert ends[0].checker.write_count > 1000
 
@@ -101,20 +101,20 @@
 
 
 def _views(patch: Patch, chosen: Callable[[World, AppliedVersions], Any]) -> None:
-    real = TierProcess._switch
+    real = TierProcess._apply
 
     def switch(self: TierProcess, acting: AppliedVersions) -> None:
         real(self, acting)
-        self.allowed = self.world.permitted(chosen(self.world, acting).digest)
+        self.permitted_acts = self.world.permitted(chosen(self.world, acting).digest)
 
-    patch.setattr(TierProcess, "_switch", switch)
+    patch.setattr(TierProcess, "_apply", switch)
 
 
 def _confirms_before_it_acts(patch: Patch) -> None:
-    patch.setattr("sailhitch.model.tier.SWITCH", SLOW)
+    patch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW)
     # Contents that it lets go of too early would be found out first.
-    patch.setattr(ContentExchange, "applied", lambda self, turn: None)
-    real = TierProcess.happen
+    patch.setattr(ContentExchange, "applied", lambda self, revision: None)
+    real = TierProcess.perform
 
     def happen(self: TierProcess, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
         real(self, effect)
@@ -122,7 +122,7 @@
             assert self.member is not None
             self.member.confirm_applied(effect.versions.revision, self.clock())
 
-    patch.setattr(TierProcess, "happen", happen)
+    patch.setattr(TierProcess, "perform", happen)
 
 
 def _accepts_an_older_ballot(patch: Patch) -> None:
@@ -141,12 +141,12 @@
     real = Round._choose
 
     def choose(self: Round) -> None:
-        least = min(self._promises, key=lambda v: self._promises[v].accepted is not None)
-        self._promises = {least: self._promises[least]} | self._promises
-        said = self._promises[least].accepted
+        first = min(self._promises, key=lambda v: self._promises[v].accepted is not None)
+        self._promises = {first: self._promises[first]} | self._promises
+        accepted = self._promises[first].accepted
         for voter, promise in self._promises.items():
             self._promises[voter] = type(promise)(
-                promise.ballot, True, promise.promised, said, promise.stamp
+                promise.ballot, True, promise.promised, accepted, promise.stamp
             )
         real(self)
 
@@ -211,17 +211,17 @@
 
 
 def _takes_a_root_for_its_tree(patch: Patch) -> None:
-    real = ContentStore._has_one
+    real = ContentStore._has_content
 
     def has_one(self: ContentStore, digest: str) -> bool:
         root = root_of(digest)
         return real(self, digest) if root is None else root in self._pages
 
-    patch.setattr(ContentStore, "_has_one", has_one)
+    patch.setattr(ContentStore, "_has_content", has_one)
 
 
 def _lets_go_of_what_is_applied(patch: Patch) -> None:
-    patch.setattr(ContentExchange, "applying", lambda self, head: None)
+    patch.setattr(ContentExchange, "applying", lambda self, state: None)
 
 
 S = 1_000_000
@@ -301,24 +301,26 @@
     mutation: Callable[[Patch], None], first: int | Scenario, promises: str, monkeypatch: Patch
 ) -> None:
     if isinstance(first, Scenario):
-        stories = [msgspec.structs.replace(first, seed=seed) for seed in range(40)]
+        scenarios = [msgspec.structs.replace(first, seed=seed) for seed in range(40)]
     else:
-        stories = [draw_scenario(seed) for seed in (first, *range(60))]
+        scenarios = [draw_scenario(seed) for seed in (first, *range(60))]
     mutation(monkeypatch)
-    said = next((said for story in stories if (said := find_violation(story))), None)
-    assert said is not None
-    assert said[0] in promises, said
+    violation = next(
+        (violation for scenario in scenarios if (violation := find_violation(scenario))), None
+    )
+    assert violation is not None
+    assert violation[0] in promises, violation
 
 
 def test_no_story_told_here_breaks_a_promise_by_itself() -> None:
-    for story in (LOST, OLD, DEAF, ALL_OUT):
+    for scenario in (LOST, OLD, DEAF, ALL_OUT):
         for seed in range(5):
-            assert find_violation(msgspec.structs.replace(story, seed=seed)) is None
+            assert find_violation(msgspec.structs.replace(scenario, seed=seed)) is None
 
 
-@pytest.mark.parametrize("story", [LOST, OLD], ids=["lost", "old"])
-def test_a_lost_or_an_old_disk_of_a_voter_takes_nothing_back(story: Scenario) -> None:
-    world = play(story)
+@pytest.mark.parametrize("scenario", [LOST, OLD], ids=["lost", "old"])
+def test_a_lost_or_an_old_disk_of_a_voter_takes_nothing_back(scenario: Scenario) -> None:
+    world = play(scenario)
     assert world.checker.latest is not None
     assert world.checker.latest.revision >= 3
 
@@ -326,6 +328,6 @@
 def test_a_failing_story_is_cut_down_to_a_short_one(monkeypatch: Patch) -> None:
     _acts_on_old_until_active(monkeypatch)
     seed = next(s for s in range(50) if find_violation(draw_scenario(s)))
-    small, said = shrink(draw_scenario(seed))
+    small, violation = shrink(draw_scenario(seed))
     assert len(small.events) <= 2 < len(draw_scenario(seed).events)
-    assert "propose" in format_scenario(small, said)
+    assert "propose" in format_scenario(small, violation)
--- a/tests/test_tier_probes.py
+++ b/tests/test_tier_probes.py
@@ -18,7 +18,7 @@
 from sailhitch.tier.liveness import Liveness
 from sailhitch.tier.member import Member, MemberStatus
 from sailhitch.tier.messages import Ack, Ping, Relayed, Suspicion
-from sailhitch.tier.probes import UNWELL, Health, Prober
+from sailhitch.tier.probes import MAX_HEALTH_PENALTY, Health, Prober
 from sailhitch.tier.relay import UNANSWERED, RelayPolicy
 
 S = 1_000_000
@@ -27,7 +27,7 @@
 
 
 def _world(members: int, loss: float = 0.0, seed: int = 1, **more: Any) -> World:
-    world = World(seed, members, min(5, members), every=S, **more)
+    world = World(seed, members, min(5, members), write_interval=S, **more)
     world.network.loss = loss
     world.start()
     world.kernel.run(8 * S)
@@ -87,8 +87,8 @@
     [(probed, _)] = prober.on_tick(0, others, lambda name: 1)
     prober.on_suspicions([Suspicion("e", 1, ["a"])], lambda name: 1, 0)
     prober.on_tick(60 * S, others, lambda name: 1)
-    found = {name: prober.health(name, 1) for name in others}
-    assert found == dict.fromkeys(others, Health.ALIVE) | {"e": Health.SUSPECT}, probed
+    health = {name: prober.health(name, 1) for name in others}
+    assert health == dict.fromkeys(others, Health.ALIVE) | {"e": Health.SUSPECT}, probed
 
 
 def _one_that_comes_out_of_a_cut() -> None:
@@ -121,7 +121,7 @@
     real = Prober.on_tick
 
     def tick(self: Prober, now: int, *rest: Any) -> Any:
-        self._beat = now
+        self._last_tick = now
         return real(self, now, *rest)
 
     patch.setattr(Prober, "on_tick", tick)
@@ -151,8 +151,8 @@
     world = _world(6)
     _cut(world, *(("g6", f"g{i}") for i in range(1, 6)))
     _go_on(world, 10)
-    assert _member(world, "g6").prober.unwell >= UNWELL // 2
-    assert all(_member(world, f"g{i}").prober.unwell <= 2 for i in range(1, 6))
+    assert _member(world, "g6").prober.health_penalty >= MAX_HEALTH_PENALTY // 2
+    assert all(_member(world, f"g{i}").prober.health_penalty <= 2 for i in range(1, 6))
 
 
 def test_a_suspicion_ends_sooner_the_more_have_found_it_by_themselves() -> None:
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_lease_rests_on_others_word_where_no_voter_can_be_reached(seed: int) -> None:
-    world = World(seed, 6, 3, 3 * S, every=S)
+    world = World(seed, 6, 3, 3 * S, write_interval=S)
     world.start()
     world.kernel.run(8 * S)
     _cut(world, *(("g6", voter) for voter in world.voters))
@@ -213,20 +213,20 @@
     member.take_effects()
     member.on_message("g2", Relayed("g3", "g4", Ping(1, 0)), 0)
     member.on_message("g2", Relayed("g2", "g4", Ack(1)), 0)
-    said = [one for one in member.take_effects() if isinstance(one, Send)]
-    assert [(one.to, one.message) for one in said] == [("g4", Relayed("g2", "g4", Ack(1)))]
+    sent = [effect for effect in member.take_effects() if isinstance(effect, Send)]
+    assert [(effect.to, effect.message) for effect in sent] == [("g4", Relayed("g2", "g4", Ack(1)))]
 
 
 # --- Joining
 
 
 def test_a_newcomer_that_no_file_names_is_a_member_that_changes_wait_for() -> None:
-    world = World(3, 5, 3, every=S // 50, late=["g5"])
+    world = World(3, 5, 3, write_interval=S // 50, late=["g5"])
     world.start()
     world.kernel.run(8 * S)
     newcomer = world.processes["g5"]
     assert _member(world, "g4").admit("g5", "127.0.0.1:9") is not None
-    world.processes["g4"]._take()
+    world.processes["g4"]._process_effects()
     _go_on(world, 2)
     newcomer.start()
     _go_on(world, 6)
@@ -244,4 +244,4 @@
     world = _world(3)
     _go_on(world, 20)
     with pytest.raises(InvariantViolationError, match="5: g1 takes g2 for dead"):
-        world.check_dead("g1", "g2")
+        world.check_declared_dead("g1", "g2")
