--- /dev/null
+++ b/sailhitch/daemon/tier_changes.py
@@ -0,0 +1,123 @@
+"""Changes that operators ask for: proposes a state to the tier, and waits until it is active."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+from ..pages import Tree
+from ..tier.effects import JobCompleted, ProposalResult
+from ..tier.member import Member, MemberStatus
+from ..tier.messages import RegisterState, Version
+from .plan import MovedError
+from .rules import contradictions
+from .schema import TierPart
+from .source import StillPendingError
+from .state import State
+from .state_applier import ApplyError
+from .store import AppliedState
+from .tier_decisions import wait_for_decision
+from .version_applier import VersionApplier
+from .version_states import VersionStates
+
+
+class TierChanges:
+    """Proposes states, and waits until this process has applied them."""
+
+    def __init__(self, part: TierPart, applier: VersionApplier, states: VersionStates) -> None:
+        self.part = part
+        self.link = applier.link
+        self._applier = applier
+        self._states = states
+
+    async def propose(self, state: State, operator: str) -> AppliedState:
+        """Propose a state, and return it once it is active here.
+
+        Raises:
+            ApplyError: The state was not proposed, not decided or withdrawn.
+            MovedError: Another version became active first, or is pending.
+            StillPendingError: The state is decided, and waits for members.
+        """
+        base = self._applier.base
+        state = {**state, "listeners": {}}
+        status = self.link.member_status()
+        if status is not MemberStatus.ACTIVE:
+            raise ApplyError(f"this gateway {status.value}; ask another one")
+        if state == base.state:
+            # The version applied here may be out of date, and "nothing to do" untrue.
+            _check_unmoved(base, (await wait_for_decision(self.link, Member.read)).state)
+            return base
+        completed = await self._propose_from(base, state, operator)
+        if completed.result in (ProposalResult.STALE, ProposalResult.BUSY):
+            _check_unmoved(base, completed.state)
+        is_active = completed.result is ProposalResult.ACTIVE
+        version = completed.state.active if is_active else completed.state.pending
+        assert version is not None
+        return await self._wait_until_active(version)
+
+    async def _propose_from(self, base: AppliedState, state: State, operator: str) -> JobCompleted:
+        must_wait = bool(await asyncio.to_thread(contradictions, base.state, state))
+        tree = await asyncio.to_thread(self._tree, base.state, state)
+        proposed_at = int(time.time() * 1e6)
+
+        def propose(member: Member) -> int:
+            try:
+                return member.propose(tree, base.serial, must_wait, operator, proposed_at)
+            except ValueError:  # the base's pages were released: another version is active by now
+                raise MovedError(base.serial, _known_serial(member)) from None
+
+        return await wait_for_decision(self.link, propose)
+
+    def _tree(self, base: State, state: State) -> Tree:
+        """Return the page tree to propose; raises ApplyError for an object too large for a page."""
+        member = self.link.member
+        assert member is not None
+        try:
+            return self._states.tree(member.contents, base, state)
+        except ValueError as error:
+            raise ApplyError(f"the state can't be proposed: {error}") from None
+
+    async def _wait_until_active(self, version: Version) -> AppliedState:
+        """Wait until this process has applied a version as active, or it is given up."""
+        try:
+            async with asyncio.timeout(self.part.agree_within / 1e6):
+                while self._applier.base.serial < version.serial:
+                    await self._applier.applied_event.wait()
+        except TimeoutError:
+            raise self._not_active_error(version.serial) from None
+        if self._applier.base.serial != version.serial:
+            raise ApplyError(f"serial {version.serial} is not what holds; see `sailhitch history`")
+        return self._applier.base
+
+    def _not_active_error(self, serial: int) -> ApplyError | StillPendingError:
+        """Return why a decided version is not active here in time.
+
+        A version that is active elsewhere must not be reported as withdrawn: the operator would
+        ask for it again.
+        """
+        member = self.link.member
+        assert member is not None
+        assert member.chosen is not None
+        register = member.chosen.state
+        if register.pending is not None and register.pending.serial == serial:
+            return StillPendingError(serial, member.waiting_for())
+        if register.active.serial < serial:
+            return ApplyError(f"serial {serial} was withdrawn")
+        active = "it" if register.active.serial == serial else f"serial {register.active.serial}"
+        return ApplyError(
+            f"serial {serial} is not pending any more: {active} is active, and this gateway does "
+            "not go by that yet; do not ask again before `sailhitch tier status` and `sailhitch "
+            "history` show what holds"
+        )
+
+
+def _check_unmoved(base: AppliedState, register: RegisterState) -> None:
+    """Raise MovedError where another version than the base is active, or one is pending."""
+    if register.active.serial != base.serial or register.pending is not None:
+        pending = None if register.pending is None else register.pending.serial
+        raise MovedError(base.serial, register.active.serial, pending)
+
+
+def _known_serial(member: Member) -> int:
+    """Return the serial of the active version that a member knows of, 0 if none."""
+    return 0 if member.chosen is None else member.chosen.state.active.serial
--- /dev/null
+++ b/sailhitch/daemon/tier_commands.py
@@ -0,0 +1,104 @@
+"""The operators' commands of `sailhitch tier`: status, withdraw, evict and join."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from pydantic import ValidationError
+
+from ..tier.effects import ProposalResult
+from ..tier.member import Member
+from .intake import RoutedIntake
+from .schema import MOST_MEMBERS, TierMemberPart, TierPart
+from .state_applier import ApplyError
+from .tier_decisions import wait_for_decision
+from .tier_link import TierLink, steady
+
+_REGISTER_UNKNOWN = "this gateway has not heard what holds yet; try again"
+_CONFIGURATION_CHANGED = "the roster has changed meanwhile; look again"
+
+
+class TierCommands:
+    """Carries out operators' commands on the tier's register and configuration."""
+
+    def __init__(self, part: TierPart, link: TierLink, intake: RoutedIntake) -> None:
+        self.part = part
+        self.link = link
+        self._intake = intake
+
+    async def withdraw(self) -> dict[str, Any]:
+        """Withdraw the pending version; raises ApplyError where there is none."""
+        member = self.link.member
+        pending = None if member is None or member.chosen is None else member.chosen.state.pending
+        if pending is None:
+            raise ApplyError("nothing is pending")
+        completed = await wait_for_decision(self.link, lambda m: m.withdraw(pending.serial))
+        if completed.result is not ProposalResult.ACTIVE:
+            raise ApplyError(f"serial {pending.serial} is not pending any more")
+        return {"ok": True, "withdrawn": pending.serial}
+
+    async def evict(self, name: str) -> dict[str, Any]:
+        """Have changes wait for a member no more; raises ApplyError where it was alive lately."""
+        member = self.link.member
+        if member is None:
+            raise ApplyError(_REGISTER_UNKNOWN)
+        reason = member.why_not_evictable(name, self.part.agree_within, steady())
+        if reason:
+            raise ApplyError(f"{name!r}: {reason}")
+        completed = await wait_for_decision(self.link, lambda m: m.evict(name))
+        if completed.result is not ProposalResult.ACTIVE:
+            raise ApplyError(_CONFIGURATION_CHANGED)
+        return {"ok": True, "gone": name}
+
+    async def join(self, name: str, address: str) -> dict[str, Any]:
+        """Add a member, or its new address, to the configuration; raises ApplyError.
+
+        A member that is alive is rejected: of two processes under one name neither would serve.
+        """
+        _check_member(name, address)
+        member = self.link.member
+        if member is None or not member.is_caught_up():
+            raise ApplyError(_REGISTER_UNKNOWN)
+        self._check_admissible(member, name, address)
+        completed = await wait_for_decision(self.link, lambda m: m.admit(name, address))
+        if completed.result is not ProposalResult.ACTIVE:
+            raise ApplyError(_CONFIGURATION_CHANGED)
+        return {"ok": True, "joins": name, "place": address}
+
+    def _check_admissible(self, member: Member, name: str, address: str) -> None:
+        known = {*member.config.peers, *member.configuration.addresses}
+        reason = member.why_not_admitted(name)
+        if reason:
+            raise ApplyError(f"{name!r}: {reason}")
+        if name not in known and len(known) >= MOST_MEMBERS:
+            raise ApplyError(f"a tier has {MOST_MEMBERS} members at most")
+        owners = {taken: owner for owner, taken in member.configuration.addresses.items()}
+        for owner, (host, port) in self.link.addresses.items():
+            owners[f"{host}:{port}"] = owner
+        if owners.get(address, name) != name:
+            raise ApplyError(f"{address}: is where {owners[address]!r} is")
+
+    def status(self) -> dict[str, Any]:
+        """Return the reply to `tier status`."""
+        member = self.link.member
+        if member is None:
+            return {"ok": True, "tier": self.part.name, "standing": "starting"}
+        return {
+            "ok": True,
+            "tier": self.part.name,
+            **member.status(steady()),
+            "silent": self.link.disk_is_failing,
+            "datagrams": self.link.sent,
+            "bytes": self.link.sent_bytes,
+            "refused_datagrams": {**self.link.wire.refused, **self.link.unsent},
+            "held_back": self._intake.held_back,
+        }
+
+
+def _check_member(name: str, address: str) -> None:
+    """Raise ApplyError for a name or an address that the operator file would not take either."""
+    try:
+        TierMemberPart(name=name, address=address)
+    except ValidationError as error:
+        first = error.errors()[0]
+        raise ApplyError(f"tier.join: {first['loc'][0]}: {first['msg']}") from None
--- a/sailhitch/daemon/tier_link.py
+++ b/sailhitch/daemon/tier_link.py
@@ -46,9 +46,14 @@
 WRITE_RETRY: Final = 0.1  # s until a write that failed is tried again; doubles with each failure...
 WRITE_RETRY_MAX: Final = 2.0  # ...up to this
 
+MemberJob = Callable[[Member], int | None]  # starts a job; its number, None where it can't start
+ApplyCallback = Callable[[AppliedVersions], None]
+HeartbeatCallback = Callable[[], None]
+LogCallback = Callable[[str], None]
+
 
 def steady() -> int:
-    """Microseconds of a clock that no hand sets and that runs on while the machine sleeps."""
+    """Return microseconds of the monotonic clock that includes suspended time."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
@@ -61,20 +66,35 @@
 
     def __init__(
         self,
-        terms: TierConfig,
+        config: TierConfig,
         addresses: Mapping[str, Address],
         keys: Keys,
         folder: Path,
-        act: Callable[[AppliedVersions], None],
-        say: Callable[[str], None],
+        on_apply: ApplyCallback,
+        log: LogCallback,
+        on_heartbeat: HeartbeatCallback | None = None,
     ) -> None:
-        """Raises DiskError."""
-        self.terms = terms
+        """Open the member's disk.
+
+        Args:
+            config: The member's place in the tier.
+            addresses: Where members are, as the operator file has it.
+            keys: Keys of the tier's datagrams.
+            folder: Where the member's disk is.
+            on_apply: Is given the versions that this process is to apply.
+            log: Writes a line to the log.
+            on_heartbeat: Is called after each heartbeat.
+
+        Raises:
+            DiskError: The disk can't be opened or read.
+        """
+        self.config = config
         self.addresses = addresses
-        self.on_apply = act
-        self.log = say
+        self.on_apply = on_apply
+        self.log = log
+        self.on_heartbeat = on_heartbeat
         self.boot = secrets.randbits(48)
-        self.wire = Wire(keys, terms.name, self.boot)
+        self.wire = Wire(keys, config.name, self.boot)
         self.disk = Disk(folder)
         self.kept = self.disk.load()
         self.member: Member | None = None
@@ -90,7 +110,6 @@
         self.unsent: dict[str, int] = {}  # datagrams that the system refused to send, by why
         self._told_refused: dict[str, int] = {}
         self._refused_at = 0.0
-        self.on_heartbeat: Callable[[], None] = lambda: None  # called after each beat
 
     @property
     def has_persisted_state(self) -> bool:
@@ -112,7 +131,7 @@
     async def start(self, founding: BootstrapVersion | None) -> None:
         """Take part; raises LinkError."""
         loop = asyncio.get_running_loop()
-        here = self.addresses[self.terms.name]
+        here = self.addresses[self.config.name]
         try:
             await loop.create_datagram_endpoint(lambda: self, local_addr=here)
         except OSError as error:
@@ -120,7 +139,7 @@
                 f"tier.members: {here[0]}:{here[1]}: {error.strerror or error}"
             ) from None
         self.member = Member(
-            self.terms,
+            self.config,
             self.boot,
             self.kept,
             random.Random(secrets.randbits(64)),
@@ -147,10 +166,10 @@
             else self.member.member_status(steady())
         )
 
-    async def run_job(self, ask: Callable[[Member], int | None]) -> JobCompleted | None:
-        """Have the core do a job, and wait for its end; None: it can't now."""
+    async def run_job(self, start: MemberJob) -> JobCompleted | None:
+        """Start a job on the member, and wait for its end; None where it can't start now."""
         assert self.member is not None
-        job = ask(self.member)
+        job = start(self.member)
         if job is None:
             return None
         future: asyncio.Future[JobCompleted] = asyncio.get_running_loop().create_future()
@@ -229,7 +248,8 @@
         )
         self.member.on_tick(steady())
         self._pump()
-        self.on_heartbeat()
+        if self.on_heartbeat is not None:
+            self.on_heartbeat()
         self._say_refused()
 
     def _say_refused(self) -> None:
--- /dev/null
+++ b/sailhitch/daemon/version_applier.py
@@ -0,0 +1,199 @@
+"""Applies the versions that the tier has chosen to this process, and confirms them to the member.
+
+A pending version is combined with the active one (`rules`): the process serves by the combination
+until all members have applied it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, Final
+
+from ..core.log import Log
+from ..core.request_context import Attempt
+from ..tier.effects import AppliedVersions
+from .rules import meet
+from .state import State
+from .state_applier import StateApplier, StateChange
+from .store import AppliedState
+from .tier_link import TierLink
+from .version_states import VersionStates
+from .zone_coordinator import ZoneCoordinator
+
+APPLY_RETRY: Final = 0.2  # s until a failed apply is retried; doubles with each failure...
+APPLY_RETRY_MAX: Final = 5.0  # ...up to this
+RULE_KINDS: Final = ("routes", "classes", "tenants")  # objects that decide how a request is handled
+
+WriteGate = Callable[[Attempt], bool]
+
+
+@dataclass(frozen=True, slots=True)
+class ResolvedVersions:
+    """The states of chosen versions, without listeners."""
+
+    active: State
+    pending: State | None
+    effective: State  # the active state, combined with the pending one if there is any
+
+
+class VersionApplier:
+    """Applies the newest versions that the member has asked for, one switch at a time."""
+
+    def __init__(
+        self,
+        link: TierLink,
+        state_applier: StateApplier,
+        states: VersionStates,
+        zones: ZoneCoordinator,
+        may_write: WriteGate,
+        log: Log,
+    ) -> None:
+        self.link = link
+        self.state_applier = state_applier
+        self.listeners: Mapping[str, Any] = {}  # this process's own, which no version has
+        self.base = AppliedState(0, 0, "nobody", state_applier.applied.state)
+        self.applied_event = asyncio.Event()  # set, and replaced, after each apply
+        # Counts switches after which requests read before must not be sent by the older rules.
+        self.rules_revision = 0
+        self._states = states
+        self._zones = zones
+        self._may_write = may_write
+        self._log = log
+        self._task: asyncio.Task[None] | None = None
+        self._next_versions: AppliedVersions | None = None
+        self._applied_versions: AppliedVersions | None = None
+
+    def on_apply(self, versions: AppliedVersions) -> None:
+        """Apply these versions, after the switch that is under way if there is one."""
+        self._next_versions = versions
+        if self._task is None:
+            self._task = asyncio.get_running_loop().create_task(self._apply_pending())
+
+    def install_write_gate(self) -> None:
+        """Have every pool ask before it writes a request to a node."""
+        for pool in self.state_applier.core.pools:
+            pool.may_write = self._may_write
+
+    async def _apply_pending(self) -> None:
+        """Apply what was asked for last; retry where that fails, until there is something newer.
+
+        The member asks for each revision once. Without the retry, a process whose disk fails at
+        that moment would stay behind, and reject what is not idempotent, until the next change or
+        a restart.
+        """
+        pause = APPLY_RETRY
+        try:
+            while self._next_versions is not None:
+                versions = self._next_versions
+                self._next_versions = None
+                if await self._apply(versions):
+                    pause = APPLY_RETRY
+                    continue
+                await asyncio.sleep(pause)
+                pause = min(2 * pause, APPLY_RETRY_MAX)
+                self._next_versions = self._next_versions or versions
+        finally:
+            self._task = None
+
+    async def _apply(self, versions: AppliedVersions) -> bool:
+        """Apply these versions, and confirm them once nothing is served by older ones.
+
+        Returns:
+            Whether it could be done.
+        """
+        last = self._applied_versions
+        is_same = last is not None and last._replace(revision=versions.revision) == versions
+        if not is_same:
+            try:
+                await self._switch(versions)
+            except Exception as error:  # no fault of any kind may count as a confirmation
+                self.link.report_apply_failure(versions.revision, str(error))
+                self._log.write_limited(
+                    "switch", f"tier: turn {versions.revision} can't be acted by: {error}"
+                )
+                return False
+        self._applied_versions = versions
+        self.link.confirm_applied(versions.revision)
+        self.applied_event.set()
+        self.applied_event = asyncio.Event()
+        return True
+
+    async def _switch(self, versions: AppliedVersions) -> None:
+        version = versions.active
+        resolved = await self._resolve(versions)
+        rules_revision = self.rules_revision + self._changes_rules(resolved)
+        traffic_policy = self._zones.read(versions.traffic_policy)
+        inactive_nodes, retried_nodes = self._zones.orders(traffic_policy, resolved.effective)
+        await self.state_applier.change(
+            StateChange(
+                {**resolved.effective, "listeners": self.listeners},
+                version.operator,
+                version.serial,
+                persistent=self._is_persistent(versions),
+                stamp=_version_stamp(versions),
+                overlapping_state=resolved.pending,
+                rules_revision=rules_revision,
+                inactive_nodes=inactive_nodes,
+                retried_nodes=retried_nodes,
+            )
+        )
+        applied = [v for v in (versions.active, versions.pending) if v is not None]
+        self._states.keep_only({v.digest for v in applied})
+        self.rules_revision = rules_revision
+        self._zones.apply(versions.traffic_policy, traffic_policy)
+        self.install_write_gate()
+        applied_at = self.state_applier.applied.applied_at
+        self.base = AppliedState(version.serial, applied_at, version.operator, resolved.active)
+        self._log.write(_describe(versions))
+
+    async def _resolve(self, versions: AppliedVersions) -> ResolvedVersions:
+        """Read the versions' states, in threads as they may be large."""
+        member = self.link.member
+        assert member is not None
+        contents = member.contents
+        active = await asyncio.to_thread(self._states.read, contents, versions.active.digest)
+        if versions.pending is None:
+            return ResolvedVersions(active, None, active)
+        pending = await asyncio.to_thread(self._states.read, contents, versions.pending.digest)
+        effective = await asyncio.to_thread(meet, active, pending)
+        return ResolvedVersions(active, pending, effective)
+
+    def _changes_rules(self, resolved: ResolvedVersions) -> bool:
+        """Return whether requests that were read by the rules until now are in doubt."""
+        others = [self.state_applier.applied.state]
+        if resolved.pending is not None:
+            others.append(resolved.pending)
+        effective = resolved.effective
+        # By identity first: a mapping that two states share is not compared item by item.
+        return any(
+            other[kind] is not effective[kind] and other[kind] != effective[kind]
+            for kind in RULE_KINDS
+            for other in others
+        )
+
+    def _is_persistent(self, versions: AppliedVersions) -> bool:
+        """Return whether these versions are to hold after a restart: new ones, none pending."""
+        last = self._applied_versions
+        if versions.pending is not None:
+            return False
+        return last is None or (last.active, last.pending) != (versions.active, None)
+
+
+def _version_stamp(versions: AppliedVersions) -> bytes:
+    """Return the field that attempts under these versions carry."""
+    stamp = f"Tier-Version: {versions.active.serial}"
+    if versions.pending is not None:
+        stamp += f", {versions.pending.serial}"
+    return f"{stamp}\r\n".encode()
+
+
+def _describe(versions: AppliedVersions) -> str:
+    """Return the log line of applied versions; `benchmarks/scale/processes.py` reads it."""
+    line = f"tier: turn {versions.revision}: serial {versions.active.serial}"
+    if versions.pending is not None:
+        line += f", met with pending {versions.pending.serial}"
+    if versions.traffic_policy is not None:
+        line += f", zones by {versions.traffic_policy.serial}"
+    return line
--- a/sailhitch/daemon/zone_coordinator.py
+++ b/sailhitch/daemon/zone_coordinator.py
@@ -11,7 +11,7 @@
 import secrets
 import time
 from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any, Final
+from typing import Any, Final
 
 from ..core.pool import Pool
 from ..policy_interface import AttemptOutcome
@@ -31,10 +31,8 @@
 from .schema import GatewayPart, ZonesPart
 from .state import State
 from .state_applier import ApplyError, StateApplier
-from .tier_link import steady
-
-if TYPE_CHECKING:
-    from .tier_source import TierStateSource
+from .tier_decisions import wait_for_decision
+from .tier_link import TierLink, steady
 
 NAMED: Final = 8  # members that are named where more have not gone along
 
@@ -44,13 +42,16 @@
 
     def __init__(
         self,
-        tiered: TierStateSource,
-        live: StateApplier,
+        link: TierLink,
+        state_applier: StateApplier,
         part: ZonesPart | None,
         gateway: GatewayPart,
+        agree_within: int,
     ) -> None:
-        self.tiered = tiered
-        self.state_applier = live
+        """Create the coordinator; an operator's order is waited for up to `agree_within` us."""
+        self.link = link
+        self.state_applier = state_applier
+        self.agree_within = agree_within
         self.part = part
         part = part or ZonesPart(mode="off")
         self.mode = part.mode
@@ -67,7 +68,7 @@
         """Return the posture of a version; raises ApplyError where it can't be read."""
         if version is None:
             return EMPTY_POLICY
-        member = self.tiered.link.member
+        member = self.link.member
         assert member is not None
         try:
             return decode(member.contents.read(version.digest))
@@ -76,7 +77,7 @@
 
     def inactive_nodes_at_start(self, state: State) -> frozenset[str]:
         """Nodes that got nothing new by what this gateway last knew, until it has heard."""
-        content = self.tiered.link.persisted_traffic_policy()
+        content = self.link.persisted_traffic_policy()
         try:
             return frozenset() if content is None else self.orders(decode(content), state)[0]
         except TrafficPolicyError as error:
@@ -131,7 +132,7 @@
 
     def on_heartbeat(self) -> None:
         """Some ten times a second: say what was counted, and propose what is due."""
-        member = self.tiered.link.member
+        member = self.link.member
         if member is None:
             return
         now = steady()
@@ -142,10 +143,7 @@
             member.gossip_soon(now)
         heard = self.controller.on_reports(member.metadata_by_member(now))
         self._tell(heard)
-        if (
-            self._proposing is not None
-            or self.tiered.link.member_status() is not MemberStatus.ACTIVE
-        ):
+        if self._proposing is not None or self.link.member_status() is not MemberStatus.ACTIVE:
             return
         found = self.controller.look(now, heard)
         if found is not None:
@@ -177,8 +175,8 @@
         """Have the tier go by a posture; raises ApplyError."""
         base = self.controller.serial
         when = int(time.time() * 1e6)
-        done = await self.tiered.wait_for_decision(
-            lambda m: m.propose_traffic_policy(posture.encode(), base, by, when)
+        done = await wait_for_decision(
+            self.link, lambda m: m.propose_traffic_policy(posture.encode(), base, by, when)
         )
         if done.result is not ProposalResult.ACTIVE or done.state.traffic_policy is None:
             raise ApplyError("another order about zones came first; look again")
@@ -196,7 +194,7 @@
             return self.status()
         if self.part is None:
             raise ApplyError("this gateway's file has no [zones]")
-        standing = self.tiered.link.member_status()
+        standing = self.link.member_status()
         if standing is not MemberStatus.ACTIVE:
             raise ApplyError(f"this gateway {standing.value}; ask another one")
         try:
@@ -232,11 +230,11 @@
 
     async def _gone_along(self, version: Version) -> list[str]:
         """Wait until all members that are there go by a posture; those that do not in time."""
-        member = self.tiered.link.member
+        member = self.link.member
         late = [self.state_applier.gateway.name]
         assert member is not None
         try:
-            async with asyncio.timeout(self.tiered.part.agree_within / 1e6):
+            async with asyncio.timeout(self.agree_within / 1e6):
                 while self.controller.serial < version.serial or (late := member.members_behind()):
                     await asyncio.sleep(0.02)
         except TimeoutError:
@@ -245,7 +243,7 @@
 
     def status(self) -> dict[str, Any]:
         """Return what `zones status` shows."""
-        member = self.tiered.link.member
+        member = self.link.member
         now = steady()
         words = {} if member is None else member.metadata_by_member(now)
         return {
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -252,23 +252,23 @@
             raise
 
     async def change_often(tier: TierStateSource) -> None:
-        await tier._propose(_all_weighted(tier.base().state, 3.0), "other")
+        await tier.changes.propose(_all_weighted(tier.base().state, 3.0), "other")
         for i in range(CHANGES):
             await tier.ban(f"p/n{i}", _ban(), "other")
 
     async def work() -> None:
         async with _tier_of_one(tmp_path) as tier:
-            loop, real = asyncio.get_running_loop(), tier._tree
-            base = await tier._propose(_all_weighted(tier.base().state, 2.0), "first")
+            loop, real = asyncio.get_running_loop(), tier.changes._tree
+            base = await tier.changes.propose(_all_weighted(tier.base().state, 2.0), "first")
 
             def tree(before: State, state: State) -> Tree:
                 """The tree, and then so many other changes that its base's pages are gone."""
                 made_tree = real(before, state)
-                monkeypatch.setattr(tier, "_tree", real)
+                monkeypatch.setattr(tier.changes, "_tree", real)
                 asyncio.run_coroutine_threadsafe(change_often(tier), loop).result(30)
                 return made_tree
 
-            monkeypatch.setattr(tier, "_tree", tree)
+            monkeypatch.setattr(tier.changes, "_tree", tree)
             monkeypatch.setattr(Member, "propose", watched)
             with pytest.raises(MovedError, match=f"against serial {base.serial}, and .* is 15"):
                 await tier.ban("p/n99", _ban(), "late")
@@ -295,14 +295,14 @@
             serial = tier.base().serial + 1
             monkeypatch.setattr(tier.state_applier, "change", held)
             monkeypatch.setattr(
-                tier, "part", tier.part.model_copy(update={"agree_within": 300_000})
+                tier.changes, "part", tier.part.model_copy(update={"agree_within": 300_000})
             )
             with pytest.raises(ApplyError, match=f"serial {serial} .* it is active, and this gate"):
-                await tier._propose(_all_weighted(tier.base().state, 2.0), "first")
+                await tier.changes.propose(_all_weighted(tier.base().state, 2.0), "first")
             may_go_on.set()
             async with asyncio.timeout(15):
                 while tier.base().serial < serial:
-                    await tier.applied_event.wait()
+                    await tier.version_applier.applied_event.wait()
             assert tier.base().state["nodes"]["p/n0"]["weight"] == 2.0
 
     asyncio.run(work())
