--- a/sailhitch/daemon/process.py
+++ b/sailhitch/daemon/process.py
@@ -7,7 +7,9 @@
 import signal
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Final
 
 import uvloop
 
@@ -21,88 +23,125 @@
 from .source import LocalStateSource, StateSource
 from .state import from_file, with_bans
 from .state_applier import ApplyError, StateApplier, resource_limits
-from .store import Step, Store, StoreError, ignore_step
+from .store import AppliedState, Step, Store, StoreError, ignore_step
 from .tier_link import LinkError
 from .tier_source import TierStateSource
 
+INITIAL_DEADLINE: Final = 1_000_000  # us; the longest deadline until the first state is applied
+
+ReadyCallback = Callable[[StateApplier], None]
+
 
 class StartError(Exception):
     """The daemon can't start; the text says why and what to do."""
 
 
+@dataclass(slots=True)
+class _Resources:
+    """What a daemon has open, as far as its start has come."""
+
+    core: GatewayCore
+    store: Store | None = None
+    own_store: Store | None = None
+    tier: TierStateSource | None = None
+    admin: Admin | None = None
+
+    def close(self) -> None:
+        """Close what is open: the admin socket first, the stores last."""
+        if self.admin is not None:
+            self.admin.close()
+        self.core.finish()
+        if self.tier is not None:
+            self.tier.link.close()
+        for store in (self.store, self.own_store):
+            if store is not None:
+                store.close()
+
+
 class Daemon:
-    """A gateway that goes by an operator file."""
+    """A gateway that is configured by an operator file."""
 
     def __init__(
         self,
         path: str,
-        made: OperatorFile,
+        file: OperatorFile,
         step: Step = ignore_step,
         admin: str | None = None,
     ) -> None:
         self.path = path
-        self.gateway = made.gateway
-        self.admin = admin or made.gateway.admin
-        self.file = made
+        self.gateway = file.gateway
+        self.admin = admin or file.gateway.admin
+        self.file = file
         self.step = step
         self.log = Log(self.gateway.name)
         self.stop = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._reading = asyncio.Lock()
 
-    async def run(self, ready: Callable[[StateApplier], None] = lambda live: None) -> None:
+    async def run(self, ready: ReadyCallback | None = None) -> None:
         """Serve until SIGTERM has been honoured; raises StartError."""
         loop = asyncio.get_running_loop()
-        core = GatewayCore(resource_limits(self.gateway, 1_000_000), loop, self.log)
-        store = own = admin = tier = None
+        core = GatewayCore(resource_limits(self.gateway, INITIAL_DEADLINE), loop, self.log)
+        resources = _Resources(core)
         try:
-            if self.gateway.state_dir is not None:
-                store = Store(Path(self.gateway.state_dir), self.gateway.name)
-            if self.file.tier is not None:
-                # What the tier decides is kept apart from what this gateway decided alone.
-                own = store
-                folder = Path(self.gateway.state_dir or "") / "tier"
-                store = Store(folder, self.gateway.name)
-            live = StateApplier(core, self.gateway, store, self.step)
-            source: StateSource = LocalStateSource(live)
-            core.begin()
-            if self.file.tier is not None:
-                source = tier = self._tier(live, self.file.tier, own)
+            state_applier, source = self._open(resources)
             applied = await source.start(self.file)
             if self.admin is not None:
-                admin = Admin(live, source, Path(self.admin), tier)
-                await admin.start()
+                resources.admin = Admin(state_applier, source, Path(self.admin), resources.tier)
+                await resources.admin.start()
             self._signals(loop, source)
-            nodes = len(applied.state["nodes"])
-            self.log.write(f"serial {applied.serial} ({applied.applied_by}), {nodes} nodes; ready")
-            if tier is None and applied.state != with_bans(from_file(self.file), applied.state):
-                self.log.write(
-                    f"the last applied state holds; {self.path} differs: `sailhitch plan` shows how"
-                )
-            core.ready = tier is None
+            self._log_start(applied, resources.tier)
+            core.ready = resources.tier is None
             settle_memory()
-            ready(live)
+            if ready is not None:
+                ready(state_applier)
             await self.stop.wait()
-            await self._drain(core, live)
-            if tier is not None:
-                # Not before: who has left acts on nothing, and its clients are still inside.
-                await tier.leave()
+            await self._drain(core, state_applier)
+            if resources.tier is not None:
+                # Not before: a member that has left may not serve, and clients are still connected.
+                await resources.tier.leave()
         except (StoreError, ApplyError, AdminError, DiskError, LinkError, KeyFileError) as error:
             raise StartError(str(error)) from None
         finally:
-            if admin is not None:
-                admin.close()
-            core.finish()
-            if tier is not None:
-                tier.link.close()
-            for one in (store, own):
-                if one is not None:
-                    one.close()
-
-    def _tier(self, live: StateApplier, part: TierPart, own: Store | None) -> TierStateSource:
-        folder = Path(self.gateway.state_dir or "") / "tier"
+            resources.close()
+
+    def _open(self, resources: _Resources) -> tuple[StateApplier, StateSource]:
+        """Open the stores, and return the state applier and the source of its states."""
+        if self.gateway.state_dir is not None:
+            resources.store = Store(Path(self.gateway.state_dir), self.gateway.name)
+        if self.file.tier is not None:
+            # What the tier decides is kept apart from what this gateway decided alone.
+            resources.own_store = resources.store
+            resources.store = Store(self._tier_folder(), self.gateway.name)
+        state_applier = StateApplier(resources.core, self.gateway, resources.store, self.step)
+        resources.core.begin()
+        if self.file.tier is None:
+            return state_applier, LocalStateSource(state_applier)
+        resources.tier = self._tier(state_applier, self.file.tier, resources.own_store)
+        return state_applier, resources.tier
+
+    def _log_start(self, applied: AppliedState, tier: TierStateSource | None) -> None:
+        nodes = len(applied.state["nodes"])
+        self.log.write(f"serial {applied.serial} ({applied.applied_by}), {nodes} nodes; ready")
+        if tier is None and applied.state != with_bans(from_file(self.file), applied.state):
+            self.log.write(
+                f"the last applied state holds; {self.path} differs: `sailhitch plan` shows how"
+            )
+
+    def _tier_folder(self) -> Path:
+        return Path(self.gateway.state_dir or "") / "tier"
+
+    def _tier(
+        self, state_applier: StateApplier, part: TierPart, own_store: Store | None
+    ) -> TierStateSource:
         return TierStateSource(
-            live, part, load_keys(part.key_file), folder, own, self.log, self.file.zones
+            state_applier,
+            part,
+            load_keys(part.key_file),
+            self._tier_folder(),
+            own_store,
+            self.log,
+            self.file.zones,
         )
 
     def _signals(self, loop: asyncio.AbstractEventLoop, source: StateSource) -> None:
@@ -117,23 +156,23 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _reread(self, source: StateSource) -> None:
-        """SIGHUP: go to what the file says now, or stay as it was."""
-        # Of two readings at a time the older could be the one that is gone by last.
+        """Apply what the file says now, or change nothing: SIGHUP."""
+        # Of two concurrent reads the older one could be applied last.
         async with self._reading:
             try:
-                made = await asyncio.to_thread(load_file, self.path)
-                if made.gateway != self.gateway:
+                file = await asyncio.to_thread(load_file, self.path)
+                if file.gateway != self.gateway:
                     self.log.write(
                         "SIGHUP: [gateway] has changed; that holds from the next start on"
                     )
-                applied = await source.apply_file(made, "SIGHUP")
+                applied = await source.apply_file(file, "SIGHUP")
                 self.log.write(f"SIGHUP: serial {applied.serial}: {applied.summary}")
             except (FileError, ApplyError) as error:
                 self.log.write(f"SIGHUP: nothing was changed: {error}")
 
-    async def _drain(self, core: GatewayCore, live: StateApplier) -> None:
+    async def _drain(self, core: GatewayCore, state_applier: StateApplier) -> None:
         self.log.write("SIGTERM: draining")
-        await drain(core, live.stop_listening)
+        await drain(core, state_applier.stop_listening)
         core.log_statistics(core.clock())
         self.log.write("drained")
 
@@ -141,23 +180,34 @@
 def run_daemon(
     path: str, step: Step = ignore_step, admin: str | None = None, as_json: bool = False
 ) -> int:
-    """Run a gateway by an operator file; 0 after a drain, 1 where it can't start.
+    """Run a gateway by an operator file.
+
+    Args:
+        path: The operator file.
+        step: Called at each step of an apply, for tests that fail there.
+        admin: The admin socket, in place of the file's.
+        as_json: Whether to print one line on standard output once it is ready.
 
-    `as_json` has it print one line on standard output once it is ready.
+    Returns:
+        The exit status: 0 after a drain, 1 where it can't start.
     """
 
-    def ready(live: StateApplier) -> None:
+    def ready(state_applier: StateApplier) -> None:
         if as_json:
-            found = {"ok": True, "gateway": live.gateway.name, "serial": live.applied.serial}
-            print(json.dumps(found), flush=True)
+            reply = {
+                "ok": True,
+                "gateway": state_applier.gateway.name,
+                "serial": state_applier.applied.serial,
+            }
+            print(json.dumps(reply), flush=True)
 
     hold_signals()
     try:
-        made = load_file(path)
+        file = load_file(path)
 
         async def main() -> None:
             try:
-                await Daemon(path, made, step, admin).run(ready)
+                await Daemon(path, file, step, admin).run(ready)
             finally:
                 hold_signals()  # the loop takes its handlers with it
 
--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -1,7 +1,7 @@
-"""Sources of states: who decides what the switch goes by.
+"""Sources of states: who decides which state a daemon applies.
 
-A daemon has one. `Own` decides alone, by what its admin socket and SIGHUP ask for; the tier's
-decides with others. Neither knows the other, and the switch knows neither.
+A daemon has one. `LocalStateSource` decides alone, by requests on its admin socket and by SIGHUP;
+`TierStateSource` decides with the other members. The state applier knows neither.
 """
 
 from __future__ import annotations
@@ -31,107 +31,115 @@
 
     @property
     def owner(self) -> str:
-        """Whom a plan is made for."""
+        """Return the name that plans are made for."""
 
     def base(self) -> AppliedState:
         """Return the decided state that the next plan is made against."""
 
     def identity(self, state: State) -> str:
-        """What a plan names the base's state by; in a thread, as it may cost the whole state."""
+        """Return what a plan names a state by; call it in a thread, it may hash the whole state."""
 
-    async def start(self, made: OperatorFile) -> AppliedState:
-        """Bring the switch to the state that holds; raises StoreError or ApplyError."""
+    async def start(self, file: OperatorFile) -> AppliedState:
+        """Apply the state that is in force; raises StoreError or ApplyError."""
 
     def history(self) -> list[HistoryRecord]:
-        """Return what held, oldest first, the one that holds last."""
+        """Return the states that were in force, oldest first; the present one is the last."""
 
     def at(self, serial: int) -> AppliedState:
-        """Return a state that held; raises StoreError."""
+        """Return a state that was in force; raises StoreError."""
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
-        """Do exactly what a plan says; raises PlanError, MovedError or ApplyError."""
+        """Apply exactly what a plan says; raises PlanError, MovedError or ApplyError."""
 
-    async def apply_file(self, made: OperatorFile, by: str) -> AppliedState:
-        """Go to what a file asks for; raises ApplyError."""
+    async def apply_file(self, file: OperatorFile, by: str) -> AppliedState:
+        """Apply an operator file; raises ApplyError."""
 
     async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> AppliedState:
-        """Take a node (`pool/id`) out by hand, or (None) put it back; raises as `apply_plan`."""
+        """Ban a node (`pool/id`), or (None) lift its ban; raises as `apply_plan`."""
 
 
 class Identities:
-    """Identities of states whose root nobody has at hand; the last one is remembered."""
+    """Identities of states whose tree's root is not known; the last one is cached."""
 
     def __init__(self) -> None:
         self._last: tuple[State, str] | None = None
 
     def of(self, state: State) -> str:
-        """Return a state's identity; costs the whole state where it is not the one of last time."""
+        """Return a state's identity; hashes the whole state unless it is the cached one."""
         last = self._last
         if last is None or last[0] is not state:
-            last = self._last = (state, identity(state))
+            last = (state, identity(state))
+            self._last = last
         return last[1]
 
 
 class LocalStateSource:
     """The source of a daemon that decides alone."""
 
-    def __init__(self, live: StateApplier) -> None:
-        self.state_applier = live
+    def __init__(self, state_applier: StateApplier) -> None:
+        self.state_applier = state_applier
         self._deciding = asyncio.Lock()
         self._identities = Identities()
 
     @property
     def owner(self) -> str:
+        """Return the gateway's name."""
         return self.state_applier.gateway.name
 
     def base(self) -> AppliedState:
+        """Return the applied state."""
         return self.state_applier.applied
 
     def identity(self, state: State) -> str:
+        """Return what a plan names a state by."""
         store = self.state_applier.store
         root = None if store is None else store.root_of(state)
         return self._identities.of(state) if root is None else ROOT_PREFIX + root
 
-    async def start(self, made: OperatorFile) -> AppliedState:
-        """Take up the state that held last, or the file's at the very first start."""
-        live = self.state_applier
+    async def start(self, file: OperatorFile) -> AppliedState:
+        """Apply the state that was in force last, or the file's at the very first start."""
+        applier = self.state_applier
         async with self._deciding:
-            last = None if live.store is None else live.store.last()
+            last = None if applier.store is None else applier.store.last()
             if last is None:
-                state = from_file(made)
-                born = dict.fromkeys(state["nodes"], 0)
-                return await live.change(StateChange(state, "first start", 1, born))
-            await live.restore(last)
+                state = from_file(file)
+                new_since = dict.fromkeys(state["nodes"], 0)
+                return await applier.change(StateChange(state, "first start", 1, new_since))
+            await applier.restore(last)
         return last
 
     def history(self) -> list[HistoryRecord]:
-        live = self.state_applier
-        if live.store is None:
-            return [one.record() for one in live.history]
-        return live.store.history()
+        """Return the states that were in force, oldest first."""
+        applier = self.state_applier
+        if applier.store is None:
+            return [applied.record() for applied in applier.history]
+        return applier.store.history()
 
     def at(self, serial: int) -> AppliedState:
+        """Return the state of a serial; raises StoreError."""
         return find(self.state_applier, serial)
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
+        """Apply exactly what a plan says; raises PlanError, MovedError or ApplyError."""
         async with self._deciding:
             plan, state = await asyncio.to_thread(self._read_plan, text)
             return await self._apply(state, by) if plan.changes else self.state_applier.applied
 
     def _read_plan(self, text: str) -> tuple[Plan, State]:
         plan = load_plan(text)
-        live = self.state_applier.applied
+        base = self.state_applier.applied
         return plan, check_base(
-            plan, self.owner, live.serial, live.state, self.identity(live.state)
+            plan, self.owner, base.serial, base.state, self.identity(base.state)
         )
 
-    async def apply_file(self, made: OperatorFile, by: str) -> AppliedState:
+    async def apply_file(self, file: OperatorFile, by: str) -> AppliedState:
+        """Apply an operator file, with the bans as they are; raises ApplyError."""
         async with self._deciding:
-            return await self._apply(
-                with_bans(from_file(made), self.state_applier.applied.state), by
-            )
+            state = with_bans(from_file(file), self.state_applier.applied.state)
+            return await self._apply(state, by)
 
     async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> AppliedState:
+        """Ban a node, or (None) lift its ban; raises ApplyError."""
         async with self._deciding:
             return await self._apply(banned(self.state_applier.applied.state, node, ban), by)
 
@@ -143,13 +151,13 @@
         )
 
 
-def find(live: StateApplier, serial: int) -> AppliedState:
-    """Return a state that held, by its serial; raises StoreError."""
-    if serial == live.applied.serial:
-        return live.applied
-    if live.store is not None:
-        return live.store.read(serial)
-    for one in live.history:
-        if one.serial == serial:
-            return one
+def find(applier: StateApplier, serial: int) -> AppliedState:
+    """Return a state that was in force, by its serial; raises StoreError."""
+    if serial == applier.applied.serial:
+        return applier.applied
+    if applier.store is not None:
+        return applier.store.read(serial)
+    for applied in applier.history:
+        if applied.serial == serial:
+            return applied
     raise StoreError(f"serial {serial}: not known; `sailhitch history` shows what is")
--- a/sailhitch/daemon/tables.py
+++ b/sailhitch/daemon/tables.py
@@ -1,7 +1,7 @@
-"""The module's settings from a state: classes, tenants, zones and cells by number.
+"""The policy's settings from a state: classes, tenants, zones and cells by number.
 
-Numbers stay what they are for the life of the process, as open requests and hosts are known by
-them. A class that is removed keeps its number, and gets it back if it ever returns.
+A number is never reused in a process, as open requests and endpoints refer to it. A class that is
+removed keeps its number, and has it again if it ever returns.
 """
 
 from __future__ import annotations
@@ -28,14 +28,18 @@
     "keyed": Idempotency.KEYED,
     "unsafe": Idempotency.UNSAFE,
 }
-ANSWER_SLACK: Final = 20_000
-FALL_MULTIPLE: Final = 3.0
-FALL_TIME: Final = 2_000_000
+TICK: Final = 1000  # us
+ANSWER_SLACK: Final = 20_000  # us
+OVERLOAD_MULTIPLE: Final = 3.0
+OVERLOAD_TIME: Final = 2_000_000  # us
+OVER_QUOTA_WEIGHT: Final = 0.5
+DEFAULT_DEADLINE: Final = 1_000_000  # us; where the state has no class
+UNKNOWN_INDEX: Final = -1  # of a gateway among several that the file gives no number
 SAFE_METHODS: Final = frozenset({b"GET", b"HEAD", b"OPTIONS", b"TRACE"})  # RFC 9110, 9.2.1
 
 
 class Numbers:
-    """Numbers for names, given in the order in which they are first asked for."""
+    """Consecutive numbers for names, in the order of their first use."""
 
     def __init__(self) -> None:
         self._known: dict[str, int] = {}
@@ -44,47 +48,52 @@
         return len(self._known)
 
     def of(self, name: str) -> int:
+        """Return a name's number, a new one at its first use."""
         return self._known.setdefault(name, len(self._known))
 
     def known(self, name: str) -> int | None:
+        """Return a name's number, None where it has none yet."""
         return self._known.get(name)
 
 
 class Tables:
-    """All that the module knows by number, as of one state.
+    """All that the policy knows by number, as of one state."""
 
-    `before` are the tables that held until then: numbers go on from theirs, and what the file does
-    not name any more stays as it was for those who were taken in under it.
-    """
+    def __init__(self, before: Tables | None, file: OperatorFile) -> None:
+        """Number what a state names.
 
-    def __init__(self, before: Tables | None, made: OperatorFile) -> None:
+        Args:
+            before: The tables until now. Their numbers are kept, and so are the classes and
+                tenants that the state names no more, for requests admitted under them.
+            file: The state, as an operator file.
+        """
         self.zones: Numbers = before.zones if before else Numbers()
         self.cells: Numbers = before.cells if before else Numbers()
         self._classes: Numbers = before._classes if before else Numbers()
         self._tenants: Numbers = before._tenants if before else Numbers()
         self._parts: dict[str, ClassPart] = dict(before._parts) if before else {}
         self._shares: dict[str, float] = dict(before._shares) if before else {}
-        for part in made.classes:
+        for part in file.classes:
             self._classes.of(part.name)
             self._parts[part.name] = part
-        for tenant in made.tenants:
+        for tenant in file.tenants:
             self._tenants.of(tenant.name)
             self._shares[tenant.name] = tenant.share
 
     def settings(self, gateway: GatewayPart) -> Settings:
-        """Return what every pool's module is told."""
+        """Return the settings of every pool's policy."""
         classes = tuple(
             _request_class(part, effect) for part in self._parts.values() for effect in EFFECTS
         )
-        alone = 0 if gateway.gateways == 1 else -1
+        default_index = 0 if gateway.gateways == 1 else UNKNOWN_INDEX
         return Settings(
-            gateway_index=alone if gateway.number is None else gateway.number,
+            gateway_index=default_index if gateway.number is None else gateway.number,
             gateway_count=gateway.gateways,
             zone=self.zones.of(gateway.zone),
-            tick=1000,
+            tick=TICK,
             classes=classes,
             tenants=self._quotas(gateway.rate),
-            over_quota_weight=0.5,
+            over_quota_weight=OVER_QUOTA_WEIGHT,
             limits=Limits(
                 max_attempts=gateway.max_attempts,
                 may_duplicate=False,
@@ -99,8 +108,8 @@
                 drain_grace=gateway.drain_grace,
                 slow_start_share=gateway.cold_share,
                 slow_start_time=gateway.cold_time,
-                overload_multiple=FALL_MULTIPLE,
-                overload_time=FALL_TIME,
+                overload_multiple=OVERLOAD_MULTIPLE,
+                overload_time=OVERLOAD_TIME,
                 watch_within=0,
             ),
             needs_watch=False,
@@ -109,35 +118,37 @@
         )
 
     def _quotas(self, rate: float | None) -> tuple[Tenant, ...]:
-        """A share is a part of the rate of the whole tier; without one nobody is over theirs."""
+        """Return each tenant's quota: its share of the tier's rate; none where there is no rate."""
         if rate is None:
             return ()
         return tuple(Tenant(name, share * rate) for name, share in self._shares.items())
 
     def longest_deadline(self) -> int:
-        return max((part.deadline for part in self._parts.values()), default=1_000_000)
+        """Return the longest deadline of all classes, in us."""
+        return max((part.deadline for part in self._parts.values()), default=DEFAULT_DEADLINE)
 
     def class_part(self, name: str) -> ClassPart:
+        """Return a class as the file states it."""
         return self._parts[name]
 
     def tenant(self, name: str) -> int:
-        """Return a tenant's number; one that nobody named has none of those in use."""
+        """Return a tenant's number; one that no state named gets the first unused number."""
         known = self._tenants.known(name)
         return len(self._tenants) if known is None else known
 
     def classify(self, name: str, method: bytes, keyed: bool) -> tuple[int, str]:
-        """The number and effect of a request of a class, by its method and whether it has a key.
+        """Return the number and idempotency of a request of a class.
 
-        Without a word of the file, safe methods are safe (RFC 9110, 9.2.1), what has an
-        Idempotency-Key is keyed, and all else unsafe. With one, a client can make its request less
-        repeatable, by sending no key, and never more.
+        Where the file states no effect, safe methods are safe (RFC 9110, 9.2.1), requests with an
+        Idempotency-Key are keyed, and all others unsafe. Where it does, a client can make its
+        request less repeatable, by sending no key, and never more.
         """
         effect = effect_of(self._parts[name].effect, method, keyed)
         return len(EFFECTS) * self._classes.of(name) + EFFECTS.index(effect), effect
 
 
 def effect_of(stated: str | None, method: bytes, keyed: bool) -> Idempotency:
-    """What a request may be repeated as, by its class's stated effect, its method and key."""
+    """Return a request's idempotency, by its class's stated effect, its method and its key."""
     if stated is None:
         if method in SAFE_METHODS:
             return Idempotency.SAFE
--- a/sailhitch/daemon/version_states.py
+++ b/sailhitch/daemon/version_states.py
@@ -1,7 +1,7 @@
-"""The states of the tier's versions: read from the tier's contents, and made contents of again.
+"""The states of the tier's versions: decoded from the tier's contents, and encoded as contents.
 
 A version's content is a page tree, and is read by its difference from a state that was read before;
-one of the release before is the whole state as JSON. What a member proposes is always a tree.
+that of an older release is the complete state as JSON. A member always proposes a tree.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 
 class Contents(Protocol):
-    """Where a tier's contents are; both raise KeyError."""
+    """Contents of a tier's versions; both methods raise KeyError."""
 
     def read(self, digest: str) -> bytes:
-        """Return a whole content."""
+        """Return a complete content."""
 
     def page(self, digest: str) -> bytes:
         """Return a raw page of a tree."""
 
 
 class VersionStates:
-    """States by the digests of their contents; those read lately stay in memory."""
+    """States by the digests of their contents; those read lately are cached."""
 
     def __init__(self) -> None:
-        self._known: dict[str, State] = {}
+        self._cached: dict[str, State] = {}
         self._identities = Identities()
         self._applied_pages: PageSource | None = None
 
@@ -40,7 +40,7 @@
 
         `pages` has the pages of `root`, which is that state's.
         """
-        self._known = {tree_digest(root): state}
+        self._cached = {tree_digest(root): state}
         self._applied_pages = pages
 
     def read(self, contents: Contents, digest: str) -> State:
@@ -49,57 +49,62 @@
         Raises KeyError or PageError from the contents, and StateTreeError or ValueError for a
         content that is no state.
         """
-        state = self._known.get(digest)
+        state = self._cached.get(digest)
         if state is None:
             state = {**self._read(contents, digest), "listeners": {}}
-            self._known = {**self._known, digest: state}
+            self._cached = {**self._cached, digest: state}
         return state
 
     def _read(self, contents: Contents, digest: str) -> State:
         root = root_of(digest)
         if root is None:
-            whole: State = json.loads(contents.read(digest))
-            return whole
-        source = _Either(contents, self._applied_pages)
-        for near, base in reversed(self._known.items()):
-            near_root = root_of(near)
-            if near_root is None:
+            state: State = json.loads(contents.read(digest))
+            return state
+        source = _FallbackPages(contents, self._applied_pages)
+        for base_digest, base in reversed(self._cached.items()):
+            base_root = root_of(base_digest)
+            if base_root is None:
                 continue
             try:
-                return changed_state(base, near_root, source, root)
+                return changed_state(base, base_root, source, root)
             except KeyError:
-                continue  # its pages were let go of
+                continue  # its pages were released
         return state_from(contents, root)
 
     def keep_only(self, digests: Collection[str]) -> None:
-        """Forget other states than those of these digests, and the one that was started from."""
+        """Drop the states of all other digests, and the pages given to `start_from`."""
         self._applied_pages = None
-        self._known = {one: state for one, state in self._known.items() if one in digests}
+        self._cached = {
+            digest: state for digest, state in self._cached.items() if digest in digests
+        }
 
     def tree(self, contents: Contents, base: State, state: State) -> Tree:
-        """The tree of a state that was made from `base`: its new pages, where `base` was a tree."""
+        """Return the tree of a state that was derived from `base`.
+
+        Where `base` was read from a tree, only the new pages are in it.
+        """
         root = self._root_of(base)
         if root is not None:
             try:
                 return update_tree(contents, root, base, state)
             except KeyError:
-                pass  # what holds is another version by now: the register will say so
+                pass  # another version is active by now, and the register will reject the proposal
         return to_tree(state)
 
     def identity(self, state: State) -> str:
-        """What a plan names a state by; costs the whole of one that is not known as a tree."""
+        """Return what a plan names a state by; hashes all of one that is not known as a tree."""
         root = self._root_of(state)
         return self._identities.of(state) if root is None else tree_digest(root)
 
     def _root_of(self, state: State) -> str | None:
-        for digest, known in self._known.items():
-            if known is state:
+        for digest, cached in self._cached.items():
+            if cached is state:
                 return root_of(digest)
         return None
 
 
-class _Either:
-    """Pages of one source, or of another where that has not got them."""
+class _FallbackPages:
+    """Pages of a source, or of a second one where the first lacks them."""
 
     def __init__(self, first: PageSource, second: PageSource | None) -> None:
         self._first = first
