--- a/sailhitch/daemon/endpoint_registry.py
+++ b/sailhitch/daemon/endpoint_registry.py
@@ -1,6 +1,6 @@
-"""Nodes in their places: which life of an id is where, and what drains after it has left the state.
+"""Which instance of a node's id is at which address, and what drains once it has left the state.
 
-The one caller of it is the switch (`live`); nothing here decides what the state is.
+Only the state applier changes it, during its switch.
 """
 
 from __future__ import annotations
@@ -22,90 +22,96 @@
 from .store import AppliedState
 from .tables import Tables
 
-SETTLE: Final = 0.25  # s between two looks at what is leaving
+RELEASE_INTERVAL: Final = 0.25  # s between two checks of what drains
 
 
 @dataclass(slots=True)
 class NodeInstance:
-    """A node as the module knows it: one life of an id at an address."""
+    """A node as the policy knows it: an instance of an id at an address."""
 
-    name: str  # the module's word for it
+    name: str  # in the policy
     address: Address
     cell: int
     new_since: int
 
 
 class EndpointRegistry:
-    """Which nodes are where."""
+    """The instances of the state's nodes, and of those that drain."""
 
     def __init__(self, core: GatewayCore) -> None:
         self.core = core
         self.nodes: dict[str, NodeInstance] = {}  # by key, `pool/id`
-        # Nodes that drain, by their module's name.
+        # Instances that drain, by their name in the policy.
         self.draining: dict[Pool, dict[str, EndpointAddress]] = {}
         self.pools: Mapping[str, Pool] = {}  # as of the last switch
-        self._incarnations: dict[str, int] = {}  # of a node's id, so far
-        self._settling: asyncio.TimerHandle | None = None
+        self._incarnations: dict[str, int] = {}  # instances so far, by a node's id
+        self._release_handle: asyncio.TimerHandle | None = None
 
     def assign_names(
-        self, made: OperatorFile, applied: AppliedState, tables: Tables, old: Mapping[str, Pool]
+        self, file: OperatorFile, applied: AppliedState, tables: Tables, old: Mapping[str, Pool]
     ) -> None:
-        """Give each new life of a node a name and a cell of its own; the old one drains.
+        """Give each new instance of a node a name and a cell of its own; the old one drains.
 
-        Guards against a keyed request that ran on the old one being repeated on what came in its
-        place under the same id, which knows nothing of it.
+        Otherwise a keyed request that was carried out by the old instance could be retried at the
+        new one under the same id, which does not know the key.
         """
-        placed: dict[str, NodeInstance] = {}
-        for pool in made.pools:
+        instances: dict[str, NodeInstance] = {}
+        for pool in file.pools:
             for part in pool.nodes:
                 key = f"{pool.name}/{part.id}"
                 before = self.nodes.get(key)
-                born = applied.new_since.get(key, 0)
+                new_since = applied.new_since.get(key, 0)
                 address = address_of(part.address)
-                if before is not None and before.new_since == born and before.address == address:
-                    placed[key] = before
-                    continue
-                self._incarnations[part.id] = life = self._incarnations.get(part.id, 0) + 1
-                name = part.id if life == 1 else f"{part.id}~{life}"
-                cell = tables.cells.of(f"cell {part.cell}" if part.cell else f"node {name}")
-                placed[key] = NodeInstance(name, address, cell, born)
+                if before is None or (before.new_since, before.address) != (new_since, address):
+                    instances[key] = self._new_instance(part, address, new_since, tables)
+                else:
+                    instances[key] = before
         for key, node in self.nodes.items():
-            if placed.get(key) is not node:
+            if instances.get(key) is not node:
                 self._start_draining(old[key.partition("/")[0]], node)
-        self.nodes = placed
+        self.nodes = instances
+
+    def _new_instance(
+        self, part: NodePart, address: Address, new_since: int, tables: Tables
+    ) -> NodeInstance:
+        incarnation = self._incarnations.get(part.id, 0) + 1
+        self._incarnations[part.id] = incarnation
+        name = part.id if incarnation == 1 else f"{part.id}~{incarnation}"
+        cell = tables.cells.of(f"cell {part.cell}" if part.cell else f"node {name}")
+        return NodeInstance(name, address, cell, new_since)
 
     def _start_draining(self, pool: Pool, node: NodeInstance) -> None:
-        listed = pool.endpoints[node.name].endpoint._replace(state=EndpointState.DRAINING)
-        self.draining.setdefault(pool, {})[node.name] = EndpointAddress(listed, node.address)
+        endpoint = pool.endpoints[node.name].endpoint._replace(state=EndpointState.DRAINING)
+        self.draining.setdefault(pool, {})[node.name] = EndpointAddress(endpoint, node.address)
 
     def list_nodes(
-        self, made: OperatorFile, tables: Tables, old: Mapping[str, Pool], new: Mapping[str, Pool]
+        self, file: OperatorFile, tables: Tables, old: Mapping[str, Pool], new: Mapping[str, Pool]
     ) -> None:
-        """Tell each pool its nodes; one that is not there any more, only what drains."""
-        for part in made.pools:
+        """Give each pool its nodes; a pool that has left the state, only those that drain."""
+        for part in file.pools:
             pool = new[part.name]
-            entries = [self._entry(part, node, tables) for node in part.nodes]
-            _tell(pool, entries + list(self.draining.get(pool, {}).values()))
-        for pool, leaving in self.draining.items():
+            entries = [self._endpoint_address(part, node, tables) for node in part.nodes]
+            _update_pool(pool, entries + list(self.draining.get(pool, {}).values()))
+        for pool, draining in self.draining.items():
             if new.get(pool.name) is not pool:
-                _tell(pool, list(leaving.values()))
+                _update_pool(pool, list(draining.values()))
         for pool in old.values():
             if new.get(pool.name) is not pool:
                 pool.retire()
         self.pools = new
 
-    def _entry(self, pool: PoolPart, part: NodePart, tables: Tables) -> EndpointAddress:
+    def _endpoint_address(self, pool: PoolPart, part: NodePart, tables: Tables) -> EndpointAddress:
         node = self.nodes[f"{pool.name}/{part.id}"]
         zone = tables.zones.of(part.zone)
-        listed = Endpoint(
+        endpoint = Endpoint(
             node.name, part.weight, zone, node.cell, EndpointState.READY, node.new_since, 0
         )
-        return EndpointAddress(listed, node.address)
+        return EndpointAddress(endpoint, node.address)
 
     def set_maintenance(self, key: str, pools: Mapping[str, Pool], out: bool) -> None:
-        """A node, by `pool/id`, is banned or is not.
+        """Mark a node, by `pool/id`, as out for maintenance or not.
 
-        Said before the list, as a module that hears of a node before its ban sends to it.
+        Call it before `list_nodes`: a policy that learns of a node before its ban sends to it.
         """
         node = self.nodes.get(key)
         pool = pools.get(key.partition("/")[0])
@@ -113,16 +119,20 @@
             pool.maintenance.add_names([node.name])
             pool.set_maintenance(node.name, out)
 
-    # --- What leaves
+    # --- Releasing what has drained
 
     def release_soon(self) -> None:
-        """Look at what leaves, again and again until nothing does."""
-        if self._settling is None and (self.draining or len(self.core.pools) > len(self.pools)):
-            self._settling = self.core.loop.call_later(SETTLE, self._release_drained)
+        """Check what drains, repeatedly until nothing does."""
+        if self._release_handle is None and (
+            self.draining or len(self.core.pools) > len(self.pools)
+        ):
+            self._release_handle = self.core.loop.call_later(
+                RELEASE_INTERVAL, self._release_drained
+            )
 
     def _release_drained(self) -> None:
-        """Let go of nodes and pools on which nothing is out any more."""
-        self._settling = None
+        """Release nodes and pools that have no open attempts any more."""
+        self._release_handle = None
         try:
             self._release()
         except Exception as error:
@@ -130,35 +140,35 @@
         self.release_soon()
 
     def _release(self) -> None:
-        out: set[tuple[Pool | None, str]] = set()
+        in_flight: set[tuple[Pool | None, str]] = set()
         busy: set[Pool | None] = set()
         for request in self.core.open_requests.values():
             busy.add(request.pool)
-            out.update((request.pool, attempt.server) for attempt in request.open_attempts)
-        for pool, leaving in list(self.draining.items()):
-            for name in [name for name in leaving if (pool, name) not in out]:
-                del leaving[name]
-            if not leaving:
+            in_flight.update((request.pool, attempt.server) for attempt in request.open_attempts)
+        for pool, draining in list(self.draining.items()):
+            for name in [name for name in draining if (pool, name) not in in_flight]:
+                del draining[name]
+            if not draining:
                 del self.draining[pool]
-            here = [e for e in pool.endpoints.values() if e.endpoint.state == EndpointState.READY]
-            _tell(pool, here + list(leaving.values()))
+            ready = [e for e in pool.endpoints.values() if e.endpoint.state == EndpointState.READY]
+            _update_pool(pool, ready + list(draining.values()))
         for pool in list(self.core.pools):
-            gone = pool not in self.pools.values() and pool not in self.draining
-            if gone and pool not in busy:
+            is_removed = pool not in self.pools.values() and pool not in self.draining
+            if is_removed and pool not in busy:
                 self.core.pools.remove(pool)
                 pool.transport.stop()
 
 
-def _tell(pool: Pool, entries: list[EndpointAddress]) -> None:
-    """Give a pool its whole list, if that is news to it."""
-    news = any(pool.endpoints.get(entry.endpoint.name) != entry for entry in entries)
-    if news or len(entries) != len(pool.endpoints):
+def _update_pool(pool: Pool, entries: list[EndpointAddress]) -> None:
+    """Give a pool its complete list, if that differs from the one it has."""
+    is_changed = any(pool.endpoints.get(entry.endpoint.name) != entry for entry in entries)
+    if is_changed or len(entries) != len(pool.endpoints):
         pool.apply_update(
             EndpointUpdate(0, True, tuple(entries), 0, frozenset()), WatchEventKind.SNAPSHOT
         )
 
 
 def address_of(text: str) -> Address:
-    """Return a checked `host:port` in its two parts."""
+    """Return the host and the port of a validated `host:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/sailhitch/daemon/state_applier.py
+++ b/sailhitch/daemon/state_applier.py
@@ -1,7 +1,8 @@
-"""The live state: pools, listeners and routes as they are, and the one switch to others.
+"""Applies states: pools, listeners and routes as they are, and the switch to others.
 
-All that can fail is prepared first: the state checked, listeners bound, modules built, the state
-written and synced. Then one rename on disk and one switch on the loop, with nothing awaited in it.
+All that can fail is prepared first: the state is checked, listeners are bound, policies built, and
+the state written and synced. Then come a rename on disk and a switch on the event loop, in which
+nothing is awaited, so that no request is handled by a mix of two states.
 """
 
 from __future__ import annotations
@@ -29,34 +30,35 @@
 from .store import AppliedState, Step, Store, ignore_step
 from .tables import Tables
 
-BACKLOG: Final = 1024
-MAX_OPEN: Final = 20_000
+BACKLOG: Final = 1024  # connections that wait to be accepted
+MAX_OPEN: Final = 20_000  # requests at a time
 
 
 class ApplyError(Exception):
-    """An apply came to nothing; the old state is whole. The text says why and what to do."""
+    """A change was not applied, and the old state is in force. The text says why and what to do."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A state that a source of states has decided on, and how to go by it."""
+    """A state that a source of states has decided on, and how to apply it."""
 
     state: State
     by: str
-    serial: int  # in its source's line
-    new_since: Mapping[str, int] | None = None  # since when nodes are new; None: by the switch
+    serial: int  # counted by the source
+    # Since when nodes are new; None: as the comparison with the old state says.
+    new_since: Mapping[str, int] | None = None
     persistent: bool = True  # whether it is to hold after a restart
-    stamp: bytes = b""  # fields that attempts carry under it
-    overlapping_state: State | None = None  # whose routes hold beside its own
+    stamp: bytes = b""  # header fields that attempts carry under it
+    overlapping_state: State | None = None  # a pending state whose routes count too
     # Counts up where requests read before must not be sent by the older ones.
     rules_revision: int = 0
-    inactive_nodes: frozenset[str] = frozenset()  # nodes, as `pool/id`, that get nothing new
-    retried_nodes: frozenset[str] = frozenset()  # those that are tried as if they had just started
+    inactive_nodes: frozenset[str] = frozenset()  # nodes, as `pool/id`, that get no new requests
+    retried_nodes: frozenset[str] = frozenset()  # nodes to retry as if they had just started
 
 
 @dataclass(frozen=True, slots=True)
 class PreparedSwitch:
-    """All that a switch needs; nothing of it is seen by anybody yet."""
+    """All that a switch needs, built and not in use yet."""
 
     file: OperatorFile
     applied: AppliedState
@@ -70,7 +72,7 @@
 
 
 class StateApplier:
-    """What is, and how it becomes what is wanted."""
+    """Holds the applied state, and applies changes to it one at a time."""
 
     def __init__(
         self, core: GatewayCore, gateway: GatewayPart, store: Store | None, step: Step = ignore_step
@@ -83,39 +85,47 @@
         self.pools: dict[str, Pool] = {}
         self.endpoints = EndpointRegistry(core)
         self.listeners: dict[str, Listener] = {}
-        self.stopping = False  # nobody is taken in any more
+        self.stopping = False  # no client is accepted any more
         self.applied = AppliedState(0, 0, "nobody", EMPTY)
-        self.excluded_nodes: set[str] = set()  # nodes that are banned, or not in use
-        self.history: list[AppliedState] = []  # all that held, where there is no store
+        self.excluded_nodes: set[str] = set()  # nodes that are banned or inactive
+        self.history: list[AppliedState] = []  # all states so far, where there is no store
         self.intake = RoutedIntake(core.clock)
         self._switching = asyncio.Lock()
 
-    # --- From the source of states
+    # --- Changes
 
     async def restore(self, last: AppliedState) -> None:
-        """Go by a state that held before this process. Raises ApplyError."""
+        """Apply a state that an earlier process has persisted; raises ApplyError."""
         async with self._switching:
-            made, routes = await asyncio.to_thread(self._parse, last.state)
-            decided = StateChange(last.state, last.applied_by, last.serial)
-            self._switch(self._prepare(last, decided, made, routes, None))
+            file, routes = await asyncio.to_thread(self._parse, last.state)
+            change = StateChange(last.state, last.applied_by, last.serial)
+            self._switch(self._prepare(last, change, file, routes, None))
 
-    async def change(self, decided: StateChange) -> AppliedState:
-        """Go by a state that was decided; raises ApplyError, with the old one whole.
+    async def change(self, change: StateChange) -> AppliedState:
+        """Apply a decided state: prepare, commit, switch.
 
-        Prepare, commit, switch. Nothing is awaited between the commit's end and the switch.
+        Nothing is awaited between the end of the commit and the switch.
+
+        Returns:
+            The state as applied.
+
+        Raises:
+            ApplyError: The old state is still in force.
         """
         async with self._switching:
-            # In threads: thousands of nodes take longer to look at tha requests may be held up.
-            applied = await asyncio.to_thread(self._next_applied, decided)
+            # In threads: with thousands of nodes this takes longer than requests may be delayed.
+            applied = await asyncio.to_thread(self._next_applied, change)
             self.step("checked")
-            made, routes = await asyncio.to_thread(self._parse, applied.state)
-            also = None
-            if decided.overlapping_state is not None:
-                also = await asyncio.to_thread(self._class_overlap, decided.overlapping_state)
-            prepared = self._prepare(applied, decided, made, routes, also)
+            file, routes = await asyncio.to_thread(self._parse, applied.state)
+            class_overlap = None
+            if change.overlapping_state is not None:
+                class_overlap = await asyncio.to_thread(
+                    self._class_overlap, change.overlapping_state
+                )
+            prepared = self._prepare(applied, change, file, routes, class_overlap)
             self.step("bound")
             try:
-                if decided.persistent:
+                if change.persistent:
                     await asyncio.to_thread(self._persist, applied)
             except Exception as error:
                 for listener in prepared.listeners.values():
@@ -125,40 +135,42 @@
             self.step("switched")
             return applied
 
-    def _next_applied(self, decided: StateChange) -> AppliedState:
+    def _next_applied(self, change: StateChange) -> AppliedState:
         now = self.core.clock()
         old = self.applied
-        born = (
-            self._node_ages(decided.state, now) if decided.new_since is None else decided.new_since
+        new_since = (
+            self._node_ages(change.state, now) if change.new_since is None else change.new_since
         )
-        told = summary(diff(old.state, decided.state))
-        return AppliedState(decided.serial, now, decided.by, decided.state, told, born)
+        changes = summary(diff(old.state, change.state))
+        return AppliedState(change.serial, now, change.by, change.state, changes, new_since)
 
     def _parse(self, state: State) -> tuple[OperatorFile, Routes]:
         try:
-            made = to_file(state, self.gateway.model_dump(mode="json"))
+            file = to_file(state, self.gateway.model_dump(mode="json"))
         except FileError as error:
             raise ApplyError(f"the state would be out of form: {error}") from None
-        return made, Routes([to_route(part) for part in made.routes])
+        return file, Routes([to_route(part) for part in file.routes])
 
     def _class_overlap(self, state: State) -> RequestClassOverlap:
-        made, routes = self._parse({**state, "listeners": {}})
-        return RequestClassOverlap(routes, {part.name: part.effect for part in made.classes})
+        file, routes = self._parse({**state, "listeners": {}})
+        return RequestClassOverlap(routes, {part.name: part.effect for part in file.classes})
 
     def _prepare(
         self,
         applied: AppliedState,
-        decided: StateChange,
-        made: OperatorFile,
+        change: StateChange,
+        file: OperatorFile,
         routes: Routes,
-        also: RequestClassOverlap | None,
+        class_overlap: RequestClassOverlap | None,
     ) -> PreparedSwitch:
         """Build all that is new; raises ApplyError, with nothing left behind."""
-        tables = Tables(self.tables, made)
+        tables = Tables(self.tables, file)
         settings = tables.settings(self.gateway)
-        pools = {part.name: self._pool(part, settings) for part in made.pools}
-        bound = self._bind(made)
-        return PreparedSwitch(made, applied, tables, settings, routes, pools, bound, decided, also)
+        pools = {part.name: self._pool(part, settings) for part in file.pools}
+        bound = self._bind(file)
+        return PreparedSwitch(
+            file, applied, tables, settings, routes, pools, bound, change, class_overlap
+        )
 
     def _pool(self, part: PoolPart, settings: Settings) -> Pool:
         pool = self.pools.get(part.name)
@@ -176,7 +188,7 @@
         self.store.commit(path, applied.serial, self.step)
 
     def _node_ages(self, state: State, now: int) -> dict[str, int]:
-        """Return since when each node is new: now, for one that comes, comes back or moves."""
+        """Return since when each node is new: now, for one that is added, re-added or moved."""
         old = self.applied.state["nodes"]
         before = self.applied.new_since
         return {
@@ -184,12 +196,12 @@
             for key, node in state["nodes"].items()
         }
 
-    def _bind(self, made: OperatorFile) -> dict[str, Listener]:
-        """Return the listeners that are not there yet, bound and not taking anybody in."""
+    def _bind(self, file: OperatorFile) -> dict[str, Listener]:
+        """Return the listeners that are not open yet, bound and not accepting."""
         bound: dict[str, Listener] = {}
-        here = self._by_address()
-        for i, part in enumerate(made.listeners):
-            if (part.address, part.protocol) in here:
+        open_listeners = self._by_address()
+        for index, part in enumerate(file.listeners):
+            if (part.address, part.protocol) in open_listeners:
                 continue
             try:
                 bound[part.name] = Listener(
@@ -198,34 +210,28 @@
             except OSError as error:
                 for listener in bound.values():
                     listener.discard()
-                where = f"listeners[{i}] {part.name!r}: {part.address}"
+                where = f"listeners[{index}] {part.name!r}: {part.address}"
                 raise ApplyError(f"{where}: {error.strerror}; nothing was changed") from None
         return bound
 
     # --- The switch
 
     def _switch(self, prepared: PreparedSwitch) -> None:
-        """Go by the new state, in one turn of the loop."""
-        made = prepared.file
+        """Put the new state in force, in one callback of the event loop."""
+        file = prepared.file
         applied = prepared.applied
         pools = prepared.pools
-        self.endpoints.assign_names(made, applied, prepared.tables, self.pools)
+        self.endpoints.assign_names(file, applied, prepared.tables, self.pools)
         self.core.reconfigure(resource_limits(self.gateway, prepared.tables.longest_deadline()))
-        for part in made.pools:
+        for part in file.pools:
             pool = pools[part.name]
             if pool in self.core.pools:
                 pool.reconfigure(prepared.settings, _connection_settings(part))
             else:
                 pool.start(EndpointUpdate(0, True, (), 0, frozenset()))
                 self.core.pools.append(pool)
-        out = applied.state["bans"].keys() | prepared.change.inactive_nodes
-        for key in sorted(prepared.change.retried_nodes - out):
-            self.endpoints.set_maintenance(key, pools, True)
-            self.endpoints.set_maintenance(key, pools, False)
-        for key in sorted(out | self.excluded_nodes):
-            self.endpoints.set_maintenance(key, pools, key in out)
-        self.excluded_nodes = out
-        self.endpoints.list_nodes(made, prepared.tables, self.pools, pools)
+        self._switch_maintenance(prepared)
+        self.endpoints.list_nodes(file, prepared.tables, self.pools, pools)
         for pool in pools.values():
             pool.stamp = prepared.change.stamp
         self.pools = pools
@@ -237,17 +243,28 @@
             prepared.class_overlap,
             prepared.change.rules_revision,
         )
-        self._switch_listeners(made, prepared.listeners)
+        self._switch_listeners(file, prepared.listeners)
         self.applied = applied
         if self.store is None:
             self.history.append(applied)
         self.endpoints.release_soon()
 
-    def _switch_listeners(self, made: OperatorFile, bound: Mapping[str, Listener]) -> None:
-        """Listeners go by their address: one that only has another name goes on as it was."""
+    def _switch_maintenance(self, prepared: PreparedSwitch) -> None:
+        """Take banned and inactive nodes out; out and in again, those that are to be retried."""
+        pools = prepared.pools
+        excluded = prepared.applied.state["bans"].keys() | prepared.change.inactive_nodes
+        for key in sorted(prepared.change.retried_nodes - excluded):
+            self.endpoints.set_maintenance(key, pools, True)
+            self.endpoints.set_maintenance(key, pools, False)
+        for key in sorted(excluded | self.excluded_nodes):
+            self.endpoints.set_maintenance(key, pools, key in excluded)
+        self.excluded_nodes = excluded
+
+    def _switch_listeners(self, file: OperatorFile, bound: Mapping[str, Listener]) -> None:
+        """Keep listeners by their address: one that was only renamed stays open."""
         old = self._by_address()
         self.listeners = {}
-        for part in made.listeners:
+        for part in file.listeners:
             listener = old.pop((part.address, part.protocol), None)
             if listener is None:
                 listener = bound[part.name]
@@ -260,24 +277,27 @@
             listener.retire()
 
     def _by_address(self) -> dict[tuple[str, str], Listener]:
-        """Return the listeners that are, by address and protocol."""
-        said = self.applied.state["listeners"]
-        return {(said[n]["address"], said[n]["protocol"]): one for n, one in self.listeners.items()}
+        """Return the open listeners, by address and protocol."""
+        parts = self.applied.state["listeners"]
+        return {
+            (parts[name]["address"], parts[name]["protocol"]): listener
+            for name, listener in self.listeners.items()
+        }
 
     def stop_listening(self) -> None:
-        """Take nobody new in, whatever is decided from here on; whoever is inside is served on."""
+        """Accept no more clients, whatever is applied later; open connections are served on."""
         self.stopping = True
         for listener in self.listeners.values():
             listener.close()
 
 
-# --- From the file's terms to the core's
+# --- The file's values as the core's
 
 
-def resource_limits(gateway: GatewayPart, longest: int) -> ResourceLimits:
-    """Return what the process may use."""
+def resource_limits(gateway: GatewayPart, longest_deadline: int) -> ResourceLimits:
+    """Return the process's limits; `longest_deadline` is in microseconds."""
     return ResourceLimits(
-        gateway.memory_mb, gateway.sockets, MAX_OPEN, longest, gateway.retry_after
+        gateway.memory_mb, gateway.sockets, MAX_OPEN, longest_deadline, gateway.retry_after
     )
 
 
@@ -288,8 +308,8 @@
 
 
 def _is_same_instance(old: Object, new: Object) -> bool:
-    """Return whether a node goes on as it was: another weight or zone does not make it new.
+    """Return whether a node is the same instance: another weight or zone does not make it new.
 
-    One with another cell does: what its old cell remembers is not what the new one does.
+    Another cell does, as each cell remembers idempotency keys by itself.
     """
     return bool(old["address"] == new["address"] and old["cell"] == new["cell"])
--- a/sailhitch/daemon/tier_link.py
+++ b/sailhitch/daemon/tier_link.py
@@ -1,9 +1,9 @@
-"""A member's link to the others: its socket, its disk and its beat around the tier's core.
+"""A member's link to the others: socket, disk and heartbeat timer around the sans-IO member.
 
-Effects happen in the order in which the core asks for them, and none before what has to be on disk
-ahead of it is there; the disk is written in a thread, one transaction at a time. While it can't be
-written the member neither sends nor acts by anything in the tier, and the gateway goes on as it
-was. The write is tried again until it succeeds, and the effects behind it happen then.
+Effects are carried out in the order in which the member asks for them, each after all writes that
+precede it are on disk. The disk is written in a thread, one transaction at a time. While a write
+fails, the member neither sends nor applies anything in the tier, and the gateway serves on as it
+did. The write is retried until it succeeds, and then the effects behind it are carried out.
 """
 
 from __future__ import annotations
@@ -33,16 +33,15 @@
     Send,
 )
 from ..tier.member import CHOSEN_KEY, CONTENT, BootstrapVersion, Member, MemberStatus, TierConfig
-from ..tier.messages import ChosenState as HeadDecided
-from ..tier.messages import Message
+from ..tier.messages import ChosenState, Message
 from ..tier.wire import Keys, Wire
 from .endpoint_registry import address_of
 
 HEARTBEAT_INTERVAL: Final = 0.1  # s
-# Us by which a beat may be late before datagrams are read ahead of it.
+# us by which a heartbeat may be late before waiting datagrams are read ahead of it
 STALLED_AFTER: Final = 40_000
-READ_FIRST: Final = 0.001  # s that the loop gets for that
-LATE: Final = 5.0  # s between two lines about datagrams that were refused
+READ_FIRST: Final = 0.001  # s that the event loop gets to read them
+REJECTED_LOG_INTERVAL: Final = 5.0  # s between two log lines about rejected datagrams
 WRITE_RETRY: Final = 0.1  # s until a write that failed is tried again; doubles with each failure...
 WRITE_RETRY_MAX: Final = 2.0  # ...up to this
 
@@ -58,11 +57,11 @@
 
 
 class LinkError(Exception):
-    """The link can't be had; the text says why."""
+    """The link can't be opened; the text says why."""
 
 
 class TierLink(asyncio.DatagramProtocol):
-    """Runs a member's core."""
+    """Runs a member: gives it datagrams and time, and carries out its effects."""
 
     def __init__(
         self,
@@ -99,44 +98,45 @@
         self.kept = self.disk.load()
         self.member: Member | None = None
         self.disk_is_failing = ""  # why it sends nothing in the tier: the last failure of its disk
-        self.sent_bytes = self.sent = 0
-        self._places: dict[str, Address] = {}  # addresses by their text in the roster
+        self.sent = 0  # datagrams
+        self.sent_bytes = 0
+        self._addresses: dict[str, Address] = {}  # addresses by their text in the configuration
         self._effects: deque[Effect] = deque()
         self._writing: asyncio.Task[None] | None = None
         self._waiters: dict[int, asyncio.Future[JobCompleted]] = {}
         self._transport: asyncio.DatagramTransport | None = None
         self._heartbeat_handle: asyncio.TimerHandle | None = None
-        self._beat_due = 0  # by `steady`
-        self.unsent: dict[str, int] = {}  # datagrams that the system refused to send, by why
-        self._told_refused: dict[str, int] = {}
-        self._refused_at = 0.0
+        self._heartbeat_due = 0  # by `steady`
+        self.unsent: dict[str, int] = {}  # datagrams that the system refused to send, by error
+        self._logged_rejected: dict[str, int] = {}
+        self._rejected_logged_at = 0.0
 
     @property
     def has_persisted_state(self) -> bool:
-        """Whether this member has known a head before, on this disk."""
+        """Whether the register's state is on this disk."""
         return CHOSEN_KEY in self.kept
 
     def persisted_traffic_policy(self) -> bytes | None:
-        """Return the posture that this member last knew, on this disk."""
+        """Return the encoded traffic policy that was in force last, by this disk."""
         if not self.has_persisted_state:
             return None
         version = msgspec.msgpack.decode(
-            self.kept[CHOSEN_KEY], type=HeadDecided
+            self.kept[CHOSEN_KEY], type=ChosenState
         ).state.traffic_policy
         if version is None or CONTENT + version.digest not in self.kept:
             return None
         packed = self.kept[CONTENT + version.digest]
         return ContentStore({version.digest: packed}).read(version.digest)
 
-    async def start(self, founding: BootstrapVersion | None) -> None:
-        """Take part; raises LinkError."""
+    async def start(self, bootstrap: BootstrapVersion | None) -> None:
+        """Bind the socket and start the member; raises LinkError."""
         loop = asyncio.get_running_loop()
-        here = self.addresses[self.config.name]
+        address = self.addresses[self.config.name]
         try:
-            await loop.create_datagram_endpoint(lambda: self, local_addr=here)
+            await loop.create_datagram_endpoint(lambda: self, local_addr=address)
         except OSError as error:
             raise LinkError(
-                f"tier.members: {here[0]}:{here[1]}: {error.strerror or error}"
+                f"tier.members: {address[0]}:{address[1]}: {error.strerror or error}"
             ) from None
         self.member = Member(
             self.config,
@@ -144,13 +144,13 @@
             self.kept,
             random.Random(secrets.randbits(64)),
             steady(),
-            founding,
+            bootstrap,
         )
         self.kept = {}
         self._tick()
 
     def close(self) -> None:
-        """Leave off at once, as a process that is killed."""
+        """Stop at once, without leaving the tier."""
         if self._heartbeat_handle is not None:
             self._heartbeat_handle.cancel()
         if self._transport is not None:
@@ -159,12 +159,10 @@
             self.disk.close()
 
     def member_status(self) -> MemberStatus:
-        """Return whether this process may act on what contradicts, at this moment."""
-        return (
-            MemberStatus.READING_REGISTER
-            if self.member is None
-            else self.member.member_status(steady())
-        )
+        """Return the member's status at this moment."""
+        if self.member is None:
+            return MemberStatus.READING_REGISTER
+        return self.member.member_status(steady())
 
     async def run_job(self, start: MemberJob) -> JobCompleted | None:
         """Start a job on the member, and wait for its end; None where it can't start now."""
@@ -180,43 +178,46 @@
         finally:
             self._waiters.pop(job, None)
 
-    def confirm_applied(self, turn: int) -> None:
-        """The switch to that turn's rules is done."""
+    def confirm_applied(self, revision: int) -> None:
+        """Tell the member that the versions of a revision are applied."""
         if self.member is not None:
-            self.member.confirm_applied(turn, steady())
+            self.member.confirm_applied(revision, steady())
             self._pump()
 
-    def report_apply_failure(self, turn: int, why: str) -> None:
-        """...or can't be done."""
+    def report_apply_failure(self, revision: int, reason: str) -> None:
+        """Tell the member that the versions of a revision can't be applied."""
         if self.member is not None:
-            self.member.report_apply_failure(turn, why)
+            self.member.report_apply_failure(revision, reason)
 
     # --- The socket
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport: asyncio calls this once the socket is bound."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Give the member an authentic message of a member that it knows."""
         envelope = self.wire.open(data)
-        # Whoever has the key may say so from anywhere; answers go to where file or roster says.
+        # A sender is known by its key, from any address; replies go to its configured address.
         if envelope is None or self.member is None or self._address(envelope.sender) is None:
             return
         self.member.on_message(envelope.sender, envelope.message, steady())
         self._pump()
 
     def error_received(self, exc: Exception) -> None:
-        """The system would not send a datagram; it counts as lost, as any other."""
-        why = errno.errorcode.get(getattr(exc, "errno", None) or 0, "unknown")
-        self.unsent[why] = self.unsent.get(why, 0) + 1
+        """Count a datagram that the system did not send; to the member it is lost."""
+        reason = errno.errorcode.get(getattr(exc, "errno", None) or 0, "unknown")
+        self.unsent[reason] = self.unsent.get(reason, 0) + 1
 
     def _address(self, name: str) -> Address | None:
-        """Return where a member is; what the tier has agreed on goes before the file."""
-        place = None if self.member is None else self.member.configuration.addresses.get(name)
-        if place is None:
+        """Return a member's address; the tier's configuration overrides the file."""
+        text = None if self.member is None else self.member.configuration.addresses.get(name)
+        if text is None:
             return self.addresses.get(name)
-        address = self._places.get(place)
+        address = self._addresses.get(text)
         if address is None:
-            address = self._places[place] = address_of(place)
+            address = address_of(text)
+            self._addresses[text] = address
         return address
 
     def _send(self, to: str, message: Message) -> None:
@@ -228,21 +229,21 @@
         self.sent_bytes += len(data)
         self._transport.sendto(data, address)
 
-    # --- The beat
+    # --- The heartbeat
 
     def _on_heartbeat_timer(self) -> None:
-        """Let time pass for the core; what came while the loop was held up is read before that.
+        """Run a heartbeat, or first have datagrams read if the event loop was stalled.
 
-        The loop runs timers first. Members would be judged by answers that lie unread.
+        The loop runs timers before sockets: members whose replies lie unread would be suspected.
         """
-        if steady() - self._beat_due <= STALLED_AFTER:
+        if steady() - self._heartbeat_due <= STALLED_AFTER:
             self._tick()
             return
         self._heartbeat_handle = asyncio.get_running_loop().call_later(READ_FIRST, self._tick)
 
     def _tick(self) -> None:
         assert self.member is not None
-        self._beat_due = steady() + int(HEARTBEAT_INTERVAL * 1e6)
+        self._heartbeat_due = steady() + int(HEARTBEAT_INTERVAL * 1e6)
         self._heartbeat_handle = asyncio.get_running_loop().call_later(
             HEARTBEAT_INTERVAL, self._on_heartbeat_timer
         )
@@ -250,26 +251,29 @@
         self._pump()
         if self.on_heartbeat is not None:
             self.on_heartbeat()
-        self._say_refused()
+        self._log_rejected()
 
-    def _say_refused(self) -> None:
+    def _log_rejected(self) -> None:
         now = time.monotonic()
         counts = {**self.wire.refused, **self.unsent}
-        if counts != self._told_refused and now - self._refused_at >= LATE:
-            self._refused_at = now
-            self._told_refused = counts
-            told = " ".join(f"{why}={count}" for why, count in sorted(counts.items()))
-            self.log(f"tier: datagrams refused, by this member or (E...) by the system: {told}")
+        if (
+            counts != self._logged_rejected
+            and now - self._rejected_logged_at >= REJECTED_LOG_INTERVAL
+        ):
+            self._rejected_logged_at = now
+            self._logged_rejected = counts
+            text = " ".join(f"{reason}={count}" for reason, count in sorted(counts.items()))
+            self.log(f"tier: datagrams refused, by this member or (E...) by the system: {text}")
 
     # --- Effects
 
     def _pump(self) -> None:
-        """Have happen what the core has asked for, up to the next thing that needs the disk."""
+        """Carry out what the member has asked for, up to the next write to disk."""
         assert self.member is not None
         self._effects.extend(self.member.take_effects())
         if self.disk_is_failing:
-            # They count as lost: many would be old by the time the disk can be written.
-            self._effects = deque(one for one in self._effects if not isinstance(one, Send))
+            # Messages count as lost: most would be outdated by the time the disk can be written.
+            self._effects = deque(e for e in self._effects if not isinstance(e, Send))
         while self._effects and self._writing is None:
             effect = self._effects.popleft()
             if isinstance(effect, Persist):
@@ -283,13 +287,13 @@
                 self._execute(effect)
 
     async def _write(self, items: dict[str, bytes | None]) -> None:
-        """Have these on disk, however often that fails; then go on with what waits for it.
+        """Write items to disk, retrying while that fails; then carry out the effects behind them.
 
-        The core counts its own vote before it is synced. What it goes on to send, act by or
-        tell an operator rests on that, and is true only once the sync was done.
+        The member counts its own vote before it is synced. All that it then sends, applies or
+        replies to an operator relies on that vote, and is valid only after the sync.
         """
         pause = WRITE_RETRY
-        while not await self._written(items):
+        while not await self._try_write(items):
             if self._closing():
                 break
             await asyncio.sleep(pause)
@@ -300,8 +304,8 @@
             return
         self._pump()
 
-    async def _written(self, items: dict[str, bytes | None]) -> bool:
-        """Try to write these; return whether they are on disk."""
+    async def _try_write(self, items: dict[str, bytes | None]) -> bool:
+        """Write items once; return whether they are on disk."""
         try:
             await asyncio.to_thread(self.disk.write, items)
         except DiskError as error:
