--- a/sailhitch/daemon/version_applier.py
+++ b/sailhitch/daemon/version_applier.py
@@ -125,7 +125,7 @@
         resolved = await self._resolve(versions)
         rules_revision = self.rules_revision + self._changes_rules(resolved)
         traffic_policy = self._zones.read(versions.traffic_policy)
-        inactive_nodes, retried_nodes = self._zones.orders(traffic_policy, resolved.effective)
+        nodes = self._zones.node_orders(traffic_policy, resolved.effective)
         await self.state_applier.change(
             StateChange(
                 {**resolved.effective, "listeners": self.listeners},
@@ -135,8 +135,8 @@
                 stamp=_version_stamp(versions),
                 overlapping_state=resolved.pending,
                 rules_revision=rules_revision,
-                inactive_nodes=inactive_nodes,
-                retried_nodes=retried_nodes,
+                inactive_nodes=nodes.inactive,
+                retried_nodes=nodes.retried,
             )
         )
         applied = [v for v in (versions.active, versions.pending) if v is not None]
--- a/sailhitch/daemon/zone_coordinator.py
+++ b/sailhitch/daemon/zone_coordinator.py
@@ -1,7 +1,7 @@
-"""Zones in the daemon: operators' words, the way back step by step, and what nodes they come to.
+"""Zones in the daemon: operators' commands, recoveries step by step, and the nodes they mean.
 
-The posture is a record of the tier, beside its line of versions. This daemon goes by it with the
-switch (`tiered`); what it proposes and says is decided by `zones/controller.py`.
+The traffic policy is a record of the tier beside its versions. `VersionApplier` applies it with its
+switch; `zones/controller.py` decides what to report and to propose.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import secrets
 import time
 from collections.abc import Callable, Mapping
-from typing import Any, Final
+from typing import Any, Final, NamedTuple
 
 from ..core.pool import Pool
 from ..policy_interface import AttemptOutcome
@@ -26,7 +26,7 @@
     all_inactive_nodes,
     all_retried_nodes,
 )
-from ..zones.diagnosis import Kind
+from ..zones.diagnosis import ZoneCondition
 from ..zones.traffic_policy import EMPTY_POLICY, TrafficPolicy, TrafficPolicyError, decode
 from .schema import GatewayPart, ZonesPart
 from .state import State
@@ -34,11 +34,22 @@
 from .tier_decisions import wait_for_decision
 from .tier_link import TierLink, steady
 
-NAMED: Final = 8  # members that are named where more have not gone along
+MAX_NAMED: Final = 8  # members that are named in a reply as not having applied an order
+
+_UNREMARKABLE: Final = {ZoneCondition.HEALTHY, ZoneCondition.UNKNOWN}
+
+OutcomeCallback = Callable[[str, str], None]  # by server and outcome
+
+
+class NodeOrders(NamedTuple):
+    """Nodes, as `pool/id`, that are inactive, and those to retry as if they had just started."""
+
+    inactive: frozenset[str]
+    retried: frozenset[str]
 
 
 class ZoneCoordinator:
-    """What a daemon in a tier does about zones. Without `[zones]` it goes along, and no more."""
+    """A daemon's part in zones. Without `[zones]` it applies orders, and does no more."""
 
     def __init__(
         self,
@@ -58,14 +69,14 @@
         step = 2 * gateway.cold_time if part.step is None else part.step
         terms = ZoneTerms(part.max_out, step, gateway.zone, part.mode == "act", part.leaves_an_hour)
         self.controller = ZoneController(terms, random.Random(secrets.randbits(64)))
-        self._kinds: dict[str, Kind] = {}  # as last told
-        self._proposing: asyncio.Task[None] | None = None
-        self._keys: dict[tuple[str, str], str] = {}  # `pool/id` by pool and module's name
+        self._conditions: dict[str, ZoneCondition] = {}  # as last logged
+        self._proposal: asyncio.Task[None] | None = None
+        self._keys: dict[tuple[str, str], str] = {}  # `pool/id`, by pool and name in the policy
 
-    # --- The switch
+    # --- With the switch
 
     def read(self, version: Version | None) -> TrafficPolicy:
-        """Return the posture of a version; raises ApplyError where it can't be read."""
+        """Return the traffic policy of a version; raises ApplyError where it is invalid."""
         if version is None:
             return EMPTY_POLICY
         member = self.link.member
@@ -76,116 +87,122 @@
             raise ApplyError(str(error)) from None
 
     def inactive_nodes_at_start(self, state: State) -> frozenset[str]:
-        """Nodes that got nothing new by what this gateway last knew, until it has heard."""
+        """Return the nodes that are inactive by the last known policy: until the tier is read."""
         content = self.link.persisted_traffic_policy()
         try:
-            return frozenset() if content is None else self.orders(decode(content), state)[0]
+            if content is None:
+                return frozenset()
+            return self.node_orders(decode(content), state).inactive
         except TrafficPolicyError as error:
             self.state_applier.core.logger.write(
                 f"zones: not gone by until the tier is heard: {error}"
             )
             return frozenset()
 
-    def orders(self, posture: TrafficPolicy, state: State) -> tuple[frozenset[str], frozenset[str]]:
-        """Nodes, as `pool/id`, that get nothing new, and those to be tried as if just started."""
-        if not posture.zones:
-            return frozenset(), frozenset()
+    def node_orders(self, traffic_policy: TrafficPolicy, state: State) -> NodeOrders:
+        """Return what a policy means for the nodes of a state."""
+        if not traffic_policy.zones:
+            return NodeOrders(frozenset(), frozenset())
         nodes = _by_pool(state)
-        return all_inactive_nodes(posture, nodes), all_retried_nodes(
-            self.controller.traffic_policy, posture, nodes
+        return NodeOrders(
+            all_inactive_nodes(traffic_policy, nodes),
+            all_retried_nodes(self.controller.traffic_policy, traffic_policy, nodes),
         )
 
-    def apply(self, version: Version | None, posture: TrafficPolicy) -> None:
-        """The switch is done."""
+    def apply(self, version: Version | None, traffic_policy: TrafficPolicy) -> None:
+        """Follow a switch: apply the traffic policy to the controller, and watch the pools."""
         state = self.state_applier.applied.state
-        places = self.state_applier.endpoints.nodes
+        instances = self.state_applier.endpoints.nodes
         serial = 0 if version is None else version.serial
-        self.controller.apply(serial, posture, _by_pool(state), steady())
+        self.controller.apply(serial, traffic_policy, _by_pool(state), steady())
         if self.mode == "off":
             return
         self._keys = {
-            (key.partition("/")[0], places[key].name): key
+            (key.partition("/")[0], instances[key].name): key
             for key in state["nodes"]
-            if key in places
+            if key in instances
         }
         for pool in self.state_applier.core.pools:
             pool.on_outcome = self._watch(pool)
 
-    def _watch(self, pool: Pool) -> Callable[[str, str], None]:
+    def _watch(self, pool: Pool) -> OutcomeCallback:
         keys = self._keys
-        saw = self.controller.record
-        name = pool.name
+        record = self.controller.record
+        pool_name = pool.name
 
-        def seen(server: str, status: str) -> None:
-            key = keys.get((name, server))
-            if key is not None:
-                saw(
-                    key,
-                    status not in (AttemptOutcome.OK, AttemptOutcome.BUSY),
-                    status == AttemptOutcome.BUSY,
-                    steady(),
-                )
+        def on_outcome(server: str, outcome: str) -> None:
+            key = keys.get((pool_name, server))
+            if key is None:
+                return
+            is_full = outcome == AttemptOutcome.BUSY
+            record(key, outcome != AttemptOutcome.OK and not is_full, is_full, steady())
 
-        return seen
+        return on_outcome
 
-    # --- The way back
+    # --- Reports and proposals
 
     def on_heartbeat(self) -> None:
-        """Some ten times a second: say what was counted, and propose what is due."""
+        """Send a report and propose what is due; the controller says when (some times a second)."""
         member = self.link.member
         if member is None:
             return
         now = steady()
         if self.mode == "off" or not self.controller.due(now):
             return
-        member.metadata, news = self.controller.report(now)
-        if news:
+        member.metadata, is_urgent = self.controller.report(now)
+        if is_urgent:
             member.gossip_soon(now)
-        heard = self.controller.on_reports(member.metadata_by_member(now))
-        self._tell(heard)
-        if self._proposing is not None or self.link.member_status() is not MemberStatus.ACTIVE:
+        received = self.controller.on_reports(member.metadata_by_member(now))
+        self._log_findings(received)
+        if self._proposal is not None or self.link.member_status() is not MemberStatus.ACTIVE:
             return
-        found = self.controller.look(now, heard)
-        if found is not None:
-            posture, why = found
-            self.state_applier.core.logger.write(f"zones: {why}; proposes the next step")
-            self._proposing = asyncio.get_running_loop().create_task(self._propose(posture, why))
-
-    def _tell(self, heard: ReceivedReports) -> None:
-        """Say what the fleet takes each zone for, when that changes."""
-        for zone, one in heard.found.items():
-            before = self._kinds.get(zone, Kind.UNKNOWN)
-            if one.kind is before or {one.kind, before} <= {Kind.WELL, Kind.UNKNOWN}:
+        proposal = self.controller.look(now, received)
+        if proposal is not None:
+            self.state_applier.core.logger.write(
+                f"zones: {proposal.reason}; proposes the next step"
+            )
+            self._proposal = asyncio.get_running_loop().create_task(
+                self._propose(proposal.traffic_policy, proposal.reason)
+            )
+
+    def _log_findings(self, received: ReceivedReports) -> None:
+        """Log the diagnoses that have changed."""
+        for zone, finding in received.findings.items():
+            condition = finding.kind
+            before = self._conditions.get(zone, ZoneCondition.UNKNOWN)
+            if condition is before or {condition, before} <= _UNREMARKABLE:
                 continue
-            self._kinds[zone] = one.kind
+            self._conditions[zone] = condition
             self.state_applier.core.logger.write_limited(
-                f"zone {zone} {one.kind.value}",
-                f"zones: {zone} is taken for: {one.kind.value} ({one.sure:.0%} agree): {one.told}",
+                f"zone {zone} {condition.value}",
+                f"zones: {zone} is taken for: {condition.value} "
+                f"({finding.confidence:.0%} agree): {finding.description}",
             )
 
-    async def _propose(self, posture: TrafficPolicy, why: str) -> None:
+    async def _propose(self, traffic_policy: TrafficPolicy, why: str) -> None:
         try:
-            await self._propose_traffic_policy(posture, f"{rollout.AUTOMATION}: {why}")
+            await self._propose_traffic_policy(traffic_policy, f"{rollout.AUTOMATION}: {why}")
         except ApplyError as error:
             self.state_applier.core.logger.write(f"zones: not proposed: {error}")
         finally:
-            self._proposing = None
+            self._proposal = None
 
-    async def _propose_traffic_policy(self, posture: TrafficPolicy, by: str) -> Version:
-        """Have the tier go by a posture; raises ApplyError."""
+    async def _propose_traffic_policy(self, traffic_policy: TrafficPolicy, by: str) -> Version:
+        """Have the tier decide a traffic policy; raises ApplyError."""
         base = self.controller.serial
-        when = int(time.time() * 1e6)
-        done = await wait_for_decision(
-            self.link, lambda m: m.propose_traffic_policy(posture.encode(), base, by, when)
+        proposed_at = int(time.time() * 1e6)
+        completed = await wait_for_decision(
+            self.link,
+            lambda m: m.propose_traffic_policy(traffic_policy.encode(), base, by, proposed_at),
         )
-        if done.result is not ProposalResult.ACTIVE or done.state.traffic_policy is None:
+        if completed.result is not ProposalResult.ACTIVE or completed.state.traffic_policy is None:
             raise ApplyError("another order about zones came first; look again")
-        return done.state.traffic_policy
+        return completed.state.traffic_policy
 
     # --- What operators ask for
 
     async def admin_request(self, request: Mapping[str, Any], by: str) -> dict[str, Any]:
-        """`zones status|leave|return|hold|release`; raises ApplyError."""
+        """Carry out `zones status|leave|return|hold|release`; raises ApplyError."""
         act = str(request.get("act"))
         zone = str(request.get("zone", ""))
         why = str(request.get("why") or "")
@@ -194,9 +211,9 @@
             return self.status()
         if self.part is None:
             raise ApplyError("this gateway's file has no [zones]")
-        standing = self.link.member_status()
-        if standing is not MemberStatus.ACTIVE:
-            raise ApplyError(f"this gateway {standing.value}; ask another one")
+        status = self.link.member_status()
+        if status is not MemberStatus.ACTIVE:
+            raise ApplyError(f"this gateway {status.value}; ask another one")
         try:
             wanted = self.controller.operator_request(
                 act, zone, why, by, step if isinstance(step, int) else None
@@ -204,32 +221,34 @@
         except TrafficPolicyError as error:
             raise ApplyError(str(error)) from None
         if request.get("dry_run"):
-            return {"ok": True, "dry_run": True, "pools": self._carried(wanted)}
+            return {"ok": True, "dry_run": True, "pools": self._load_by_pool(wanted)}
         version = await self._propose_traffic_policy(wanted, by)
-        late = await self._gone_along(version)
-        told: dict[str, Any] = {"ok": True, "serial": version.serial}
-        return {**told, "waiting_for": late, "pending": True} if late else told
+        late = await self._wait_until_applied(version)
+        reply: dict[str, Any] = {"ok": True, "serial": version.serial}
+        if late:
+            reply |= {"waiting_for": late, "pending": True}
+        return reply
 
-    def _carried(self, wanted: TrafficPolicy) -> dict[str, dict[str, Any]]:
-        """Return what the nodes of each pool would have to carry."""
+    def _load_by_pool(self, wanted: TrafficPolicy) -> dict[str, dict[str, Any]]:
+        """Return, for a dry run, how much more each pool's active nodes would have to serve."""
         bans = self.state_applier.applied.state["bans"].keys()
         pools = self.controller.nodes
-        found = {}
-        out = all_inactive_nodes(wanted, pools) | bans
-        was = all_inactive_nodes(self.controller.traffic_policy, pools) | bans
+        excluded = all_inactive_nodes(wanted, pools) | bans
+        excluded_before = all_inactive_nodes(self.controller.traffic_policy, pools) | bans
+        load = {}
         for pool, nodes in pools.items():
-            now = len(nodes.keys() - out)
-            before = len(nodes.keys() - was)
-            found[pool] = {
+            active = len(nodes.keys() - excluded)
+            active_before = len(nodes.keys() - excluded_before)
+            load[pool] = {
                 "nodes": len(nodes),
-                "in_use": now,
-                "before": before,
-                "each_carries": round(before / now, 3) if now else None,
+                "in_use": active,
+                "before": active_before,
+                "each_carries": round(active_before / active, 3) if active else None,
             }
-        return found
+        return load
 
-    async def _gone_along(self, version: Version) -> list[str]:
-        """Wait until all members that are there go by a posture; those that do not in time."""
+    async def _wait_until_applied(self, version: Version) -> list[str]:
+        """Wait until all live members have applied a policy; return those that have not in time."""
         member = self.link.member
         late = [self.state_applier.gateway.name]
         assert member is not None
@@ -238,24 +257,24 @@
                 while self.controller.serial < version.serial or (late := member.members_behind()):
                     await asyncio.sleep(0.02)
         except TimeoutError:
-            return late[:NAMED]
+            return late[:MAX_NAMED]
         return []
 
     def status(self) -> dict[str, Any]:
-        """Return what `zones status` shows."""
+        """Return the reply to `zones status`."""
         member = self.link.member
         now = steady()
-        words = {} if member is None else member.metadata_by_member(now)
+        reports = {} if member is None else member.metadata_by_member(now)
         return {
             "ok": True,
             "mode": self.mode,
-            **self.controller.status(now, self.controller.on_reports(words)),
+            **self.controller.status(now, self.controller.on_reports(reports)),
         }
 
 
 def _by_pool(state: State) -> dict[str, dict[str, str]]:
     """Return the zone of each node, `pool/id`, by pool."""
-    found: dict[str, dict[str, str]] = {}
+    zones: dict[str, dict[str, str]] = {}
     for key, node in state["nodes"].items():
-        found.setdefault(key.partition("/")[0], {})[key] = node["zone"]
-    return found
+        zones.setdefault(key.partition("/")[0], {})[key] = node["zone"]
+    return zones
--- a/sailhitch/zones/controller.py
+++ b/sailhitch/zones/controller.py
@@ -1,8 +1,8 @@
-"""One gateway's part in leaving zones and returning to them: what it goes by, says and proposes.
+"""One gateway's part in draining and recovering zones: what it applies, reports and proposes.
 
-The same core runs in the daemon and in the fleet model. What the tier has decided comes in by
-`goes_by`, outcomes of this gateway's own requests by `saw`, others' words by `look`; proposals go
-out as postures, for the tier to decide.
+The same controller runs in the daemon and in the fleet model. The tier's decisions come in by
+`apply`, outcomes of this gateway's own requests by `record`, other gateways' reports by `look`.
+Proposals go out as traffic policies, for the tier to decide.
 """
 
 from __future__ import annotations
@@ -14,93 +14,116 @@
 from typing import Any, Final, NamedTuple
 
 from . import evidence, rollout
-from .diagnosis import Finding, Kind, Report, diagnose
+from .diagnosis import Finding, GatewayReport, ZoneCondition, diagnose
 from .health_tracker import ZoneHealth
 from .traffic_policy import (
     EMPTY_POLICY,
     TrafficPolicy,
     TrafficPolicyError,
+    ZoneOrder,
     inactive_nodes,
     retried_zones,
     validate,
 )
 
-LOOK: Final = 200_000  # us between two looks at what all say
-SPREAD: Final = 1_000_000  # us over which members' proposals of one step are spread
-MOST_WHY: Final = 200  # letters of an operator's reason
-GONE_FOR: Final = 500_000  # us for which a zone must be found gone before anybody proposes it
-HOUR: Final = 3_600_000_000
+REPORT_INTERVAL: Final = 200_000  # us between two reports, and two looks at all reports
+PROPOSAL_SPREAD: Final = 1_000_000  # us over which members' proposals of a step are spread
+MAX_REASON_LENGTH: Final = 200  # characters of an operator's reason
+MIN_FAILED_TIME: Final = (
+    500_000  # us for which a zone must be found gone before anybody proposes it
+)
+HOUR: Final = 3_600_000_000  # us
 
-Nodes = Mapping[str, Mapping[str, str]]  # by pool: the zone of each node
-Words = Mapping[str, bytes]  # by the gateway that says them
+ZonesByPool = Mapping[str, Mapping[str, str]]  # the zone of each node, by pool
+EncodedReports = Mapping[str, bytes]  # by the gateway that has sent it
 
 
 class ReceivedReports(NamedTuple):
-    """The words that can be read, and what each zone is taken for by them."""
+    """The valid reports, and the diagnosis of each zone by them."""
 
-    said: list[evidence.ZoneHealthReport]
-    found: dict[str, Finding]
+    reports: list[evidence.ZoneHealthReport]
+    findings: dict[str, Finding]
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneTerms:
-    """What a gateway is told of zones at its start. Times in microseconds."""
+    """A gateway's settings for zones; times in microseconds."""
+
+    max_out: int  # zones that may be out at a time
+    step_duration: int  # minimum duration of a step of a recovery
+    zone: str = ""  # where the gateway is
+    automatic: bool = False  # whether to propose leaving a failed zone without an operator
+    max_leaves_per_hour: int = 4  # without an operator
+
+
+class PolicyProposal(NamedTuple):
+    """A traffic policy to propose, and the reason."""
+
+    traffic_policy: TrafficPolicy
+    reason: str
+
 
-    max_out: int
-    step: int  # for which a step of the way back lasts, at least
-    place: str = ""  # the zone that it is in
-    act: bool = False  # whether it proposes to leave what the fleet takes for gone
-    leaves_an_hour: int = 4  # so many at the most without an operator
+class _StepStart(NamedTuple):
+    """Since when this gateway has applied a step of a zone's recovery."""
+
+    step: int
+    attempt: int
+    at: int  # with a random delay, so that few gateways propose the next step
 
 
 class ZoneController:
-    """A gateway's posture, counts and next proposal."""
+    """A gateway's traffic policy, counts and next proposal."""
 
     def __init__(self, terms: ZoneTerms, rng: random.Random) -> None:
         self.terms = terms
         self.rng = rng
         self.serial = 0
         self.traffic_policy = EMPTY_POLICY
-        self.nodes: Nodes = {}
+        self.nodes: ZonesByPool = {}
         self.outcome_counts = evidence.OutcomeCounts()
         self.zone_health = ZoneHealth()
         self.zone_of: dict[str, str] = {}
-        self._look_at = 0
-        self._began: dict[str, tuple[int, int, int]] = {}  # step, round, when
-        self._gone_since: dict[str, int] = {}
-        self._failing: dict[str, int] = {}
-        self._patience = GONE_FOR + rng.randrange(SPREAD // 2)
-        self._leaves: deque[int] = deque()  # when zones were left without an operator
-
-    # --- What happens
-
-    def apply(self, serial: int, posture: TrafficPolicy, nodes: Nodes, now: int) -> None:
-        """This gateway goes by this from here on, with these nodes."""
-        was = all_inactive_nodes(self.traffic_policy, nodes)
-        renewed_ = all_retried_nodes(self.traffic_policy, posture, nodes)
+        self._next_report_at = 0
+        self._step_starts: dict[str, _StepStart] = {}
+        self._failed_since: dict[str, int] = {}
+        self._reported_failures: dict[str, int] = {}
+        self._failure_delay = MIN_FAILED_TIME + rng.randrange(PROPOSAL_SPREAD // 2)
+        self._automatic_leaves: deque[int] = deque()  # when zones were left without an operator
+
+    # --- Events
+
+    def apply(
+        self, serial: int, traffic_policy: TrafficPolicy, nodes: ZonesByPool, now: int
+    ) -> None:
+        """Apply a traffic policy and the state's nodes."""
+        old = self.traffic_policy
+        inactive_before = all_inactive_nodes(old, nodes)
+        retried = all_retried_nodes(old, traffic_policy, nodes)
         self.nodes = nodes
         self.zone_of = {name: zone for pool in nodes.values() for name, zone in pool.items()}
-        self.zone_health.keep(self.zone_of)
+        self.zone_health.retain(self.zone_of)
         if serial == self.serial:
             return
-        self.zone_health.forget((was - all_inactive_nodes(posture, nodes)) | renewed_)
-        for zone, order in posture.zones.items():
-            if order.ordered_by == rollout.AUTOMATION and zone not in self.traffic_policy.zones:
-                self._leaves.append(now)
+        activated = inactive_before - all_inactive_nodes(traffic_policy, nodes)
+        self.zone_health.forget(activated | retried)
+        for zone, order in traffic_policy.zones.items():
+            if order.ordered_by == rollout.AUTOMATION and zone not in old.zones:
+                self._automatic_leaves.append(now)
         self.serial = serial
-        self.traffic_policy = posture
-        began = {}
-        for zone, order in posture.zones.items():
-            at = (order.step, order.attempt)
-            old = self._began.get(zone)
-            # Each gateway waits for a while of its own beyond each step, so that few propose it.
-            first = (*at, now + self.rng.randrange(SPREAD))
-            began[zone] = old if old is not None and old[:2] == at else first
-        self._began = began
-        self.outcome_counts.apply(posture)
+        self.traffic_policy = traffic_policy
+        self._step_starts = {
+            zone: self._step_start(zone, order, now) for zone, order in traffic_policy.zones.items()
+        }
+        self.outcome_counts.apply(traffic_policy)
+
+    def _step_start(self, zone: str, order: ZoneOrder, now: int) -> _StepStart:
+        """Return since when an order's step is applied, with a random delay for a new one."""
+        start = _StepStart(order.step, order.attempt, now + self.rng.randrange(PROPOSAL_SPREAD))
+        old = self._step_starts.get(zone)
+        return old if old is not None and old[:2] == start[:2] else start
 
     def record(self, node: str, failed: bool, full: bool, now: int) -> None:
-        """A request to a node has ended; one that is full is not one that fails."""
+        """Record a request's end at a node; an overloaded node does not count as failed."""
         zone = self.zone_of.get(node)
         if zone is not None:
             self.zone_health.record(node, failed, full, now)
@@ -108,82 +131,93 @@
                 self.outcome_counts.record(zone, failed)
 
     def report(self, now: int) -> tuple[bytes, bool]:
-        """What to say to the others, and whether they wait for it: other nodes fail than before."""
-        sights = self.zone_health.observations(self.zone_of, now)
-        failing = {zone: one.failed for zone, one in sights.items() if one.failed}
-        news = failing != self._failing
-        self._failing = failing
-        word = evidence.ZoneHealthReport(self.outcome_counts.counts(), self.terms.place, sights)
-        return evidence.encode(word), news
+        """Return the report to send, and whether it is urgent: other nodes fail than before."""
+        observations = self.zone_health.observations(self.zone_of, now)
+        failures = {zone: each.failed for zone, each in observations.items() if each.failed}
+        is_urgent = failures != self._reported_failures
+        self._reported_failures = failures
+        report = evidence.ZoneHealthReport(
+            self.outcome_counts.counts(), self.terms.zone, observations
+        )
+        return evidence.encode(report), is_urgent
 
     # --- What the fleet sees
 
     def due(self, now: int) -> bool:
-        """Whether it is time to look again at what all say, and to say something; then it has."""
-        if now < self._look_at:
+        """Return whether the next report and look are due; if so, schedule the ones after."""
+        if now < self._next_report_at:
             return False
-        self._look_at = now + LOOK
+        self._next_report_at = now + REPORT_INTERVAL
         return True
 
-    def on_reports(self, words: Words) -> ReceivedReports:
-        """What all say, this gateway too, read and made sense of once for all that asks for it."""
-        read = {name: evidence.decode(word) for name, word in words.items()}
-        said = {name: made for name, made in read.items() if made is not None}
-        reports = [Report(name, one.zone, one.observations) for name, one in said.items()]
-        return ReceivedReports(
-            list(said.values()), diagnose(reports, Counter(self.zone_of.values()))
-        )
+    def on_reports(self, encoded: EncodedReports) -> ReceivedReports:
+        """Decode all gateways' reports, this one's included, and diagnose the zones by them."""
+        decoded = {name: evidence.decode(each) for name, each in encoded.items()}
+        reports = {name: report for name, report in decoded.items() if report is not None}
+        gateways = [GatewayReport(name, r.zone, r.observations) for name, r in reports.items()]
+        findings = diagnose(gateways, Counter(self.zone_of.values()))
+        return ReceivedReports(list(reports.values()), findings)
 
-    def leaving(self, now: int, heard: ReceivedReports) -> tuple[TrafficPolicy, str] | None:
-        """Return the posture to propose where a zone is gone, and why.
+    def propose_leave(self, now: int, received: ReceivedReports) -> PolicyProposal | None:
+        """Return the policy to propose where a zone has failed.
 
-        It is proposed once the finding has lasted for `GONE_FOR` and a while of this gateway's own.
+        It is proposed once the finding has lasted for `MIN_FAILED_TIME` and a random delay.
         """
-        found = heard.found
-        gone = {zone for zone, one in found.items() if one.kind is Kind.GONE and one.sure > 0.5}
-        gone -= self.traffic_policy.zones.keys()
-        self._gone_since = {zone: self._gone_since.get(zone, now) for zone in gone}
-        if not self.terms.act or self.traffic_policy.hold_reason:
+        self._update_failed_zones(now, received.findings)
+        if not self.terms.automatic or self.traffic_policy.hold_reason:
             return None
-        while self._leaves and now - self._leaves[0] > HOUR:
-            self._leaves.popleft()
-        if len(self._leaves) >= self.terms.leaves_an_hour:
+        while self._automatic_leaves and now - self._automatic_leaves[0] > HOUR:
+            self._automatic_leaves.popleft()
+        if len(self._automatic_leaves) >= self.terms.max_leaves_per_hour:
             return None
-        for zone, since in sorted(self._gone_since.items()):
-            if now - since < self._patience:
+        for zone, since in sorted(self._failed_since.items()):
+            if now - since < self._failure_delay:
                 continue
-            order = rollout.leave_for_now(self.terms.step, found[zone].told[:MOST_WHY])
+            description = received.findings[zone].description
+            order = rollout.leave_automatically(
+                self.terms.step_duration, description[:MAX_REASON_LENGTH]
+            )
             wanted = self.traffic_policy.with_zone(zone, order)
             try:
                 self._check(wanted, zone)
             except TrafficPolicyError:
-                continue  # it stays what it was; `status` shows the finding
-            return wanted, f"{zone} is gone: {found[zone].told}"
+                continue  # the zone stays in use; `status` shows the finding
+            return PolicyProposal(wanted, f"{zone} is gone: {description}")
         return None
 
-    def look(self, now: int, heard: ReceivedReports) -> tuple[TrafficPolicy, str] | None:
-        """Return the posture to propose now, and why."""
-        gone = self.leaving(now, heard)
-        if gone is not None or self.traffic_policy.hold_reason:
-            return gone
+    def _update_failed_zones(self, now: int, findings: Mapping[str, Finding]) -> None:
+        failed = {
+            zone
+            for zone, finding in findings.items()
+            if finding.kind is ZoneCondition.FAILED and finding.confidence > 0.5
+        }
+        failed -= self.traffic_policy.zones.keys()
+        self._failed_since = {zone: self._failed_since.get(zone, now) for zone in failed}
+
+    def look(self, now: int, received: ReceivedReports) -> PolicyProposal | None:
+        """Return the policy to propose now, None if there is none."""
+        leave = self.propose_leave(now, received)
+        if leave is not None or self.traffic_policy.hold_reason:
+            return leave
         for zone, order in self.traffic_policy.zones.items():
-            since = evidence.aggregate(heard.said, zone, order.step)
-            found = rollout.judge(order, self.age(zone, now), since)
-            if found is not None:
-                return self.traffic_policy.with_zone(zone, found[0]), f"{zone}: {found[1]}"
+            outcomes = evidence.aggregate(received.reports, zone, order.step)
+            change = rollout.next_order(order, self.age(zone, now), outcomes)
+            if change is not None:
+                wanted = self.traffic_policy.with_zone(zone, change.order)
+                return PolicyProposal(wanted, f"{zone}: {change.reason}")
         return None
 
     def age(self, zone: str, now: int) -> int:
-        """For how long it has gone by a zone's step and round, less its own while."""
-        return max(0, now - self._began[zone][2]) if zone in self._began else 0
+        """Return for how long a zone's step has been applied, less this gateway's random delay."""
+        return max(0, now - self._step_starts[zone].at) if zone in self._step_starts else 0
 
     # --- What operators ask for
 
     def operator_request(
         self, act: str, zone: str, why: str, by: str, step: int | None
     ) -> TrafficPolicy:
-        """Return the posture that an operator's word comes to; raises PostureError."""
-        wanted = self._wanted(act, zone, why[:MOST_WHY], by, step)
+        """Return the policy that an operator's command asks for; raises TrafficPolicyError."""
+        wanted = self._wanted(act, zone, why[:MAX_REASON_LENGTH], by, step)
         self._check(wanted, zone)
         if wanted == self.traffic_policy:
             raise TrafficPolicyError(
@@ -193,8 +227,8 @@
 
     def _check(self, wanted: TrafficPolicy, zone: str) -> None:
         validate(wanted, self.zone_of.values(), self.terms.max_out)
-        for pool, here in self.nodes.items():
-            if here and len(inactive_nodes(wanted, here)) == len(here):
+        for pool, nodes in self.nodes.items():
+            if nodes and len(inactive_nodes(wanted, nodes)) == len(nodes):
                 raise TrafficPolicyError(f"pool {pool!r} has no nodes outside of zone {zone!r}")
 
     def _wanted(self, act: str, zone: str, why: str, by: str, step: int | None) -> TrafficPolicy:
@@ -209,52 +243,59 @@
             raise TrafficPolicyError(f"act: not known: {act[:40]!r}")
         if order is None:
             raise TrafficPolicyError(f"zone {zone!r} was not left; see `sailhitch zones status`")
-        dwell = max(self.terms.step, step or 0)
-        return self.traffic_policy.with_zone(zone, rollout.begin(order, dwell, by, why))
+        step_duration = max(self.terms.step_duration, step or 0)
+        return self.traffic_policy.with_zone(
+            zone, rollout.start_recovery(order, step_duration, by, why)
+        )
 
-    def status(self, now: int, heard: ReceivedReports) -> dict[str, Any]:
-        """Return what `zones status` shows."""
-        told = {}
-        out = all_inactive_nodes(self.traffic_policy, self.nodes)
+    def status(self, now: int, received: ReceivedReports) -> dict[str, Any]:
+        """Return the reply to `zones status`."""
+        inactive = all_inactive_nodes(self.traffic_policy, self.nodes)
+        active = Counter(zone for node, zone in self.zone_of.items() if node not in inactive)
+        zones = {}
         for name, count in sorted(Counter(self.zone_of.values()).items()):
             order = self.traffic_policy.zones.get(name)
-            finding = heard.found[name]
-            used = sum(zone == name and node not in out for node, zone in self.zone_of.items())
-            told[name] = {
+            finding = received.findings[name]
+            zones[name] = {
                 "nodes": count,
-                "in_use": used,
+                "in_use": active[name],
                 "share": 1.0,
                 "phase": "in use",
                 "finding": finding.kind.value,
-                "sure": round(finding.sure, 3),
-                "seen": finding.told,
+                "sure": round(finding.confidence, 3),
+                "seen": finding.description,
             }
             if order is not None:
-                since = evidence.aggregate(heard.said, name, order.step)
-                told[name] |= {
-                    "share": order.share,
-                    "phase": order.phase,
-                    "by": order.ordered_by,
-                    "why": order.reason,
-                    "relapses": order.failed_recoveries,
-                    "ended": since.ended,
-                    "failed": since.failed,
-                    "waits_for": rollout.waits_for(order, self.age(name, now)),
-                }
-        return {"serial": self.serial, "held": self.traffic_policy.hold_reason, "zones": told}
-
-
-def all_retried_nodes(old: TrafficPolicy, new: TrafficPolicy, nodes: Nodes) -> frozenset[str]:
-    """Nodes in use that are to be tried as if they had just started."""
+                zones[name] |= self._order_status(name, order, now, received)
+        return {"serial": self.serial, "held": self.traffic_policy.hold_reason, "zones": zones}
+
+    def _order_status(
+        self, zone: str, order: ZoneOrder, now: int, received: ReceivedReports
+    ) -> dict[str, Any]:
+        outcomes = evidence.aggregate(received.reports, zone, order.step)
+        return {
+            "share": order.share,
+            "phase": order.phase,
+            "by": order.ordered_by,
+            "why": order.reason,
+            "relapses": order.failed_recoveries,
+            "ended": outcomes.ended,
+            "failed": outcomes.failed,
+            "waits_for": rollout.waits_for(order, self.age(zone, now)),
+        }
+
+
+def all_retried_nodes(old: TrafficPolicy, new: TrafficPolicy, nodes: ZonesByPool) -> frozenset[str]:
+    """Return the nodes in use that are to be retried as if they had just started."""
     zones = set(retried_zones(old, new))
     if not zones:
         return frozenset()
-    here = {name for pool in nodes.values() for name, zone in pool.items() if zone in zones}
-    return frozenset(here) - all_inactive_nodes(new, nodes)
+    retried = {name for pool in nodes.values() for name, zone in pool.items() if zone in zones}
+    return frozenset(retried) - all_inactive_nodes(new, nodes)
 
 
-def all_inactive_nodes(posture: TrafficPolicy, nodes: Nodes) -> frozenset[str]:
-    """Nodes that get nothing new. Each pool by itself: a share of a zone is one in every pool."""
-    if not posture.zones:
+def all_inactive_nodes(traffic_policy: TrafficPolicy, nodes: ZonesByPool) -> frozenset[str]:
+    """Return the nodes that get no new requests; a zone's share holds in each pool by itself."""
+    if not traffic_policy.zones:
         return frozenset()
-    return frozenset().union(*(inactive_nodes(posture, here) for here in nodes.values()))
+    return frozenset().union(*(inactive_nodes(traffic_policy, pool) for pool in nodes.values()))
--- a/sailhitch/zones/diagnosis.py
+++ b/sailhitch/zones/diagnosis.py
@@ -1,9 +1,9 @@
-"""What is wrong with a zone, by what all gateways see of it: pure functions of their sights.
+"""The condition of a zone, by the reports of all gateways: pure functions.
 
-A gateway's share of failed nodes in a zone is one voice, weighed by the nodes that it knows of, and
-with no more than `MOST_VOICE` of all: what counts at a place is the weighted median of its voices,
-so that less than half of them, sick or lying, move nothing. A gateway that sees all zones fail
-where others see them well is sick itself, and has no voice.
+Each gateway reports the ratio of failed nodes that it observes in a zone. A report's weight is the
+number of nodes that the gateway knows of there, at most `MAX_WEIGHT_SHARE` of all weights. What
+counts in a place is the weighted median, so that a faulty or lying minority changes nothing. A
+gateway that observes all zones failing where others see them well is faulty, and not counted.
 """
 
 from __future__ import annotations
@@ -14,146 +14,179 @@
 
 from .health_tracker import ZoneObservation
 
-GONE: Final = 0.8  # of its nodes failed last: one of a few that still answers saves no zone
-GRAY: Final = 0.2  # the operators' "a fifth lost"
-WELL: Final = 0.1
-FULL: Final = 0.5  # of its nodes turned away last for being full
-LEAST: Final = 2  # nodes that a voice must know of, or all of a zone that has fewer
-MOST_VOICE: Final = 1 / 3
-LATELY: Final = 2  # s
-VOICES: Final = 2  # gateways that must speak of a zone, where there are so many
-
-
-class Kind(Enum):
-    """What a zone is taken for."""
-
-    WELL = "well"
-    GONE = "gone"
-    CUT = "cut off from some places"
-    GRAY = "gray"
-    FULL = "overloaded"
-    EVERYWHERE = "all zones fail: it is the site, or the gateways"
+# Ratios of a zone's nodes that failed last, from which on it is...
+FAILED_RATIO: Final = 0.8  # ...failed: a few nodes that still answer do not save it
+DEGRADED_RATIO: Final = 0.2  # ...degraded
+HEALTHY_RATIO: Final = 0.1  # up to which it is healthy
+OVERLOADED_RATIO: Final = 0.5  # of its nodes that rejected the last request as overloaded
+MIN_KNOWN_NODES: Final = 2  # nodes that a report must cover, or all of a smaller zone
+MAX_WEIGHT_SHARE: Final = 1 / 3
+RECENT: Final = 2  # s
+MIN_REPORTERS: Final = 2  # gateways that must report on a zone, where there are so many
+
+
+class ZoneCondition(Enum):
+    """What a zone is diagnosed as; the values are shown to operators."""
+
+    HEALTHY = "well"
+    FAILED = "gone"
+    PARTITIONED = "cut off from some places"
+    DEGRADED = "gray"
+    OVERLOADED = "overloaded"
+    ALL_ZONES_FAILING = "all zones fail: it is the site, or the gateways"
     UNKNOWN = "unknown"
 
 
-class Report(NamedTuple):
-    """What one gateway says."""
+_FAILING: Final = (ZoneCondition.FAILED, ZoneCondition.DEGRADED, ZoneCondition.PARTITIONED)
+
+
+class GatewayReport(NamedTuple):
+    """What one gateway has observed."""
 
     name: str
-    place: str  # the zone that it is in
-    sights: Mapping[str, ZoneObservation]
+    zone: str  # where the gateway is
+    observations: Mapping[str, ZoneObservation]
 
 
 class Finding(NamedTuple):
-    """A zone's diagnosis, how sure it is (the part of the voices that agrees), and by what."""
+    """A zone's diagnosis, with the ratio of the reports that agree, and the figures behind it."""
 
-    kind: Kind
-    sure: float
-    told: str
+    kind: ZoneCondition
+    confidence: float
+    description: str
 
 
-def sick(reports: Sequence[Report], sizes: Mapping[str, int]) -> list[str]:
-    """Gateways that see what no other sees: each zone that they know of failing."""
+def faulty_gateways(reports: Sequence[GatewayReport], sizes: Mapping[str, int]) -> list[str]:
+    """Return the gateways that observe all zones failing where no other gateway does."""
     if len(reports) < 3:
         return []
-    found = []
-    for one in reports:
-        seen = [zone for zone in one.sights if _can_tell(one, zone, sizes)]
-        if len(seen) < min(2, len(sizes)) or not all(_share(one, zone) >= GRAY for zone in seen):
-            continue
-        if sum(_share(one, zone) for zone in seen) / len(seen) < GONE / 2:
-            continue
-        others = [other for other in reports if other is not one]
-        if all(_voices(others, zone, sizes) <= WELL for zone in seen):
-            found.append(one.name)
-    return found
-
-
-def diagnose(reports: Sequence[Report], sizes: Mapping[str, int]) -> dict[str, Finding]:
-    """Return what each zone is taken for; `sizes` has the number of nodes of each."""
-    out = set(sick(reports, sizes))
-    heard = [one for one in reports if one.name not in out]
-    need = max(1, min(VOICES, len(reports)))
-    found = {zone: _zone(heard, zone, sizes, need) for zone in sizes}
-    bad = [zone for zone, one in found.items() if one.kind in (Kind.GONE, Kind.GRAY, Kind.CUT)]
-    known = [zone for zone, one in found.items() if one.kind is not Kind.UNKNOWN]
-    if len(known) > 1 and len(bad) == len(known):
-        for zone in bad:
-            found[zone] = found[zone]._replace(kind=Kind.EVERYWHERE)
-    return found
-
-
-def _zone(reports: Sequence[Report], zone: str, sizes: Mapping[str, int], need: int) -> Finding:
-    able = _witnesses([one for one in reports if _can_tell(one, zone, sizes)], zone)
-    if len(able) < need:
-        return Finding(Kind.UNKNOWN, 0.0, f"{len(able)} of {need} gateways can tell")
-    full = _median([(one.sights[zone].full / one.sights[zone].known, 1) for one in able])
-    if full >= FULL:
-        return Finding(Kind.FULL, 1.0, f"{full:.0%} of its nodes turned away last")
-    by_place: dict[str, list[Report]] = {}
-    for one in able:
-        by_place.setdefault(one.place, []).append(one)
-    shares = {place: _voices(said, zone, sizes) for place, said in by_place.items()}
-    told = ", ".join(
-        f"{share:.0%} of its nodes fail from {place or 'here'} ({len(by_place[place])} gateways)"
-        for place, share in sorted(shares.items())
+    return [report.name for report in reports if _is_faulty(report, reports, sizes)]
+
+
+def _is_faulty(
+    report: GatewayReport, reports: Sequence[GatewayReport], sizes: Mapping[str, int]
+) -> bool:
+    zones = [zone for zone in report.observations if _has_evidence(report, zone, sizes)]
+    if len(zones) < min(2, len(sizes)):
+        return False
+    ratios = [_failure_ratio(report, zone) for zone in zones]
+    if not all(ratio >= DEGRADED_RATIO for ratio in ratios):
+        return False
+    if sum(ratios) / len(ratios) < FAILED_RATIO / 2:
+        return False
+    others = [other for other in reports if other is not report]
+    return all(_median_failure_ratio(others, zone, sizes) <= HEALTHY_RATIO for zone in zones)
+
+
+def diagnose(reports: Sequence[GatewayReport], sizes: Mapping[str, int]) -> dict[str, Finding]:
+    """Return each zone's diagnosis; `sizes` has the number of nodes of each."""
+    faulty = set(faulty_gateways(reports, sizes))
+    counted = [report for report in reports if report.name not in faulty]
+    min_reporters = max(1, min(MIN_REPORTERS, len(reports)))
+    findings = {zone: _diagnose_zone(counted, zone, sizes, min_reporters) for zone in sizes}
+    failing = [zone for zone, finding in findings.items() if finding.kind in _FAILING]
+    known = [
+        zone for zone, finding in findings.items() if finding.kind is not ZoneCondition.UNKNOWN
+    ]
+    if len(known) > 1 and len(failing) == len(known):
+        for zone in failing:
+            findings[zone] = findings[zone]._replace(kind=ZoneCondition.ALL_ZONES_FAILING)
+    return findings
+
+
+def _diagnose_zone(
+    reports: Sequence[GatewayReport], zone: str, sizes: Mapping[str, int], min_reporters: int
+) -> Finding:
+    witnesses = _witnesses([r for r in reports if _has_evidence(r, zone, sizes)], zone)
+    if len(witnesses) < min_reporters:
+        return Finding(
+            ZoneCondition.UNKNOWN, 0.0, f"{len(witnesses)} of {min_reporters} gateways can tell"
+        )
+    overloaded = _weighted_median([(_overload_ratio(report, zone), 1) for report in witnesses])
+    if overloaded >= OVERLOADED_RATIO:
+        return Finding(
+            ZoneCondition.OVERLOADED, 1.0, f"{overloaded:.0%} of its nodes turned away last"
+        )
+    by_place: dict[str, list[GatewayReport]] = {}
+    for report in witnesses:
+        by_place.setdefault(report.zone, []).append(report)
+    ratios = {place: _median_failure_ratio(local, zone, sizes) for place, local in by_place.items()}
+    text = ", ".join(
+        f"{ratio:.0%} of its nodes fail from {place or 'here'} ({len(by_place[place])} gateways)"
+        for place, ratio in sorted(ratios.items())
     )
-    gone = sorted(place for place, share in shares.items() if share >= GONE)
-    if gone and len(gone) == len(shares):
-        return Finding(Kind.GONE, _sure(able, zone, GONE), told)
-    if gone and any(share <= WELL for share in shares.values()):
-        return Finding(Kind.CUT, _sure(by_place[gone[0]], zone, GONE), told)
-    if any(share >= GRAY for share in shares.values()):
-        return Finding(Kind.GRAY, _sure(able, zone, GRAY), told)
-    return Finding(Kind.WELL, 1 - _sure(able, zone, GRAY), told)
-
-
-def _witnesses(able: list[Report], zone: str) -> list[Report]:
-    """Without those who see it otherwise and have not asked lately, if most see it gone.
-
-    What they saw well, or as one bad node of several, may be older than the zone's end, and the
-    decision module keeps them away from it. Only then. Where little is asked, as at night,
-    most have not asked lately, and the few that happened to meet its bad nodes would speak for all.
+    failed = sorted(place for place, ratio in ratios.items() if ratio >= FAILED_RATIO)
+    if failed and len(failed) == len(ratios):
+        return Finding(ZoneCondition.FAILED, _agreement(witnesses, zone, FAILED_RATIO), text)
+    if failed and any(ratio <= HEALTHY_RATIO for ratio in ratios.values()):
+        confidence = _agreement(by_place[failed[0]], zone, FAILED_RATIO)
+        return Finding(ZoneCondition.PARTITIONED, confidence, text)
+    degraded = _agreement(witnesses, zone, DEGRADED_RATIO)
+    if any(ratio >= DEGRADED_RATIO for ratio in ratios.values()):
+        return Finding(ZoneCondition.DEGRADED, degraded, text)
+    return Finding(ZoneCondition.HEALTHY, 1 - degraded, text)
+
+
+def _witnesses(reports: list[GatewayReport], zone: str) -> list[GatewayReport]:
+    """Return the reports without outdated ones that contradict a majority that sees a failed zone.
+
+    An outdated success may be older than the zone's failure, as policies keep requests away from
+    it. Without such a majority all reports count: at low load most are outdated, and the few
+    gateways that happened to meet a zone's bad nodes would decide for all.
     """
-    if 2 * sum(_share(one, zone) >= GONE for one in able) <= len(able):
-        return able
-    return [one for one in able if _share(one, zone) >= GONE or one.sights[zone].age <= LATELY]
+    if 2 * sum(_failure_ratio(r, zone) >= FAILED_RATIO for r in reports) <= len(reports):
+        return reports
+    return [
+        report
+        for report in reports
+        if _failure_ratio(report, zone) >= FAILED_RATIO or report.observations[zone].age <= RECENT
+    ]
+
+
+def _has_evidence(report: GatewayReport, zone: str, sizes: Mapping[str, int]) -> bool:
+    observation = report.observations.get(zone)
+    if observation is None:
+        return False
+    return observation.known >= min(MIN_KNOWN_NODES, sizes.get(zone, MIN_KNOWN_NODES))
 
 
-def _can_tell(one: Report, zone: str, sizes: Mapping[str, int]) -> bool:
-    sight = one.sights.get(zone)
-    return sight is not None and sight.known >= min(LEAST, sizes.get(zone, LEAST))
+def _failure_ratio(report: GatewayReport, zone: str) -> float:
+    observation = report.observations[zone]
+    return observation.failed / observation.known
 
 
-def _share(one: Report, zone: str) -> float:
-    sight = one.sights[zone]
-    return sight.failed / sight.known
+def _overload_ratio(report: GatewayReport, zone: str) -> float:
+    observation = report.observations[zone]
+    return observation.full / observation.known
 
 
-def _voices(reports: Iterable[Report], zone: str, sizes: Mapping[str, int]) -> float:
-    """Return the weighted median of what they see of a zone; 0 where nobody can tell."""
-    size = sizes.get(zone, 1)  # nobody knows of more nodes than there are
-    return _median(
+def _median_failure_ratio(
+    reports: Iterable[GatewayReport], zone: str, sizes: Mapping[str, int]
+) -> float:
+    """Return the weighted median of the reports on a zone; 0 where none has evidence."""
+    size = sizes.get(zone, 1)  # a report that claims to know more nodes gets no more weight
+    return _weighted_median(
         [
-            (_share(one, zone), min(one.sights[zone].known, size))
-            for one in reports
-            if _can_tell(one, zone, sizes)
+            (_failure_ratio(report, zone), min(report.observations[zone].known, size))
+            for report in reports
+            if _has_evidence(report, zone, sizes)
         ]
     )
 
 
-def _median(said: list[tuple[float, int]]) -> float:
-    """By weight, of which none counts for more than its share of all; 0 of nothing."""
-    most = max(1.0, MOST_VOICE * sum(weight for _, weight in said))
-    capped = [(share, min(weight, most)) for share, weight in sorted(said)]
+def _weighted_median(weighted_ratios: list[tuple[float, int]]) -> float:
+    """Return the median, each weight limited to its maximum share of all; 0 of nothing."""
+    max_weight = max(1.0, MAX_WEIGHT_SHARE * sum(weight for _, weight in weighted_ratios))
+    capped = [(ratio, min(weight, max_weight)) for ratio, weight in sorted(weighted_ratios)]
     half = sum(weight for _, weight in capped) / 2
-    so_far = 0.0
-    for share, weight in capped:
-        so_far += weight
-        if so_far >= half:
-            return share
+    cumulated = 0.0
+    for ratio, weight in capped:
+        cumulated += weight
+        if cumulated >= half:
+            return ratio
     return 0.0
 
 
-def _sure(reports: Sequence[Report], zone: str, least: float) -> float:
-    return sum(_share(one, zone) >= least for one in reports) / len(reports)
+def _agreement(reports: Sequence[GatewayReport], zone: str, min_ratio: float) -> float:
+    """Return the part of the reports that see at least so many of a zone's nodes fail."""
+    return sum(_failure_ratio(report, zone) >= min_ratio for report in reports) / len(reports)
--- a/sailhitch/zones/evidence.py
+++ b/sailhitch/zones/evidence.py
@@ -1,8 +1,8 @@
-"""What requests came to in a zone since a step of its way back, and the sum over all gateways.
+"""Outcomes of requests in a zone since a step of its recovery began, and their sum over gateways.
 
-Each gateway counts its own attempts and says the counts with its sign of life (`Word`). The one
-whose attempts failed most is left out of the sum where three or more say something, so that one
-gateway that is sick, cut off or lying moves nothing.
+Each gateway counts its own attempts, and sends the counts with its gossip (`ZoneHealthReport`).
+Where three or more report, the one whose attempts failed most is left out of the sum, so that a
+single gateway that is faulty, partitioned or lying changes nothing.
 """
 
 from __future__ import annotations
@@ -16,18 +16,15 @@
 from .rollout import StepOutcomes
 from .traffic_policy import TrafficPolicy
 
-MAX_ZONES: Final = 16  # zones in a word
-MAX_REPORT_BYTES: Final = 400  # bytes of a word
+MAX_ZONES: Final = 16  # zones in a report
+MAX_REPORT_BYTES: Final = 400  # bytes of an encoded report
 
 
 class ZoneHealthReport(msgspec.Struct, frozen=True, array_like=True):
-    """One gateway's counts by zone: the step that they belong to, ended, failed.
+    """What one gateway reports of the zones."""
 
-    Beside them where it is, and what it sees of each zone: nodes known, failing, full.
-    """
-
-    counts: dict[str, tuple[int, int, int]]
-    zone: str = ""
+    counts: dict[str, tuple[int, int, int]]  # by zone: the step, attempts ended, failed
+    zone: str = ""  # where the gateway is
     observations: dict[str, ZoneObservation] = {}
 
 
@@ -37,24 +34,24 @@
     def __init__(self) -> None:
         self._zones: dict[str, list[int]] = {}
 
-    def apply(self, posture: TrafficPolicy) -> None:
-        """A posture holds; a step that is new begins with nothing."""
+    def apply(self, traffic_policy: TrafficPolicy) -> None:
+        """Apply a traffic policy; the counts of a new step begin at 0."""
         self._zones = {
             name: self._zones[name]
             if name in self._zones and self._zones[name][0] == order.step
             else [order.step, 0, 0]
-            for name, order in posture.zones.items()
+            for name, order in traffic_policy.zones.items()
         }
 
     def record(self, zone: str, failed: bool) -> None:
-        """An attempt in a zone has its outcome."""
+        """Count an attempt in a zone."""
         counts = self._zones.get(zone)
         if counts is not None:
             counts[1] += 1
             counts[2] += failed
 
     def counts(self) -> dict[str, tuple[int, int, int]]:
-        """Return what to say of steps."""
+        """Return the counts to report."""
         return {
             name: (step, ended, failed)
             for name, (step, ended, failed) in sorted(self._zones.items())[:MAX_ZONES]
@@ -62,45 +59,54 @@
         }
 
 
-def encode(word: ZoneHealthReport) -> bytes:
-    """A word as it is said; empty where there is nothing to say.
+def encode(report: ZoneHealthReport) -> bytes:
+    """Return an encoded report; empty where there is nothing to report.
 
-    Sights that fit no more are left out, those that fail least before others: a datagram of gossip
-    has twelve words.
+    Observations that do not fit are left out, those with the fewest failures first: one datagram
+    of gossip carries twelve reports.
     """
-    if not word.counts and not word.observations:
+    if not report.counts and not report.observations:
         return b""
-    sights = sorted(word.observations.items(), key=lambda item: -item[1].failed)
+    observations = sorted(report.observations.items(), key=lambda item: -item[1].failed)
     while True:
-        said = msgspec.msgpack.encode(msgspec.structs.replace(word, observations=dict(sights)))
-        if len(said) <= MAX_REPORT_BYTES or not sights:
-            return said
-        sights.pop()
+        fitting = msgspec.structs.replace(report, observations=dict(observations))
+        encoded = msgspec.msgpack.encode(fitting)
+        if len(encoded) <= MAX_REPORT_BYTES or not observations:
+            return encoded
+        observations.pop()
 
 
-def decode(word: bytes) -> ZoneHealthReport | None:
-    """Return a gateway's word; None where it says nothing that can be read."""
-    if not 0 < len(word) <= MAX_REPORT_BYTES:
+def decode(encoded: bytes) -> ZoneHealthReport | None:
+    """Return a gateway's report; None where it is empty or invalid."""
+    if not 0 < len(encoded) <= MAX_REPORT_BYTES:
         return None
     try:
-        made = msgspec.msgpack.decode(word, type=ZoneHealthReport)
+        report = msgspec.msgpack.decode(encoded, type=ZoneHealthReport)
     except msgspec.DecodeError:
         return None
-    good = all(0 <= failed <= ended for _, ended, failed in made.counts.values())
-    seen = all(
-        one.known > 0
-        and 0 <= one.failed <= one.known
-        and 0 <= one.full <= one.known
-        and one.age >= 0
-        for one in made.observations.values()
+    valid_counts = all(0 <= failed <= ended for _, ended, failed in report.counts.values())
+    valid_observations = all(_is_valid(each) for each in report.observations.values())
+    return report if valid_counts and valid_observations else None
+
+
+def _is_valid(observation: ZoneObservation) -> bool:
+    known = observation.known
+    return (
+        known > 0
+        and 0 <= observation.failed <= known
+        and 0 <= observation.full <= known
+        and observation.age >= 0
     )
-    return made if good and seen else None
 
 
-def aggregate(words: Iterable[ZoneHealthReport], zone: str, step: int) -> StepOutcomes:
-    """Return the sum for a step of a zone's way back."""
-    found = [word.counts[zone] for word in words if zone in word.counts]
-    said = [(ended, failed) for its, ended, failed in found if its == step and ended]
-    if len(said) >= 3:
-        said.remove(max(said, key=lambda counts: (counts[1] / counts[0], counts[1])))
-    return StepOutcomes(sum(ended for ended, _ in said), sum(failed for _, failed in said))
+def aggregate(reports: Iterable[ZoneHealthReport], zone: str, step: int) -> StepOutcomes:
+    """Return the sum of the counts for a step of a zone's recovery."""
+    counts = [report.counts[zone] for report in reports if zone in report.counts]
+    current = [
+        StepOutcomes(ended, failed)
+        for of_step, ended, failed in counts
+        if of_step == step and ended
+    ]
+    if len(current) >= 3:
+        current.remove(max(current, key=lambda c: (c.failed / c.ended, c.failed)))
+    return StepOutcomes(sum(c.ended for c in current), sum(c.failed for c in current))
--- a/sailhitch/zones/health_tracker.py
+++ b/sailhitch/zones/health_tracker.py
@@ -1,8 +1,8 @@
-"""What a gateway sees of each zone, by the last outcome at each of its nodes.
+"""What a gateway observes of each zone, by the last outcome at each of its nodes.
 
-Counts of requests alone would fade where it matters: a zone that answers nothing is shunned within
-a second, and hardly any request ends there any more. The last outcome at a node stays until there
-is another, and the decision module tries a shunned node again from time to time.
+Counts of requests alone would fade where they matter: the nodes of a failed zone are ejected within
+a second, and hardly any request ends there any more. The last outcome at a node is kept until there
+is another, and the policy retries an ejected node from time to time.
 """
 
 from __future__ import annotations
@@ -10,21 +10,23 @@
 from collections.abc import Mapping
 from typing import Final, NamedTuple
 
-RUN: Final = 2  # nodes that fail one after the other, after which older successes say nothing
-OUTCOME_TTL: Final = 60_000_000  # us after which an outcome says nothing any more
+MIN_FAILURE_RUN: Final = (
+    2  # nodes that fail one after the other, after which older successes say nothing
+)
+OUTCOME_TTL: Final = 60_000_000  # us for which an outcome counts
 
 
 class ZoneObservation(NamedTuple):
-    """Of a zone's nodes: how many this gateway knows of, and of these failed or were full last."""
+    """A zone's nodes with a known last outcome, and of these the failed and the full ones."""
 
     known: int
     failed: int
     full: int
-    age: int = 0  # seconds since the last outcome there, a whole number
+    age: int = 0  # s since the last outcome there
 
 
 class Outcome(NamedTuple):
-    """What the last request at a node came to."""
+    """The outcome of the last request at a node."""
 
     at: int
     failed: bool
@@ -32,46 +34,46 @@
 
 
 class ZoneHealth:
-    """The last outcomes, by node; bounded by the nodes of the state that holds."""
+    """The last outcomes by node, bounded by the nodes of the applied state."""
 
     def __init__(self) -> None:
         self._last: dict[str, Outcome] = {}
 
     def record(self, node: str, failed: bool, full: bool, now: int) -> None:
-        """A request at a node has ended."""
+        """Record the outcome of a request at a node."""
         self._last[node] = Outcome(now, failed, full)
 
-    def keep(self, nodes: Mapping[str, str]) -> None:
-        """These are the nodes, with the zone of each; others are forgotten."""
+    def retain(self, nodes: Mapping[str, str]) -> None:
+        """Drop the outcomes of all but these nodes, given with the zone of each."""
         if not self._last.keys() <= nodes.keys():
-            self._last = {name: one for name, one in self._last.items() if name in nodes}
+            self._last = {name: outcome for name, outcome in self._last.items() if name in nodes}
 
     def forget(self, names: frozenset[str]) -> None:
-        """Nothing of before is believed of these."""
+        """Drop the outcomes of these nodes."""
         for name in names & self._last.keys():
             del self._last[name]
 
     def observations(self, nodes: Mapping[str, str], now: int) -> dict[str, ZoneObservation]:
-        """By zone, what is known of its nodes.
+        """Return the observation of each zone.
 
-        Where several nodes of a zone have failed one after the other and nothing there has gone
-        well since, older successes say nothing: the decision module turns away from a zone that
-        fails, and would not find out for long that its other nodes fail too.
+        Where several nodes of a zone have failed in a row with no success since, older successes
+        do not count: the policy avoids a failing zone, and would take long to find out that its
+        other nodes fail too.
         """
-        found: dict[str, list[Outcome]] = {}
-        for name, one in self._last.items():
+        by_zone: dict[str, list[Outcome]] = {}
+        for name, outcome in self._last.items():
             zone = nodes.get(name)
-            if zone is not None and now - one.at <= OUTCOME_TTL:
-                found.setdefault(zone, []).append(one)
-        return {zone: _sight(outcomes, now) for zone, outcomes in found.items()}
-
-
-def _sight(outcomes: list[Outcome], now: int) -> ZoneObservation:
-    age = (now - max(one.at for one in outcomes)) // 1_000_000
-    last_ok = max((one.at for one in outcomes if not one.failed), default=-1)
-    run = sum(one.failed and one.at > last_ok for one in outcomes)
-    if run >= RUN:
-        return ZoneObservation(run, run, 0, age)
-    failed = sum(one.failed for one in outcomes)
-    full = sum(one.full for one in outcomes)
+            if zone is not None and now - outcome.at <= OUTCOME_TTL:
+                by_zone.setdefault(zone, []).append(outcome)
+        return {zone: _observe(outcomes, now) for zone, outcomes in by_zone.items()}
+
+
+def _observe(outcomes: list[Outcome], now: int) -> ZoneObservation:
+    age = (now - max(outcome.at for outcome in outcomes)) // 1_000_000
+    last_success = max((outcome.at for outcome in outcomes if not outcome.failed), default=-1)
+    failure_run = sum(outcome.failed and outcome.at > last_success for outcome in outcomes)
+    if failure_run >= MIN_FAILURE_RUN:
+        return ZoneObservation(failure_run, failure_run, 0, age)
+    failed = sum(outcome.failed for outcome in outcomes)
+    full = sum(outcome.full for outcome in outcomes)
     return ZoneObservation(len(outcomes), failed, full, age)
--- a/sailhitch/zones/traffic_policy.py
+++ b/sailhitch/zones/traffic_policy.py
@@ -1,10 +1,10 @@
 """Which part of each zone is in use: values, and pure functions of them.
 
-A zone's share is a part of its *nodes*, not of the requests: what is in use there is used as any
-other node is, by C3, and what is not gets nothing new, as a banned node does. So a step back into
-a zone starts nodes that count as cold, within their slices, which all gateways fill together. Which
-nodes a share means follows from their names alone: all gateways use the same ones, and a larger
-share has all those of a smaller one.
+A zone's share is a part of its *nodes*, not of its requests. Nodes in use are selected as any
+others, and the rest get no new requests, as banned nodes do. So a step of a recovery brings in
+nodes that are in slow start, within the shares that all gateways fill together. Which nodes a share
+covers follows from their names alone: all gateways use the same ones, and a larger share includes
+those of a smaller one.
 """
 
 from __future__ import annotations
@@ -20,36 +20,38 @@
 
 
 class ZoneOrder(msgspec.Struct, frozen=True):
-    """What all are to do about one zone. One that is in use as a whole has none."""
+    """What all gateways do about a zone; one that is completely in use has no order."""
 
     share: float  # of its nodes, 0 to below 1
     phase: Phase
-    # The least time in microseconds that a step of the recovery lasts.
+    # Minimum duration of a step of the recovery, in microseconds.
     step_duration: int = msgspec.field(name="dwell")
     failed_recoveries: int = msgspec.field(name="relapses")
     ordered_by: str = msgspec.field(name="by")  # for operators
     reason: str = msgspec.field(name="why")
-    step: int = 0  # counts the shares that the way back has had; evidence belongs to one
+    step: int = 0  # counts the changes of the share; evidence belongs to one step
     # How often the nodes of this step have been retried.
     attempt: int = msgspec.field(default=0, name="round")
 
 
 class TrafficPolicy(msgspec.Struct, frozen=True):
-    """What all are to do about zones."""
+    """What all gateways do about zones."""
 
     zones: dict[str, ZoneOrder] = {}
     # Why only operators change it; empty if automation may.
     hold_reason: str = msgspec.field(default="", name="held")
 
     def encode(self) -> bytes:
-        """One text for one posture."""
+        """Return the canonical JSON: equal policies have equal texts."""
         zones = dict(sorted(self.zones.items()))
         return msgspec.json.encode(msgspec.structs.replace(self, zones=zones))
 
     def with_zone(self, zone: str, order: ZoneOrder | None) -> TrafficPolicy:
-        """Another order for a zone; None: it is in use as a whole."""
-        rest = {name: one for name, one in self.zones.items() if name != zone}
-        return msgspec.structs.replace(self, zones=rest if order is None else {**rest, zone: order})
+        """Return the policy with another order for a zone; None: the zone is completely in use."""
+        zones = {name: other for name, other in self.zones.items() if name != zone}
+        if order is not None:
+            zones[zone] = order
+        return msgspec.structs.replace(self, zones=zones)
 
 
 EMPTY_POLICY = TrafficPolicy()
@@ -57,28 +59,28 @@
 
 
 class TrafficPolicyError(ValueError):
-    """What was asked for can't be; the text says why and what to do."""
+    """A traffic policy is invalid; the text says why and what to do."""
 
 
 def decode(content: bytes) -> TrafficPolicy:
-    """Return a posture from its text; raises PostureError."""
+    """Return a traffic policy from its JSON; raises TrafficPolicyError."""
     try:
-        made = msgspec.json.decode(content, type=TrafficPolicy)
+        policy = msgspec.json.decode(content, type=TrafficPolicy)
     except msgspec.DecodeError as error:
         raise TrafficPolicyError(f"a posture that can't be read: {error}") from None
-    for name, order in made.zones.items():
+    for name, order in policy.zones.items():
         if not 0 <= order.share < 1:
             raise TrafficPolicyError(f"zone {name!r}: share {order.share} is not from 0 to below 1")
-    return made
+    return policy
 
 
 def active_node_count(share: float, nodes: int) -> int:
-    """Return how many of a zone's nodes a share means; any share above 0 means one at least."""
+    """Return how many of a zone's nodes a share covers: one at least for any share above 0."""
     return min(nodes, math.ceil(share * nodes - 1e-9))
 
 
 def retried_zones(old: TrafficPolicy, new: TrafficPolicy) -> list[str]:
-    """Zones whose nodes in use are tried anew, and nothing learned of them believed."""
+    """Return the zones whose nodes in use are to be retried, with all that was learned dropped."""
     return [
         name
         for name, order in new.zones.items()
@@ -88,32 +90,34 @@
     ]
 
 
-def inactive_nodes(posture: TrafficPolicy, nodes: Mapping[str, str]) -> set[str]:
-    """Return the nodes that get nothing new, of `nodes`, which has the zone of each."""
-    found: set[str] = set()
-    for zone, order in posture.zones.items():
-        here = sorted((name for name, its in nodes.items() if its == zone), key=_rank)
-        found.update(here[active_node_count(order.share, len(here)) :])
-    return found
+def inactive_nodes(traffic_policy: TrafficPolicy, nodes: Mapping[str, str]) -> set[str]:
+    """Return the nodes that get no new requests, of `nodes`, given with the zone of each."""
+    inactive: set[str] = set()
+    for zone, order in traffic_policy.zones.items():
+        ranked = sorted((name for name, of_zone in nodes.items() if of_zone == zone), key=_rank)
+        inactive.update(ranked[active_node_count(order.share, len(ranked)) :])
+    return inactive
 
 
 def _rank(name: str) -> tuple[bytes, str]:
     return hashlib.blake2b(name.encode(), digest_size=8).digest(), name
 
 
-def validate(posture: TrafficPolicy, zones: Iterable[str], most_out: int) -> None:
-    """Raises PostureError where too many zones would be out, or all of them."""
-    all_ = set(zones)
-    for name in posture.zones:
-        if name not in all_:
+def validate(traffic_policy: TrafficPolicy, zones: Iterable[str], max_out: int) -> None:
+    """Raise TrafficPolicyError where too many zones would be out, or all of them."""
+    known = set(zones)
+    for name in traffic_policy.zones:
+        if name not in known:
             raise TrafficPolicyError(f"no node is in a zone called {name!r}")
-    out = sorted(name for name, one in posture.zones.items() if one.share < MIN_SHARE_IN_USE)
-    if all_ and set(posture.zones) >= all_:
+    out = sorted(
+        name for name, order in traffic_policy.zones.items() if order.share < MIN_SHARE_IN_USE
+    )
+    if known and set(traffic_policy.zones) >= known:
         raise TrafficPolicyError(
-            f"no zone would be in use as a whole: {', '.join(sorted(posture.zones))} are left or "
-            "on the way back; end one's return first"
+            f"no zone would be in use as a whole: {', '.join(sorted(traffic_policy.zones))} are "
+            "left or on the way back; end one's return first"
         )
-    if len(out) > most_out:
+    if len(out) > max_out:
         raise TrafficPolicyError(
-            f"{len(out)} zones would be out ({', '.join(out)}), and `zones.max_out` is {most_out}"
+            f"{len(out)} zones would be out ({', '.join(out)}), and `zones.max_out` is {max_out}"
         )
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -18,15 +18,28 @@
 from sailhitch.zones import evidence, rollout
 from sailhitch.zones.controller import (
     HOUR,
-    Nodes,
     ZoneController,
+    ZonesByPool,
     ZoneTerms,
     all_inactive_nodes,
     all_retried_nodes,
 )
-from sailhitch.zones.diagnosis import Finding, Kind, Report, diagnose, sick
+from sailhitch.zones.diagnosis import (
+    Finding,
+    GatewayReport,
+    ZoneCondition,
+    diagnose,
+    faulty_gateways,
+)
 from sailhitch.zones.health_tracker import OUTCOME_TTL, ZoneHealth, ZoneObservation
-from sailhitch.zones.rollout import FIRST, MOST_RELAPSES, NEEDED, SURE_BAD, StepOutcomes, judge
+from sailhitch.zones.rollout import (
+    FIRST,
+    MAX_FAILED_RECOVERIES,
+    MIN_FAILURES,
+    MIN_REQUESTS,
+    StepOutcomes,
+    next_order,
+)
 from sailhitch.zones.traffic_policy import (
     EMPTY_POLICY,
     TrafficPolicy,
@@ -102,14 +115,14 @@
         ({}, STEP - 1, (500, 0), None, ""),  # its time is not over
         ({}, STEP, (500, 0), 0.2, "0 of 500 failed"),
         ({"share": 0.8}, STEP, (500, 0), 1.0, "0 of 500 failed"),
-        ({}, STEP, (NEEDED - 1, 0), FIRST, "tried anew"),  # nobody knows yet
-        ({}, 0, (SURE_BAD, SURE_BAD), 0.0, "relapse"),  # at once
-        ({}, 0, (SURE_BAD - 1, SURE_BAD - 1), None, ""),  # too few to tell
-        ({}, STEP, (SURE_BAD * 10, SURE_BAD), 0.2, "failed at"),  # a tenth may
+        ({}, STEP, (MIN_REQUESTS - 1, 0), FIRST, "tried anew"),  # nobody knows yet
+        ({}, 0, (MIN_FAILURES, MIN_FAILURES), 0.0, "relapse"),  # at once
+        ({}, 0, (MIN_FAILURES - 1, MIN_FAILURES - 1), None, ""),  # too few to tell
+        ({}, STEP, (MIN_FAILURES * 10, MIN_FAILURES), 0.2, "failed at"),  # a tenth may
         ({"share": 0.4}, 0, (50, 20), 0.2, "relapse"),
         ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP - 1, (0, 0), None, ""),  # twice as long
         ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP, (0, 0), FIRST, "once more"),
-        ({"failed_recoveries": MOST_RELAPSES}, 0, (50, 50), 0.0, "left to an operator"),
+        ({"failed_recoveries": MAX_FAILED_RECOVERIES}, 0, (50, 50), 0.0, "left to an operator"),
         ({"phase": "out", "share": 0.0}, 1 << 60, (0, 0), None, ""),  # operators return
     ],
 )
@@ -117,7 +130,7 @@
     changes: dict[str, Any], age: int, since: tuple[int, int], share: float | None, told: str
 ) -> None:
     order = _order(**changes)
-    found = judge(order, age, StepOutcomes(*since))
+    found = next_order(order, age, StepOutcomes(*since))
     if share is None:
         assert found is None
         return
@@ -131,10 +144,10 @@
 
 
 def test_a_course_without_a_failure_ends_after_five_steps() -> None:
-    order, shares = rollout.begin(rollout.leave("ada", ""), STEP, "ada", ""), []
+    order, shares = rollout.start_recovery(rollout.leave("ada", ""), STEP, "ada", ""), []
     while True:
         shares.append(order.share)
-        found = judge(order, STEP, StepOutcomes(100, 0))
+        found = next_order(order, STEP, StepOutcomes(100, 0))
         assert found is not None
         if found[0] is None:
             break
@@ -197,7 +210,7 @@
 
 
 def _controller(
-    posture: TrafficPolicy = EMPTY_POLICY, nodes: Nodes = POOLS, **terms: Any
+    posture: TrafficPolicy = EMPTY_POLICY, nodes: ZonesByPool = POOLS, **terms: Any
 ) -> ZoneController:
     controller = ZoneController(ZoneTerms(1, STEP, **terms), random.Random(1))
     controller.apply(1, posture, nodes, 0)
@@ -383,10 +396,10 @@
 Row = tuple[str, ZoneObservation, ZoneObservation, ZoneObservation]
 
 
-def _reports(*rows: Row) -> list[Report]:
+def _reports(*rows: Row) -> list[GatewayReport]:
     """Gateways: the place of each, and what it sees of the three zones."""
     return [
-        Report(f"g{i}", place, dict(zip(SIZES, sights, strict=True)))
+        GatewayReport(f"g{i}", place, dict(zip(SIZES, sights, strict=True)))
         for i, (place, *sights) in enumerate(rows)
     ]
 
@@ -398,51 +411,75 @@
 @pytest.mark.parametrize(
     ("rows", "kinds"),
     [
-        (ALL_WELL, (Kind.WELL, Kind.WELL, Kind.WELL)),
-        (LOST_Z2, (Kind.WELL, Kind.WELL, Kind.GONE)),
+        (ALL_WELL, (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.HEALTHY)),
+        (LOST_Z2, (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.FAILED)),
         # From inside it is well: the way there is cut.
-        ([*LOST_Z2, ("z2", GOOD, GOOD, GOOD)], (Kind.WELL, Kind.WELL, Kind.CUT)),
+        (
+            [*LOST_Z2, ("z2", GOOD, GOOD, GOOD)],
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.PARTITIONED),
+        ),
         # Cut off from one other zone alone.
-        ([("z0", GOOD, GOOD, BAD), ("z1", GOOD, GOOD, GOOD)] * 2, (Kind.WELL, Kind.WELL, Kind.CUT)),
-        ([("z0", GOOD, HALF, GOOD), ("z1", GOOD, HALF, GOOD)], (Kind.WELL, Kind.GRAY, Kind.WELL)),
-        ([("z0", BAD, BAD, BAD), ("z1", BAD, BAD, BAD)], (Kind.EVERYWHERE,) * 3),
-        ([("z0", GOOD, ZoneObservation(10, 1, 8), GOOD)] * 2, (Kind.WELL, Kind.FULL, Kind.WELL)),
+        (
+            [("z0", GOOD, GOOD, BAD), ("z1", GOOD, GOOD, GOOD)] * 2,
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.PARTITIONED),
+        ),
+        (
+            [("z0", GOOD, HALF, GOOD), ("z1", GOOD, HALF, GOOD)],
+            (ZoneCondition.HEALTHY, ZoneCondition.DEGRADED, ZoneCondition.HEALTHY),
+        ),
+        ([("z0", BAD, BAD, BAD), ("z1", BAD, BAD, BAD)], (ZoneCondition.ALL_ZONES_FAILING,) * 3),
+        (
+            [("z0", GOOD, ZoneObservation(10, 1, 8), GOOD)] * 2,
+            (ZoneCondition.HEALTHY, ZoneCondition.OVERLOADED, ZoneCondition.HEALTHY),
+        ),
         # One that sees all fail is sick, and one that lies of one zone is outvoted.
-        ([*ALL_WELL, ("z0", BAD, BAD, BAD)], (Kind.WELL, Kind.WELL, Kind.WELL)),
+        (
+            [*ALL_WELL, ("z0", BAD, BAD, BAD)],
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.HEALTHY),
+        ),
         # Who has not asked since most have seen it fail is no witness; at night few have asked.
         (
             [*LOST_Z2, ("z2", GOOD, GOOD, ZoneObservation(10, 0, 0, 9))],
-            (Kind.WELL, Kind.WELL, Kind.GONE),
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.FAILED),
         ),
         (
             [*LOST_Z2, *[("z2", GOOD, GOOD, ZoneObservation(10, 0, 0, 9))] * 4],
-            (Kind.WELL, Kind.WELL, Kind.CUT),
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.PARTITIONED),
         ),
         # The same of one who met a single bad node then; one who asks now is heard.
         (
             [*LOST_Z2, ("z2", GOOD, GOOD, ZoneObservation(3, 1, 0, 7))],
-            (Kind.WELL, Kind.WELL, Kind.GONE),
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.FAILED),
         ),
         (
             [*LOST_Z2, ("z2", GOOD, GOOD, ZoneObservation(3, 1, 0, 0))],
-            (Kind.WELL, Kind.WELL, Kind.GRAY),
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.DEGRADED),
+        ),
+        (
+            [*ALL_WELL * 2, ("z0", GOOD, GOOD, ZoneObservation(9999, 9999, 0))],
+            (ZoneCondition.HEALTHY,) * 3,
         ),
-        ([*ALL_WELL * 2, ("z0", GOOD, GOOD, ZoneObservation(9999, 9999, 0))], (Kind.WELL,) * 3),
         # Nobody knows enough of it.
-        ([("z0", GOOD, GOOD, ZoneObservation(1, 1, 0))] * 2, (Kind.WELL, Kind.WELL, Kind.UNKNOWN)),
-        ([("z0", GOOD, GOOD, GOOD)], (Kind.WELL, Kind.WELL, Kind.WELL)),
-        ([], (Kind.UNKNOWN,) * 3),
+        (
+            [("z0", GOOD, GOOD, ZoneObservation(1, 1, 0))] * 2,
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.UNKNOWN),
+        ),
+        (
+            [("z0", GOOD, GOOD, GOOD)],
+            (ZoneCondition.HEALTHY, ZoneCondition.HEALTHY, ZoneCondition.HEALTHY),
+        ),
+        ([], (ZoneCondition.UNKNOWN,) * 3),
     ],
 )
-def test_what_a_zone_is_taken_for(rows: list[Row], kinds: tuple[Kind, ...]) -> None:
+def test_what_a_zone_is_taken_for(rows: list[Row], kinds: tuple[ZoneCondition, ...]) -> None:
     found = diagnose(_reports(*rows), SIZES)
     assert tuple(one.kind for one in found.values()) == kinds, found
 
 
 def test_a_sick_gateway_is_named_and_no_other() -> None:
-    assert sick(_reports(*ALL_WELL, ("z0", BAD, BAD, BAD)), SIZES) == ["g3"]
-    assert sick(_reports(*LOST_Z2), SIZES) == []
-    assert sick(_reports(("z0", BAD, BAD, BAD), ("z1", GOOD, GOOD, GOOD)), SIZES) == []
+    assert faulty_gateways(_reports(*ALL_WELL, ("z0", BAD, BAD, BAD)), SIZES) == ["g3"]
+    assert faulty_gateways(_reports(*LOST_Z2), SIZES) == []
+    assert faulty_gateways(_reports(("z0", BAD, BAD, BAD), ("z1", GOOD, GOOD, GOOD)), SIZES) == []
 
 
 @given(st.data())
@@ -456,7 +493,9 @@
     rows: list[Row] = [("z0", GOOD, GOOD, GOOD)] * honest
     rows += [("z0", *(data.draw(sight) for _ in range(3))) for _ in range(liars)]
     found = diagnose(_reports(*rows), SIZES)
-    assert not any(one.kind is Kind.GONE and one.sure > 0.5 for one in found.values())
+    assert not any(
+        one.kind is ZoneCondition.FAILED and one.confidence > 0.5 for one in found.values()
+    )
 
 
 def test_the_last_outcome_counts_until_it_is_forgotten() -> None:
@@ -464,7 +503,7 @@
     for node, failed in (("a", True), ("a", False), ("b", True), ("gone", True)):
         eyes.record(node, failed, False, 5)
     assert eyes.observations(nodes, 5) == {"z": ZoneObservation(2, 1, 0)}
-    eyes.keep(nodes)
+    eyes.retain(nodes)
     assert eyes.observations({**nodes, "gone": "y"}, 5) == {"z": ZoneObservation(2, 1, 0)}
     eyes.record("a", True, False, 6)
     assert eyes.observations(nodes, 6) == {"z": ZoneObservation(2, 2, 0)}
@@ -548,26 +587,29 @@
 
 
 def test_only_so_many_leaves_an_hour_without_an_operator() -> None:
-    controller = _controller(act=True, leaves_an_hour=2)
+    controller = _controller(automatic=True, max_leaves_per_hour=2)
     words = controller.on_reports(_said(GOOD, GOOD, BAD))
     now, serial = 0, 1
     for _ in range(2):
-        assert controller.leaving(now, words) is None  # it has to last
-        found = controller.leaving(now + 2 * S, words)
+        assert controller.propose_leave(now, words) is None  # it has to last
+        found = controller.propose_leave(now + 2 * S, words)
         assert found is not None
         for posture in (found[0], EMPTY_POLICY):
             serial, now = serial + 1, now + 10 * S
             controller.apply(serial, posture, POOLS, now)
-            assert controller.leaving(now, controller.on_reports(_said(GOOD, GOOD, GOOD))) is None
-    assert controller.leaving(now, words) is None
-    assert controller.leaving(now + 2 * S, words) is None
-    assert controller.leaving(now + HOUR, words) is not None
+            assert (
+                controller.propose_leave(now, controller.on_reports(_said(GOOD, GOOD, GOOD)))
+                is None
+            )
+    assert controller.propose_leave(now, words) is None
+    assert controller.propose_leave(now + 2 * S, words) is None
+    assert controller.propose_leave(now + HOUR, words) is not None
 
 
 def test_who_only_advises_proposes_nothing_and_shows_what_it_finds() -> None:
     controller = _controller()
     words = controller.on_reports(_said(GOOD, GOOD, BAD))
-    assert [controller.leaving(at * S, words) for at in range(9)] == [None] * 9
+    assert [controller.propose_leave(at * S, words) for at in range(9)] == [None] * 9
     told = controller.status(9 * S, words)["zones"]["z2"]
     assert (told["finding"], told["sure"]) == ("gone", 1.0)
     assert told["seen"] == "100% of its nodes fail from z0 (2 gateways)"
@@ -580,18 +622,20 @@
     """One gateway that sees a zone fail is enough."""
 
     def diagnose(reports: Any, sizes: Any) -> dict[str, Finding]:
-        seen = [(zone, one) for report in reports for zone, one in report.sights.items()]
+        seen = [(zone, one) for report in reports for zone, one in report.observations.items()]
         gone = {zone for zone, one in seen if one.failed == one.known}
-        kinds = {zone: Kind.GONE if zone in gone else Kind.WELL for zone in sizes}
+        kinds = {
+            zone: ZoneCondition.FAILED if zone in gone else ZoneCondition.HEALTHY for zone in sizes
+        }
         return {zone: Finding(kind, 1.0, "") for zone, kind in kinds.items()}
 
     patch.setattr("sailhitch.zones.controller.diagnose", diagnose)
 
 
 def _steps_without_evidence(patch: Patch) -> None:
-    patch.setattr(rollout, "NEEDED", 0)
-    patch.setattr(rollout, "SURE_BAD", 1 << 30)
-    patch.setattr(rollout, "BAD", 1.0)
+    patch.setattr(rollout, "MIN_REQUESTS", 0)
+    patch.setattr(rollout, "MIN_FAILURES", 1 << 30)
+    patch.setattr(rollout, "MAX_FAILURE_RATIO", 1.0)
 
 
 def _believes_each(patch: Patch) -> None:
@@ -601,7 +645,7 @@
         return StepOutcomes(sum(e for e, _ in said), sum(f for _, f in said))
 
     patch.setattr(evidence, "aggregate", fleet)
-    patch.setattr(rollout, "SURE_BAD", 2)
+    patch.setattr(rollout, "MIN_FAILURES", 2)
 
 
 def _waits_for_what_is_pending(patch: Patch) -> None:
