--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -1,4 +1,4 @@
-"""What an ordinary HTTP request means: its route, and by that its class, deadline and pool."""
+"""Reads ordinary HTTP requests: the route, and by it the class, deadline and pool."""
 
 from __future__ import annotations
 
@@ -23,15 +23,16 @@
     choose_pool,
     normal_path,
 )
+from .schema import ClassPart
 from .tables import Tables, effect_of
 
 _TEXT: Final = [(b"content-type", b"Content-Type", b"text/plain")]
-MOST_KEY: Final = 256  # bytes of an Idempotency-Key
+MAX_KEY_LENGTH: Final = 256  # bytes of an Idempotency-Key
 
 
-def come_back(why: bytes) -> Response:
-    """Turned away for what will soon be over: a repeat in a second is harmless."""
-    return Response(503, [*_TEXT, (b"retry-after", b"Retry-After", b"1")], why)
+def come_back(reason: bytes) -> Response:
+    """Return a 503 for a condition that ends soon: a retry after a second is harmless."""
+    return Response(503, [*_TEXT, (b"retry-after", b"Retry-After", b"1")], reason)
 
 
 HELD_BACK: Final = come_back(b"a change of its route is under way\n")
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingView:
-    """All that a request's reading depends on, as of one serial; replaced as a whole."""
+    """All that reading a request depends on, as of one serial; replaced, never changed."""
 
     routes: Routes
     pools: Mapping[str, Pool]
@@ -50,47 +51,47 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassOverlap:
-    """Rules that hold beside those of a view: what may not be repeated at will goes by both."""
+    """Rules of a pending state: requests that are not idempotent have to satisfy these too."""
 
     routes: Routes
-    stated_effects: Mapping[str, str | None]  # as stated, by class
+    stated_effects: Mapping[str, str | None]  # as the file states them, by class
 
 
-Gate = Callable[[str], Response | None]  # by effect: an answer in place of the request, or None
+Gate = Callable[[str], Response | None]  # by effect: the response that rejects, None to admit
 
 
 class RoutedIntake:
     """Reads ordinary clients' requests by routes.
 
-    A client may bring the platform's fields: `Req-Id` and `Req-Deadline-Ms` hold within what the
-    class allows, `Req-Kind` and `Req-Owner` are only looked at by routes. What class a request has
-    is the route's word alone, and the node is told that one.
+    A client may send the platform's fields: `Req-Id` and `Req-Deadline-Ms` are taken within the
+    limits of the class, `Req-Kind` and `Req-Owner` only count for the choice of a route. The route
+    alone decides the class, and the node gets that one.
     """
 
     own = OWN | {b"req-kind"}
 
-    view: RoutingView  # set by the first switch, before anybody is taken in
-    gate: Gate | None = None  # asked of each request, where there is somebody to ask
-    held_back = 0  # requests that two sets of rules send to different places
+    view: RoutingView  # set by the first switch, before clients are accepted
+    gate: Gate | None = None  # asked for each request, where there is one
+    held_back = 0  # requests that active and pending rules would route differently
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
         self.sticky: Sticky[Pool] = Sticky()
-        self._prefix = secrets.token_hex(6)  # no two processes make the same id
+        self._prefix = secrets.token_hex(6)  # so that no two processes generate the same id
         self._count = itertools.count(1)
 
     def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
-        """Fill in the request. Raises RejectError."""
+        """Fill in the request; return whether it is to be forwarded. Raises RejectError."""
         if head.url.partition(b"?")[0] == READY_PATH and b"req-id" not in found:
             return False
         view = self.view
-        asked = self._asked(head, found, view.routes)
-        route = view.routes.find(asked)
+        query = self._query(head, found, view.routes)
+        route = view.routes.find(query)
         if route is None:
             request.fallback_response = Response(404, _TEXT, b"no route matches\n")
             return False
         key = found.get(b"idempotency-key")
-        if key is not None and not 0 < len(key) <= MOST_KEY:
+        if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
             raise RejectError(400, "Idempotency-Key is empty or too long")
         if head.method in (b"GET", b"HEAD") and head.has_body():
             raise RejectError(400, "a body where the method has none")
@@ -98,29 +99,22 @@
         request.rules_revision = view.rules_revision
         refusal = None if self.gate is None else self.gate(effect)
         if refusal is None and view.class_overlap is not None:
-            by = key if effect == Idempotency.KEYED and key is not None else None
-            by = by or found.get(b"cookie") or found.get(b"req-id") or b""
-            if not _agree(view.class_overlap, route, asked, effect, key, by):
+            split_key = key if effect == Idempotency.KEYED and key is not None else None
+            split_key = split_key or found.get(b"cookie") or found.get(b"req-id") or b""
+            if not _agree(view.class_overlap, route, query, effect, key, split_key):
                 refusal = HELD_BACK
                 self.held_back += 1
         if refusal is not None:
             request.fallback_response = refusal
             return False
-        request.head_only = head.method == b"HEAD"
-        request.tenant = view.tables.tenant(found.get(b"req-owner", b"").decode("latin-1"))
-        request.repeat = found.get(b"req-retry") == b"1"
-        self._name(request, found)
-        request.head += b"Req-Kind: %s\r\n" % route.cls.encode()
         part = view.tables.class_part(route.cls)
-        longest = part.deadline // 1000
-        wait = found.get(b"req-deadline-ms")
-        request.wait_ms = longest if wait is None else min(read_wait(wait), longest)
+        self._fill_in(head, found, request, part)
         if effect == Idempotency.KEYED and key is not None:
             pool = self._keyed_pool(route.pools, key, part.deadline + part.remembered())
         else:
             pool = view.pools[choose_pool(route.pools, found.get(b"cookie") or request.name)]
         if view.pools.get(pool.name) is not pool:
-            # Another pool knows nothing of a first try that may have run in this one.
+            # Another pool does not know of a first attempt that may have been made in this one.
             request.fallback_response = Response(
                 503, _TEXT, b"the pool that this key went to was removed\n"
             )
@@ -129,15 +123,33 @@
         request.request_class = pool.settings.classes[number]
         return True
 
-    def _asked(self, head: Head, found: dict[bytes, bytes], routes: Routes) -> RouteQuery:
+    def _fill_in(
+        self, head: Head, found: dict[bytes, bytes], request: RequestContext, part: ClassPart
+    ) -> None:
+        """Set what does not depend on the pool: tenant, name, class and waiting time."""
+        request.head_only = head.method == b"HEAD"
+        request.tenant = self.view.tables.tenant(found.get(b"req-owner", b"").decode("latin-1"))
+        request.repeat = found.get(b"req-retry") == b"1"
+        name = found.get(b"req-id")
+        if name is None:
+            request.name = f"{self._prefix}-{next(self._count):x}".encode()
+            request.head += b"Req-Id: %s\r\n" % request.name
+        else:
+            request.name = read_name(name)
+        request.head += b"Req-Kind: %s\r\n" % part.name.encode()
+        max_wait_ms = part.deadline // 1000
+        wait = found.get(b"req-deadline-ms")
+        request.wait_ms = max_wait_ms if wait is None else min(read_wait(wait), max_wait_ms)
+
+    def _query(self, head: Head, found: dict[bytes, bytes], routes: Routes) -> RouteQuery:
         try:
             path = normal_path(head.url)
         except PathError as error:
             raise RejectError(400, str(error)) from None
         header: dict[str, str] = {}
         if routes.fields:
-            for low, _, value in head.fields:
-                name = low.decode("latin-1")
+            for lower_name, _, value in head.fields:
+                name = lower_name.decode("latin-1")
                 if name in routes.fields:
                     header.setdefault(name, value.decode("latin-1"))
         cls = found.get(b"req-kind")
@@ -151,19 +163,10 @@
             None if tenant is None else tenant.decode("latin-1"),
         )
 
-    def _name(self, request: RequestContext, found: dict[bytes, bytes]) -> None:
-        name = found.get(b"req-id")
-        if name is not None:
-            request.name = read_name(name)
-            return
-        request.name = f"{self._prefix}-{next(self._count):x}".encode()
-        request.head += b"Req-Id: %s\r\n" % request.name
-
     def _keyed_pool(self, pools: tuple[tuple[str, float], ...], key: bytes, keep: int) -> Pool:
         """Return the pool that a key went to within `keep`, else the one that the split gives it.
 
-        For a key that has gone to a pool it is that one, also if it is gone or another has taken
-        its name.
+        The former may have been removed meanwhile, or another pool may have its name.
         """
         now = self.clock()
         pool = self.sticky.get(key, now) or self.view.pools[choose_pool(pools, key)]
@@ -172,31 +175,31 @@
 
 
 def _agree(
-    also: RequestClassOverlap,
+    overlap: RequestClassOverlap,
     route: Route,
-    asked: RouteQuery,
+    query: RouteQuery,
     effect: str,
     key: bytes | None,
-    by: bytes,
+    split_key: bytes,
 ) -> bool:
-    """Return whether a request may go as `route` says, by the other rules too.
+    """Return whether a request may take `route` by the pending rules too.
 
-    One that is safe by both goes as the first ones say. Any other goes only where both give it the
-    same class and, by what it is chosen by, the same pool; what has no key, id or cookie is chosen
-    for at random, so only a route with one and the same pool will do.
+    One that is safe by both takes the active route. Any other has to get the same class by both
+    and, by its split key, the same pool. One without a key, id or cookie is split at random, so
+    both routes must have the same pools.
     """
-    other = also.routes.find(asked)
+    other = overlap.routes.find(query)
     if effect == Idempotency.SAFE:
         if other is None:
             return True
-        stated = also.stated_effects.get(other.cls)
+        stated = overlap.stated_effects.get(other.cls)
         return (
-            effect_of(stated, asked.method.encode("latin-1"), key is not None) == Idempotency.SAFE
+            effect_of(stated, query.method.encode("latin-1"), key is not None) == Idempotency.SAFE
         )
     if other is None or other.cls != route.cls:
         return False
     if route.pools == other.pools:
         return True
-    if not by:
+    if not split_key:
         return False
-    return choose_pool(route.pools, by) == choose_pool(other.pools, by)
+    return choose_pool(route.pools, split_key) == choose_pool(other.pools, split_key)
--- a/sailhitch/daemon/routes.py
+++ b/sailhitch/daemon/routes.py
@@ -1,6 +1,6 @@
 """Which route a request takes, and which pool: the lookup and the split. Sans-IO.
 
-The order, written down: of the routes that match a request, the one wins that
+Of the routes that match a request, the one takes precedence that
 
 1. names its host exactly, then by the longest `*.` pattern, then by none;
 2. has the longest path prefix, counted in whole segments;
@@ -20,12 +20,12 @@
 from typing import Final, Generic, TypeVar
 
 T = TypeVar("T")
-MOST_LABELS: Final = 20  # of a host; a longer one is looked up by its last ones
+MAX_LABELS: Final = 20  # of a host; a longer one is looked up by its last labels
 
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """What a request must be. Empty and None stand for anything. Header names are lower case."""
+    """What a route requires; empty and None match anything. Header names are lower case."""
 
     path_prefix: str = "/"
     host: str | None = None
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteQuery:
-    """A request as far as routes look at it. `path` is normal (`normal_path`), names lower case."""
+    """What routes match of a request; `path` is normalized (`normal_path`), names lower case."""
 
     method: str
     path: str
@@ -58,15 +58,17 @@
 
 
 class PathError(ValueError):
-    """A path that two readers could take differently."""
+    """A path that a gateway and a node could interpret differently."""
 
 
 def normal_path(target: bytes) -> str:
-    """The path of a request's target, without escapes of what needs none (RFC 3986, 6.2.2.2).
+    """Return the path of a request's target, without needless escapes (RFC 3986, 6.2.2.2).
 
-    Raises PathError. Guards against a path that is one route's here and another's at the node:
-    dot segments, and slashes or NUL in disguise, are refused and not guessed at. That does harm to
-    an application that means something by them.
+    Dot segments and escaped slashes and NULs are rejected, as a node could resolve them to a path
+    of another route. An application that relies on them can't be served.
+
+    Raises:
+        PathError: The target is no path, or an ambiguous one.
     """
     path = target.partition(b"?")[0].partition(b"#")[0]
     if not path.startswith(b"/"):
@@ -86,7 +88,7 @@
     if b"%" not in path:
         return path.decode("latin-1")
     first, *rest = path.split(b"%")
-    made = [first.decode("latin-1")]
+    decoded = [first.decode("latin-1")]
     for part in rest:
         code = part[:2]
         if len(code) < 2 or any(c not in b"0123456789abcdefABCDEF" for c in code):
@@ -96,17 +98,19 @@
             raise PathError("target hides a slash or a zero byte")
         char = chr(byte)
         plain = char.isascii() and (char.isalnum() or char in "-._~")
-        made.append((char if plain else "%" + code.decode().upper()) + part[2:].decode("latin-1"))
-    return "".join(made)
+        decoded.append(
+            (char if plain else "%" + code.decode().upper()) + part[2:].decode("latin-1")
+        )
+    return "".join(decoded)
 
 
 def _segments(prefix: str) -> str:
-    """A prefix as it is looked up: "" for the root, no slash at its end."""
+    """Return a prefix as it is looked up: "" for the root, no slash at its end."""
     return prefix.rstrip("/")
 
 
 def _rank(match: Match) -> tuple[int, int, bool, bool, int, bool]:
-    """Return how specific: compared as a whole, more is more so."""
+    """Return how specific a match is; the greater tuple takes precedence."""
     host = match.host
     exact = 0 if host is None else len(host) if host.startswith("*.") else 1 << 20
     return (
@@ -119,25 +123,25 @@
     )
 
 
-def _apart(one: Match, other: Match) -> bool:
-    """Return whether no request can match both, as far as host and path do not say so."""
-    if one.methods and other.methods and not one.methods & other.methods:
+def _are_disjoint(first: Match, second: Match) -> bool:
+    """Return whether no request can match both, leaving host and path aside."""
+    if first.methods and second.methods and not first.methods & second.methods:
         return True
-    if one.tenant != other.tenant and None not in (one.tenant, other.tenant):
+    if first.tenant != second.tenant and None not in (first.tenant, second.tenant):
         return True
-    if one.cls != other.cls and None not in (one.cls, other.cls):
+    if first.cls != second.cls and None not in (first.cls, second.cls):
         return True
-    theirs = dict(other.header)
-    return any(name in theirs and theirs[name] != value for name, value in one.header)
+    fields = dict(second.header)
+    return any(name in fields and fields[name] != value for name, value in first.header)
 
 
 def tied(routes: Iterable[Route]) -> Iterator[tuple[Route, Route]]:
-    """Pairs of routes between which nothing decides for some request; the later one second.
+    """Yield the pairs of routes of equal precedence that some request matches, later one second.
 
-    Prefixes of one length that both match a path are the same, as are patterns of a host. Routes
-    of one place that ask for different values of the same field are apart, and not compared.
+    Prefixes of one length that both match a path are equal, and so are patterns of a host. Routes
+    of one host and prefix that require different values of a field are not compared.
     """
-    places: dict[tuple[object, ...], dict[str, dict[str, list[Route]]]] = {}
+    by_rank: dict[tuple[object, ...], dict[str, dict[str, list[Route]]]] = {}
     for route in routes:
         match = route.match
         key = (
@@ -148,26 +152,26 @@
             match.cls,
         )
         name, value = match.header[0] if match.header else ("", "")
-        place = places.setdefault(key, {})
-        for other, values in place.items():
-            near = [values.get(value, [])] if other == name else values.values()
-            for earlier in (one for group in near for one in group):
-                if not _apart(earlier.match, match):
+        by_field = by_rank.setdefault(key, {})
+        for other, values in by_field.items():
+            groups = [values.get(value, [])] if other == name else values.values()
+            for earlier in (candidate for group in groups for candidate in group):
+                if not _are_disjoint(earlier.match, match):
                     yield earlier, route
-        place.setdefault(name, {}).setdefault(value, []).append(route)
+        by_field.setdefault(name, {}).setdefault(value, []).append(route)
 
 
-class _Place:
-    """The routes of one host and prefix, by the field that tells most of them apart."""
+class _RouteGroup:
+    """The routes of one host and prefix, indexed by their most selective field."""
 
-    __slots__ = ("by", "names")
+    __slots__ = ("header_names", "index")
 
     def __init__(self) -> None:
-        self.by: dict[tuple[str, str], list[tuple[int, Route]]] = {}
-        self.names: set[str] = set()  # of header fields that some route is found by
+        self.index: dict[tuple[str, str], list[tuple[int, Route]]] = {}
+        self.header_names: set[str] = set()  # of header fields in the index
 
     def add(self, order: int, route: Route) -> None:
-        """Take one in; they come in their order, most specific first."""
+        """Add a route; routes are added by precedence, most specific first."""
         match = route.match
         if match.tenant is not None:
             key = ("tenant", match.tenant)
@@ -176,79 +180,80 @@
         elif match.header:
             name, value = match.header[0]
             key = (f"header {name}", value)
-            self.names.add(name)
+            self.header_names.add(name)
         else:
             key = ("any", "")
-        self.by.setdefault(key, []).append((order, route))
+        self.index.setdefault(key, []).append((order, route))
 
-    def find(self, asked: RouteQuery) -> Route | None:
-        found: tuple[int, Route] | None = None
-        for key in self._keys(asked):
-            for entry in self.by.get(key, ()):
-                if found is not None and entry[0] >= found[0]:
+    def find(self, query: RouteQuery) -> Route | None:
+        best: tuple[int, Route] | None = None
+        for key in self._keys(query):
+            for entry in self.index.get(key, ()):
+                if best is not None and entry[0] >= best[0]:
                     break
-                if _fits(entry[1].match, asked):
-                    found = entry
+                if _fits(entry[1].match, query):
+                    best = entry
                     break
-        return None if found is None else found[1]
-
-    def _keys(self, asked: RouteQuery) -> Iterator[tuple[str, str]]:
-        if asked.tenant is not None:
-            yield "tenant", asked.tenant
-        if asked.cls is not None:
-            yield "class", asked.cls
-        for name in self.names:
-            value = asked.header.get(name)
+        return None if best is None else best[1]
+
+    def _keys(self, query: RouteQuery) -> Iterator[tuple[str, str]]:
+        if query.tenant is not None:
+            yield "tenant", query.tenant
+        if query.cls is not None:
+            yield "class", query.cls
+        for name in self.header_names:
+            value = query.header.get(name)
             if value is not None:
                 yield f"header {name}", value
         yield "any", ""
 
 
-def _fits(match: Match, asked: RouteQuery) -> bool:
+def _fits(match: Match, query: RouteQuery) -> bool:
     return (
-        (not match.methods or asked.method in match.methods)
-        and (match.tenant is None or match.tenant == asked.tenant)
-        and (match.cls is None or match.cls == asked.cls)
-        and all(asked.header.get(name) == value for name, value in match.header)
+        (not match.methods or query.method in match.methods)
+        and (match.tenant is None or match.tenant == query.tenant)
+        and (match.cls is None or match.cls == query.cls)
+        and all(query.header.get(name) == value for name, value in match.header)
     )
 
 
 class Routes:
-    """The table of routes; never changed once made."""
+    """An immutable table of routes."""
 
     def __init__(self, routes: Sequence[Route]) -> None:
-        self.fields = frozenset(n for route in routes for n, _ in route.match.header)
-        self._places: dict[str | None, dict[str, _Place]] = {}
-        for i, route in enumerate(sorted(routes, key=lambda r: _rank(r.match), reverse=True)):
+        self.fields = frozenset(name for route in routes for name, _ in route.match.header)
+        self._groups: dict[str | None, dict[str, _RouteGroup]] = {}
+        by_precedence = sorted(routes, key=lambda route: _rank(route.match), reverse=True)
+        for order, route in enumerate(by_precedence):
             match = route.match
-            at = self._places.setdefault(match.host, {})
-            at.setdefault(_segments(match.path_prefix), _Place()).add(i, route)
-
-    def find(self, asked: RouteQuery) -> Route | None:
-        """Return the route that wins, or None where none matches."""
-        for host in self._hosts(asked.host):
-            places = self._places.get(host)
-            if places is None:
+            by_prefix = self._groups.setdefault(match.host, {})
+            by_prefix.setdefault(_segments(match.path_prefix), _RouteGroup()).add(order, route)
+
+    def find(self, query: RouteQuery) -> Route | None:
+        """Return the matching route that takes precedence, None where none matches."""
+        for host in self._hosts(query.host):
+            by_prefix = self._groups.get(host)
+            if by_prefix is None:
                 continue
-            for prefix in _prefixes(asked.path):
-                place = places.get(prefix)
-                found = place.find(asked) if place is not None else None
-                if found is not None:
-                    return found
+            for prefix in _prefixes(query.path):
+                group = by_prefix.get(prefix)
+                route = group.find(query) if group is not None else None
+                if route is not None:
+                    return route
         return None
 
     def _hosts(self, host: str) -> Iterator[str | None]:
-        """Return the patterns that a host matches, most specific first."""
-        if host and len(self._places) > (None in self._places):
+        """Yield the patterns that a host matches, most specific first."""
+        if host and len(self._groups) > (None in self._groups):
             yield host
-            labels = host.split(".")[-MOST_LABELS:]
+            labels = host.split(".")[-MAX_LABELS:]
             for i in range(1, len(labels)):
                 yield "*." + ".".join(labels[i:])
         yield None
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """Return all prefixes of whole segments, longest first, without a slash at their end."""
+    """Yield all prefixes of complete segments, longest first, without a slash at their end."""
     path = path.rstrip("/")
     while True:
         yield path
@@ -271,8 +276,9 @@
 def choose_pool(pools: Sequence[tuple[str, float]], key: bytes) -> str:
     """Return the pool of a request with this key, each by its weight.
 
-    Weighted rendezvous hashing: a key moves only from a pool whose part has shrunk to one whose
-    part has grown, and as few do as must. Raises ValueError if no weight is above 0.
+    Weighted rendezvous hashing: when weights change, as few keys move as possible, and only from
+    pools whose share has shrunk to pools whose share has grown. Raises ValueError if no weight is
+    above 0.
     """
     open_pools = [(name, weight) for name, weight in pools if weight > 0]
     if len(open_pools) == 1:
@@ -289,15 +295,15 @@
 
 
 class Sticky(Generic[T]):
-    """Which pool a key went to, for as long as its repeats may come; bounded.
+    """Which pool an idempotency key went to, for as long as its retries may come; bounded.
 
-    Guards against a client's repeat of a keyed request after its split has changed: the other pool
-    knows nothing of the first try, and the effect would happen twice. What is forgotten, by
-    a restart or for want of room, goes by the split as it is then.
+    A client may retry a keyed request after the split has changed. Another pool does not know of
+    the first attempt, and the effect would happen twice. Keys that were dropped, by a restart or
+    for lack of space, are split anew.
     """
 
-    def __init__(self, most: int = 100_000) -> None:
-        self.most = most
+    def __init__(self, max_keys: int = 100_000) -> None:
+        self.max_keys = max_keys
         self._known: dict[bytes, tuple[T, int]] = {}  # oldest first
 
     def __len__(self) -> int:
@@ -309,10 +315,10 @@
         return known[0] if known is not None and now < known[1] else None
 
     def note(self, key: bytes, pool: T, now: int, until: int) -> None:
-        """A request with this key goes to this pool; that counts until then."""
+        """Remember until `until` that a request with this key goes to this pool."""
         self._known.pop(key, None)
         self._known[key] = (pool, until)
-        while len(self._known) > self.most or self._oldest() <= now:
+        while len(self._known) > self.max_keys or self._oldest() <= now:
             del self._known[next(iter(self._known))]
 
     def _oldest(self) -> int:
