--- a/sailhitch/daemon/tables.py
+++ b/sailhitch/daemon/tables.py
@@ -18,11 +18,8 @@
 )
 from .schema import ClassPart, GatewayPart, OperatorFile
 
-EFFECTS: Final = (
-    Idempotency.SAFE,
-    Idempotency.KEYED,
-    Idempotency.UNSAFE,
-)  # of each class there is one of each, in this order
+# Each class has a number for each of these, in this order.
+EFFECTS: Final = (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
 _STATED: Final = {
     "safe": Idempotency.SAFE,
     "keyed": Idempotency.KEYED,
--- a/sailhitch/zones/controller.py
+++ b/sailhitch/zones/controller.py
@@ -29,9 +29,8 @@
 REPORT_INTERVAL: Final = 200_000  # us between two reports, and two looks at all reports
 PROPOSAL_SPREAD: Final = 1_000_000  # us over which members' proposals of a step are spread
 MAX_REASON_LENGTH: Final = 200  # characters of an operator's reason
-MIN_FAILED_TIME: Final = (
-    500_000  # us for which a zone must be found gone before anybody proposes it
-)
+# us for which a zone must be diagnosed as failed before a gateway proposes to leave it
+MIN_FAILED_TIME: Final = 500_000
 HOUR: Final = 3_600_000_000  # us
 
 ZonesByPool = Mapping[str, Mapping[str, str]]  # the zone of each node, by pool
--- a/sailhitch/zones/health_tracker.py
+++ b/sailhitch/zones/health_tracker.py
@@ -10,9 +10,8 @@
 from collections.abc import Mapping
 from typing import Final, NamedTuple
 
-MIN_FAILURE_RUN: Final = (
-    2  # nodes that fail one after the other, after which older successes say nothing
-)
+# Nodes of a zone that fail in a row, after which older successes there do not count.
+MIN_FAILURE_RUN: Final = 2
 OUTCOME_TTL: Final = 60_000_000  # us for which an outcome counts
 
 
--- a/sailhitch/zones/rollout.py
+++ b/sailhitch/zones/rollout.py
@@ -18,9 +18,8 @@
 AUTOMATION: Final = "automation"  # the author of orders that no operator has given
 FIRST: Final = 0.1  # share of the first step
 MIN_REQUESTS: Final = 20  # requests that must end in a zone before its step may succeed
-MAX_FAILURE_RATIO: Final = (
-    0.1  # part of them that may fail: the least that is told from chance by so many
-)
+# Of a step's requests: the least ratio that so few requests distinguish from chance.
+MAX_FAILURE_RATIO: Final = 0.1
 MIN_FAILURES: Final = 8  # before a step fails early, so that two failures of three are no relapse
 MAX_FAILED_RECOVERIES: Final = 6  # after which the zone is left to an operator
 
