--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -19,7 +19,7 @@
 
 from sailhitch.daemon.state_tree import to_tree
 from sailhitch.pages import Tree
-from sailhitch.tier.content_store import PAGE, ContentStore
+from sailhitch.tier.content_store import PAGE_KEY_PREFIX, ContentStore
 from sailhitch.tier.effects import ApplyVersions, JobCompleted, Persist, ProposalResult, Send
 from sailhitch.tier.member import CHOSEN_KEY, BootstrapVersion, Member, MemberStatus, TierConfig
 from sailhitch.tier.messages import Message
@@ -325,4 +325,4 @@
                 continue
             self.disk[name] = value
             self.kept.bytes += len(value)
-            self.kept.pages += name.startswith(PAGE)
+            self.kept.pages += name.startswith(PAGE_KEY_PREFIX)
--- a/benchmarks/scale/state_slopes.py
+++ b/benchmarks/scale/state_slopes.py
@@ -202,7 +202,7 @@
         found.datagrams += 1
         return envelope.message
 
-    target.want(name, names[0])
+    target.fetch(name, names[0])
     begun = time.process_time()
     while not target.has(name):
         assert found.now < FETCHED_WITHIN, f"{name}: not fetched"
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -57,14 +57,14 @@
     """First, last, and back again; raises AssertionError where that takes over two minutes."""
     world = fleet(members, seed, loss)
     began, first, last = world.kernel.now, 0, 0
-    world.frozen.add("z2")
+    world.failed_zones.add("z2")
     while not last:
         world.kernel.run(world.kernel.now + S // 50)
         gone = out(world, "z2")
         first = first or (world.kernel.now if any(gone) else 0)
         last = world.kernel.now if all(gone) else 0
         assert world.kernel.now < began + 120 * S, f"{members} members, seed {seed}: not left"
-    world.frozen.clear()
+    world.failed_zones.clear()
     since = world.kernel.now
     while any(process.inactive_nodes for process in world.processes.values()):
         world.kernel.run(world.kernel.now + S // 10)
@@ -99,7 +99,7 @@
         for name in chosen:
             process = world.processes[name]
             process.pause()
-            world.kernel.after(rng.randrange(S, 10 * S), process.wake)
+            world.kernel.after(rng.randrange(S, 10 * S), process.resume)
     world.kernel.run(world.kernel.now + 20 * S)
     left = sorted(
         {zone for controller in controllers.values() for zone in controller.traffic_policy.zones}
--- a/sailhitch/__main__.py
+++ b/sailhitch/__main__.py
@@ -13,7 +13,7 @@
 
 from . import __version__
 from .core.log import Log
-from .core.process import drain, finish, heed, hold_signals, settle_memory
+from .core.process import block_signals, drain, finish, freeze_startup_objects, unblock_signals
 from .net.config import Config, ConfigError, adopt_socket, load_config, reload_config
 from .net.listener import Listener
 from .net.platform import Platform
@@ -73,7 +73,7 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    heed(signal.SIGTERM, signal.SIGINT)
+    unblock_signals(signal.SIGTERM, signal.SIGINT)
     platform.begin()
 
     async def listen() -> Listener:
@@ -84,11 +84,11 @@
     operator_server = await _open_operator_server(config, platform, takeover)
     watch = loop.create_task(platform.discovery.run())
     loop.add_signal_handler(signal.SIGHUP, Reloader(platform, log).reload)
-    heed(signal.SIGHUP)
+    unblock_signals(signal.SIGHUP)
     if held is None:
         listener.start()
     _log_start(config, log)
-    settle_memory()
+    freeze_startup_objects()
     await _wait_for_list(platform, stop)
     if held is not None:
         listener.start()  # until now new clients were served by the predecessor
@@ -102,7 +102,7 @@
     watch.cancel()
     _close(platform, operator_server, takeover)
     # The loop takes its handlers with it, and a signal that comes after it would kill.
-    hold_signals()
+    block_signals()
     log.write("drained")
 
 
@@ -187,7 +187,7 @@
     if arguments:
         print(f"sailhitch: unknown argument: {arguments[0]}", file=sys.stderr)
         return 2
-    hold_signals()
+    block_signals()
     try:
         config = load_config(os.environ)
         held = None if config.held_socket is None else adopt_socket(config.held_socket)
--- a/sailhitch/core/budget.py
+++ b/sailhitch/core/budget.py
@@ -5,8 +5,8 @@
 from typing import Final
 
 MB: Final = 1 << 20
-HELD_MOST: Final = 64 * 1024  # longest body that is buffered; longer ones are streamed
-LONGEST: Final = 40 * MB  # of a body; expected are up to 32 MB
+MAX_BUFFERED_BODY: Final = 64 * 1024  # longest body that is buffered; longer ones are streamed
+MAX_BODY_BYTES: Final = 40 * MB  # of a body; expected are up to 32 MB
 PROCESS_MEMORY: Final = 32 * MB  # for everything but bodies, responses and buffers
 # Bodies may use one part in so many of the rest; responses and buffers need theirs.
 BODY_SHARE: Final = 3
@@ -28,14 +28,14 @@
     def __init__(self, memory_mb: int) -> None:
         self.reserved = 0
         self.limit = 0
-        self.flows = 0  # bytes in transit of bodies and responses that are streamed
+        self.streamed = 0  # bytes in transit of bodies and responses that are streamed
         self.resize(memory_mb)
 
     def resize(self, memory_mb: int) -> None:
         """Set the limit by the memory of the process."""
         self.limit = max(MIN_LIMIT, (memory_mb * MB - PROCESS_MEMORY) // BODY_SHARE)
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Reserve bytes that have arrived; return False, reserving none, if they don't fit in."""
         if self.reserved + size > self.limit:
             return False
@@ -44,8 +44,8 @@
 
     def share(self) -> float:
         """Return the share in use, of buffered or of streamed bytes, whichever is larger."""
-        return max(self.reserved, self.flows) / self.limit
+        return max(self.reserved, self.streamed) / self.limit
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Release reserved bytes."""
         self.reserved -= size
--- a/sailhitch/core/core.py
+++ b/sailhitch/core/core.py
@@ -55,7 +55,7 @@
         self.invariants = Invariants(logger)
         self.pools: list[Pool] = []
         self.clients: dict[Connection, None] = {}
-        self.admission = ConnectionAdmission(limits.sizes(), self.clock())
+        self.admission = ConnectionAdmission(limits.connection_budget(), self.clock())
         self.arriving: set[Connection] = set()  # accepted, not yet among `clients`
         # Listeners that close once their queues are empty.
         self.draining_listeners: set[object] = set()
@@ -103,7 +103,7 @@
         """Apply other limits; open requests continue."""
         self.limits = limits
         self.budget.resize(limits.memory_mb)
-        self.admission.resize(limits.sizes())
+        self.admission.resize(limits.connection_budget())
 
     def _fire(self, target: TimerTarget, at: int, now: int) -> None:
         if target is None:
@@ -258,7 +258,7 @@
 
     def release_body(self, request: RequestContext) -> None:
         """Release the request's body."""
-        self.budget.give_back(request.reserved)
+        self.budget.release(request.reserved)
         request.reserved = 0
         request.body = b""
         if request.upload is not None:
--- a/sailhitch/core/interfaces.py
+++ b/sailhitch/core/interfaces.py
@@ -45,7 +45,7 @@
     def cut(self) -> None:
         """Abort the response, so that the client can tell that it is incomplete."""
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has closed its connection, even if that is unread."""
 
 
--- a/sailhitch/core/pool.py
+++ b/sailhitch/core/pool.py
@@ -130,7 +130,7 @@
                 request.work,
                 request.key,
                 request.tenant,
-                request.repeat,
+                request.is_retry,
                 request.is_uploading(),
             ),
         )
@@ -377,4 +377,4 @@
 
 def _has_client_left(request: RequestContext) -> bool:
     """Return whether the client has disconnected, even if that is unread."""
-    return request.client is not None and request.client.left()
+    return request.client is not None and request.client.has_disconnected()
--- a/sailhitch/core/process.py
+++ b/sailhitch/core/process.py
@@ -17,7 +17,7 @@
 HANDLED_SIGNALS: Final = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 
 
-def hold_signals() -> None:
+def block_signals() -> None:
     """Block the signals: before a handler is set, or after it is removed, they would kill.
 
     At the start they stay pending until `heed`; at the end until the process exits.
@@ -25,12 +25,12 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def heed(*signals: signal.Signals) -> None:
+def unblock_signals(*signals: signal.Signals) -> None:
     """Unblock signals whose handlers are set, pending ones included."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, signals)
 
 
-def settle_memory() -> None:
+def freeze_startup_objects() -> None:
     """Exempt objects from garbage collection; call it once all long-lived ones exist."""
     gc.collect()
     gc.freeze()
--- a/sailhitch/core/request_context.py
+++ b/sailhitch/core/request_context.py
@@ -29,12 +29,12 @@
         "head_only",
         "id",
         "is_http_1_0",
+        "is_retry",
         "keep_alive",
         "key",
         "name",
         "open_attempts",
         "pool",
-        "repeat",
         "request_class",
         "reserved",
         "rules_revision",
@@ -60,7 +60,7 @@
         self.wait_ms = 0  # how long the client waits
         self.rules_revision = 0  # of the rules that it was read by, where they change
         self.key: int | None = None
-        self.repeat = False
+        self.is_retry = False
         self.keep_alive = True
         self.head_only = False  # only the head of the response is sent (HEAD)
         # A host's own error response, sent if no attempt succeeds.
--- a/sailhitch/core/resource_limits.py
+++ b/sailhitch/core/resource_limits.py
@@ -28,7 +28,7 @@
         """Return the number of connections that fronts use for requests."""
         return self.request_slots or max(1, self.descriptors // REQUEST_SLOT_SHARE)
 
-    def sizes(self) -> ConnectionBudget:
+    def connection_budget(self) -> ConnectionBudget:
         """Return the descriptors for connections of clients and to hosts."""
         descriptors = max(MIN_DESCRIPTORS, self.descriptors - RESERVED_DESCRIPTORS)
         return ConnectionBudget(descriptors, self.request_slot_count())
--- a/sailhitch/core/throughput_watchdog.py
+++ b/sailhitch/core/throughput_watchdog.py
@@ -29,32 +29,32 @@
         self._running_since: int | None = now  # since when the clock runs; None while it is stopped
         self._last_moved_at = 0  # counted time at which a byte last moved
 
-    def spent(self, now: int) -> int:
+    def counted_time(self, now: int) -> int:
         """Return the counted time."""
         return self._counted + (
             max(0, now - self._running_since) if self._running_since is not None else 0
         )
 
-    def move(self, size: int, now: int) -> None:
+    def record(self, size: int, now: int) -> None:
         """Record that bytes have moved."""
         if size > 0:
             self.moved += size
-            self._last_moved_at = self.spent(now)
+            self._last_moved_at = self.counted_time(now)
 
     def stop(self, now: int) -> None:
         """Stop the clock: the peer is not waited for."""
-        self._counted = self.spent(now)
+        self._counted = self.counted_time(now)
         self._running_since = None
 
-    def go(self, now: int) -> None:
+    def resume(self, now: int) -> None:
         """Run the clock again; the limit on time without a byte starts anew."""
         if self._running_since is None:
             self._running_since = now
             self._last_moved_at = self._counted
 
-    def overdue(self, now: int) -> bool:
+    def is_too_slow(self, now: int) -> bool:
         """Return whether the peer has stalled, or is slower than the rate."""
-        counted = self.spent(now)
+        counted = self.counted_time(now)
         if counted - self._last_moved_at > self.stall:
             return True
         return counted > self.grace and self.moved < (counted - self.grace) * self.rate // 1_000_000
--- a/sailhitch/core/upload.py
+++ b/sailhitch/core/upload.py
@@ -60,14 +60,14 @@
         self._reserve(len(start))
 
     def _reserve(self, size: int) -> None:
-        self.budget.flows += size - self._reserved
+        self.budget.streamed += size - self._reserved
         self._reserved = size
 
     def replayable(self) -> bool:
         """Return whether an attempt can still send it from its first byte on."""
         return self.start is not None and not self.abandoned
 
-    def came(self, data: bytes) -> None:
+    def add(self, data: bytes) -> None:
         """Add bytes that have arrived; `flush` follows at the end of each read."""
         self.size += len(data)
         if not self.abandoned:
@@ -102,12 +102,12 @@
         self.sink = sink
         return bytes(self.start), self.complete
 
-    def taken(self, sink: Sink) -> None:
+    def on_written(self, sink: Sink) -> None:
         """Continue reading, as the sink has written everything."""
         if self.sink is sink and not self.abandoned and not self.complete:
             self.source.resume_reading()
 
-    def left(self, sink: Sink) -> None:
+    def detach(self, sink: Sink) -> None:
         """Detach the sink of an attempt that is over."""
         if self.sink is sink:
             self.sink = None
--- a/sailhitch/daemon/admin.py
+++ b/sailhitch/daemon/admin.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from .tier_source import TierStateSource
 
-__all__ = ["MOVED", "Admin", "AdminError", "ask"]
+__all__ = ["MOVED", "AdminError", "AdminServer", "ask"]
 
 MAX_REQUEST_BYTES: Final = 32 << 20  # a plan for ten thousand nodes takes three MiB
 CLIENT_TIMEOUT: Final = 10.0  # s to receive a whole request, and to send its reply
@@ -40,7 +40,7 @@
 CHUNK_BYTES: Final = 1 << 16
 
 
-class Admin:
+class AdminServer:
     """Serves the admin socket."""
 
     def __init__(
--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -110,7 +110,7 @@
         part = view.tables.class_part(route.cls)
         self._fill_in(head, found, request, part)
         if effect == Idempotency.KEYED and key is not None:
-            pool = self._keyed_pool(route.pools, key, part.deadline + part.remembered())
+            pool = self._keyed_pool(route.pools, key, part.deadline + part.dedup_window())
         else:
             pool = view.pools[choose_pool(route.pools, found.get(b"cookie") or request.name)]
         if view.pools.get(pool.name) is not pool:
@@ -129,7 +129,7 @@
         """Set what does not depend on the pool: tenant, name, class and waiting time."""
         request.head_only = head.method == b"HEAD"
         request.tenant = self.view.tables.tenant(found.get(b"req-owner", b"").decode("latin-1"))
-        request.repeat = found.get(b"req-retry") == b"1"
+        request.is_retry = found.get(b"req-retry") == b"1"
         name = found.get(b"req-id")
         if name is None:
             request.name = f"{self._prefix}-{next(self._count):x}".encode()
--- a/sailhitch/daemon/process.py
+++ b/sailhitch/daemon/process.py
@@ -15,10 +15,10 @@
 
 from ..core.core import GatewayCore
 from ..core.log import Log
-from ..core.process import drain, heed, hold_signals, settle_memory
+from ..core.process import block_signals, drain, freeze_startup_objects, unblock_signals
 from ..tier.disk import DiskError
 from ..tier.wire import KeyFileError, load_keys
-from .admin import Admin, AdminError
+from .admin import AdminError, AdminServer
 from .schema import FileError, OperatorFile, TierPart, load_file
 from .source import LocalStateSource, StateSource
 from .state import from_file, with_bans
@@ -44,7 +44,7 @@
     store: Store | None = None
     own_store: Store | None = None
     tier: TierStateSource | None = None
-    admin: Admin | None = None
+    admin: AdminServer | None = None
 
     def close(self) -> None:
         """Close what is open: the admin socket first, the stores last."""
@@ -87,12 +87,14 @@
             state_applier, source = self._open(resources)
             applied = await source.start(self.file)
             if self.admin is not None:
-                resources.admin = Admin(state_applier, source, Path(self.admin), resources.tier)
+                resources.admin = AdminServer(
+                    state_applier, source, Path(self.admin), resources.tier
+                )
                 await resources.admin.start()
             self._signals(loop, source)
             self._log_start(applied, resources.tier)
             core.ready = resources.tier is None
-            settle_memory()
+            freeze_startup_objects()
             if ready is not None:
                 ready(state_applier)
             await self.stop.wait()
@@ -148,7 +150,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload, source)
-        heed(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        unblock_signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
     def _reload(self, source: StateSource) -> None:
         task = asyncio.get_running_loop().create_task(self._reread(source))
@@ -201,7 +203,7 @@
             }
             print(json.dumps(reply), flush=True)
 
-    hold_signals()
+    block_signals()
     try:
         file = load_file(path)
 
@@ -209,7 +211,7 @@
             try:
                 await Daemon(path, file, step, admin).run(ready)
             finally:
-                hold_signals()  # the loop takes its handlers with it
+                block_signals()  # the loop takes its handlers with it
 
         uvloop.run(main())
     except FileError as error:
--- a/sailhitch/daemon/schema_models.py
+++ b/sailhitch/daemon/schema_models.py
@@ -75,7 +75,7 @@
     dedup: Literal["pool", "zone", "cell"] = "cell"
     window: Duration | None = None
 
-    def remembered(self) -> int:
+    def dedup_window(self) -> int:
         """Return how long nodes remember a key, in microseconds."""
         return self.deadline if self.window is None else self.window
 
--- a/sailhitch/daemon/tables.py
+++ b/sailhitch/daemon/tables.py
@@ -57,7 +57,7 @@
     """All that the policy knows by number, as of one state."""
 
     def __init__(self, before: Tables | None, file: OperatorFile) -> None:
-        """Number what a state names.
+        """Assign numbers to what a state names.
 
         Args:
             before: The tables until now. Their numbers are kept, and so are the classes and
@@ -163,7 +163,7 @@
         late_weight=part.late_worth,
         idempotency=effect,
         idempotency_scope="all" if part.dedup == "pool" else part.dedup,
-        idempotency_window=part.remembered(),
+        idempotency_window=part.dedup_window(),
         stream=False,
         objective_per_work=0.0,
     )
--- a/sailhitch/daemon/tier_link.py
+++ b/sailhitch/daemon/tier_link.py
@@ -32,7 +32,14 @@
     Persist,
     Send,
 )
-from ..tier.member import CHOSEN_KEY, CONTENT, BootstrapVersion, Member, MemberStatus, TierConfig
+from ..tier.member import (
+    CHOSEN_KEY,
+    CONTENT_KEY_PREFIX,
+    BootstrapVersion,
+    Member,
+    MemberStatus,
+    TierConfig,
+)
 from ..tier.messages import ChosenState, Message
 from ..tier.wire import Keys, Wire
 from .endpoint_registry import address_of
@@ -123,9 +130,9 @@
         version = msgspec.msgpack.decode(
             self.kept[CHOSEN_KEY], type=ChosenState
         ).state.traffic_policy
-        if version is None or CONTENT + version.digest not in self.kept:
+        if version is None or CONTENT_KEY_PREFIX + version.digest not in self.kept:
             return None
-        packed = self.kept[CONTENT + version.digest]
+        packed = self.kept[CONTENT_KEY_PREFIX + version.digest]
         return ContentStore({version.digest: packed}).read(version.digest)
 
     async def start(self, bootstrap: BootstrapVersion | None) -> None:
--- a/sailhitch/daemon/zone_coordinator.py
+++ b/sailhitch/daemon/zone_coordinator.py
@@ -22,9 +22,9 @@
 from ..zones.controller import (
     ReceivedReports,
     ZoneController,
-    ZoneTerms,
-    all_inactive_nodes,
+    ZoneSettings,
     all_retried_nodes,
+    inactive_nodes_by_pool,
 )
 from ..zones.diagnosis import ZoneCondition
 from ..zones.traffic_policy import EMPTY_POLICY, TrafficPolicy, TrafficPolicyError, decode
@@ -67,7 +67,9 @@
         part = part or ZonesPart(mode="off")
         self.mode = part.mode
         step = 2 * gateway.cold_time if part.step is None else part.step
-        terms = ZoneTerms(part.max_out, step, gateway.zone, part.mode == "act", part.leaves_an_hour)
+        terms = ZoneSettings(
+            part.max_out, step, gateway.zone, part.mode == "act", part.leaves_an_hour
+        )
         self.controller = ZoneController(terms, random.Random(secrets.randbits(64)))
         self._conditions: dict[str, ZoneCondition] = {}  # as last logged
         self._proposal: asyncio.Task[None] | None = None
@@ -105,7 +107,7 @@
             return NodeOrders(frozenset(), frozenset())
         nodes = _by_pool(state)
         return NodeOrders(
-            all_inactive_nodes(traffic_policy, nodes),
+            inactive_nodes_by_pool(traffic_policy, nodes),
             all_retried_nodes(self.controller.traffic_policy, traffic_policy, nodes),
         )
 
@@ -147,7 +149,7 @@
         if member is None:
             return
         now = steady()
-        if self.mode == "off" or not self.controller.due(now):
+        if self.mode == "off" or not self.controller.is_due(now):
             return
         member.metadata, is_urgent = self.controller.report(now)
         if is_urgent:
@@ -156,7 +158,7 @@
         self._log_findings(received)
         if self._proposal is not None or self.link.member_status() is not MemberStatus.ACTIVE:
             return
-        proposal = self.controller.look(now, received)
+        proposal = self.controller.next_proposal(now, received)
         if proposal is not None:
             self.state_applier.core.logger.write(
                 f"zones: {proposal.reason}; proposes the next step"
@@ -168,7 +170,7 @@
     def _log_findings(self, received: ReceivedReports) -> None:
         """Log the diagnoses that have changed."""
         for zone, finding in received.findings.items():
-            condition = finding.kind
+            condition = finding.condition
             before = self._conditions.get(zone, ZoneCondition.UNKNOWN)
             if condition is before or {condition, before} <= _UNREMARKABLE:
                 continue
@@ -233,8 +235,8 @@
         """Return, for a dry run, how much more each pool's active nodes would have to serve."""
         bans = self.state_applier.applied.state["bans"].keys()
         pools = self.controller.nodes
-        excluded = all_inactive_nodes(wanted, pools) | bans
-        excluded_before = all_inactive_nodes(self.controller.traffic_policy, pools) | bans
+        excluded = inactive_nodes_by_pool(wanted, pools) | bans
+        excluded_before = inactive_nodes_by_pool(self.controller.traffic_policy, pools) | bans
         load = {}
         for pool, nodes in pools.items():
             active = len(nodes.keys() - excluded)
--- a/sailhitch/lab/judge.py
+++ b/sailhitch/lab/judge.py
@@ -12,7 +12,7 @@
 from typing import Any, Final, Protocol
 
 from ..daemon.schema import read_duration
-from ..zones.rollout import FIRST, following
+from ..zones.rollout import FIRST_SHARE, next_share
 from ..zones.traffic_policy import active_node_count
 from .load import LOST, REFUSED, SERVED, Load
 from .node import Effect, Node, doubled
@@ -133,7 +133,7 @@
             min((e.at for e in self.nodes[name].log if told.asked < e.at < over), default=math.inf)
             for name in here
         )
-        share = FIRST
+        share = FIRST_SHARE
         began = told.asked
         while share < 1:
             began += read_duration(scenario.step) / 1e6
@@ -144,7 +144,7 @@
                     f"its return, where {active_node_count(share, len(here))} were due"
                 )
                 return
-            share = following(share)
+            share = next_share(share)
 
     def _until(self, told: Told, ends: Callable[[StepPart], bool]) -> float:
         later = [one.asked for one in self.result.told if one.asked > told.ended and ends(one.step)]
--- a/sailhitch/lab/modelled.py
+++ b/sailhitch/lab/modelled.py
@@ -185,14 +185,14 @@
             if self.world.kernel.now - began > step.value * S:
                 raise InvariantViolationError(f"6: {step.node} is left too late")
         elif step.do in ("freeze", "thaw"):
-            frozen = self.world.frozen
+            frozen = self.world.failed_zones
             (frozen.add if step.do == "freeze" else frozen.discard)(step.node)
         elif step.do in ("cut", "heal"):
             self._cut(step)
         elif step.do in ("loss", "garble"):  # what is garbled is not opened: it is lost
             network.loss = 1 - (1 - network.loss) * (1 - step.value)
         elif step.do in ("double", "replay"):
-            network.doubled = max(network.doubled, step.value)
+            network.duplication = max(network.duplication, step.value)
         elif step.do == "delay":
             network.jitter = int(step.value * S)
         else:
@@ -215,22 +215,22 @@
         if step.do == "pause":
             process.pause()
         elif step.do == "wake":
-            process.wake()
+            process.resume()
         elif step.do == "kill":
             process.kill()
         elif step.do == "stop":
-            process.ask(Member.leave)
+            process.begin_job(Member.leave)
             self._go_on(self.world.kernel.now + int(LEAVE_TIMEOUT * S))
             process.kill()
         elif step.do == "start":
             disk.full = False
             process.start()
         elif step.do == "copy_disk":
-            disk.copy()
+            disk.take_snapshot()
         elif step.do == "old_disk":
-            disk.now = dict(disk.days[-1])
+            disk.synced = dict(disk.snapshots[-1])
         elif step.do == "lost_disk":
-            disk.lose()
+            disk.erase()
         else:
             assert step.do == "full_disk", step.do
             disk.full = True
@@ -241,7 +241,7 @@
         one = _Command(step, process, self.world.kernel.now, process.incarnation)
         self.commands.append(one)
         member = process.member
-        if not process.up or process.paused or member is None or process.view is None:
+        if not process.up or process.paused or member is None or process.applied_versions is None:
             self._end(one, "refused")
             return
         name = step.to[0] if step.do == "join" else step.node
@@ -255,21 +255,23 @@
             if why:
                 self._end(one, "refused")
                 return
-            one.job = process.ask(lambda m: m.evict(name) if gone else m.admit(name, "h:1"))
+            one.job = process.begin_job(lambda m: m.evict(name) if gone else m.admit(name, "h:1"))
         elif step.do in ZONES:
             one.job = self._ask_zones(step, process)
         elif step.do == "withdraw":
             pending = None if member.chosen is None else member.chosen.state.pending
-            one.job = None if pending is None else process.ask(lambda m: m.withdraw(pending.serial))
+            one.job = (
+                None if pending is None else process.begin_job(lambda m: m.withdraw(pending.serial))
+            )
         elif self._is_in(process.name):
-            base = process.view.active
+            base = process.applied_versions.active
             old = self.world.permitted(base.digest)
             new, weight = self._wanted(step, old)
             if new == old and not weight:
-                one.job = process.ask(Member.read)
+                one.job = process.begin_job(Member.read)
                 one.version = base
             else:
-                one.job = process.offer(base, new, weight)
+                one.job = process.propose_version(base, new, weight)
         if one.job is None:
             self._end(one, "refused")
 
@@ -282,7 +284,7 @@
             posture = controller.operator_request(step.do, step.node, "lab", "model", None)
         except TrafficPolicyError:
             return None
-        return process.pose_zones(posture)
+        return process.propose_zone_policy(posture)
 
     def _wanted(self, step: StepPart, old: frozenset[int]) -> tuple[frozenset[int], int]:
         here = self.nodes
@@ -309,13 +311,16 @@
         assert one.job is not None
         if one.since:
             assert one.version is not None
-            if process.view is not None and process.view.active.serial >= one.version.serial:
-                same = process.view.active.serial == one.version.serial
+            if (
+                process.applied_versions is not None
+                and process.applied_versions.active.serial >= one.version.serial
+            ):
+                same = process.applied_versions.active.serial == one.version.serial
                 self._end(one, "active" if same else "refused")
             elif now - one.since >= self.within:
                 self._end(one, "pending")
             return
-        done = process.ended.get(one.job)
+        done = process.completed_jobs.get(one.job)
         if done is None:
             if now - one.asked >= DECISION_TIMEOUT * S:
                 self._end(one, "refused")
--- a/sailhitch/model/contents.py
+++ b/sailhitch/model/contents.py
@@ -19,7 +19,7 @@
     read_entries,
     update,
 )
-from ..tier.content_store import CONTENT, PAGE, root_of
+from ..tier.content_store import CONTENT_KEY_PREFIX, PAGE_KEY_PREFIX, root_of
 
 LEAF_SIZE = 64  # bytes: a few entries a leaf, so that a tree of a few entries has several pages
 ACTS_GROUP = "acts"
@@ -69,10 +69,10 @@
     """Return whether a content is on a disk, a tree with each of its pages."""
     root = root_of(digest)
     if root is None:
-        return CONTENT + digest in disk
+        return CONTENT_KEY_PREFIX + digest in disk
     waiting = [root]
     while waiting:
-        packed = disk.get(PAGE + waiting.pop())
+        packed = disk.get(PAGE_KEY_PREFIX + waiting.pop())
         if packed is None:
             return False
         waiting += child_digests(decompress(packed, MAX_PAGE_BYTES))
--- a/sailhitch/model/network.py
+++ b/sailhitch/model/network.py
@@ -17,7 +17,7 @@
         self.kernel = kernel
         self.deliver = deliver
         self.loss = 0.0
-        self.doubled = 0.0
+        self.duplication = 0.0
         self.delay = 300
         self.jitter = 500
         self.cuts: set[tuple[str, str]] = set()
@@ -34,7 +34,7 @@
     def send(self, sender: str, to: str, message: Any) -> None:
         """Send a datagram."""
         self.sent += 1
-        copies = 2 if self.doubled and self._next_draw() < self.doubled else 1
+        copies = 2 if self.duplication and self._next_draw() < self.duplication else 1
         for _ in range(copies):
             if self.loss and self._next_draw() < self.loss:
                 continue
--- a/sailhitch/model/player.py
+++ b/sailhitch/model/player.py
@@ -46,7 +46,7 @@
 
     def _snapshot_disks(self) -> None:
         for process in self.world.processes.values():
-            process.disk.copy()
+            process.disk.take_snapshot()
 
     def _apply(self, event: Event) -> None:
         _HANDLERS[event.kind](self, event)
@@ -90,7 +90,7 @@
     def _pause(self, event: Event) -> None:
         process = self._process_of(event)
         process.pause()
-        self._after_duration(event, process.wake)
+        self._after_duration(event, process.resume)
 
     def _kill(self, event: Event, change_disk: Callable[[Disk], None] = _keep_disk) -> None:
         """Kill a process and start it again after the event's duration."""
@@ -130,14 +130,14 @@
         """Kill a process and put its disk back from an earlier snapshot."""
 
         def restore(disk: Disk) -> None:
-            if disk.days:
-                disk.now = dict(disk.days[int(event.value * len(disk.days))])
+            if disk.snapshots:
+                disk.synced = dict(disk.snapshots[int(event.value * len(disk.snapshots))])
 
         self._kill(event, restore)
 
     def _lose_disk(self, event: Event) -> None:
         """Kill a process and replace its disk by an empty one."""
-        self._kill(event, Disk.lose)
+        self._kill(event, Disk.erase)
 
     def _fill_disk(self, event: Event) -> None:
         """Fill a disk, until space is freed or the process is restarted as well."""
@@ -193,10 +193,10 @@
 
     def _duplicate_datagrams(self, event: Event) -> None:
         network = self.world.network
-        network.doubled = event.value
+        network.duplication = event.value
 
         def restore() -> None:
-            network.doubled = 0.0
+            network.duplication = 0.0
 
         self._after_duration(event, restore)
 
--- a/sailhitch/model/process.py
+++ b/sailhitch/model/process.py
@@ -19,25 +19,25 @@
     """The synced values, and snapshots of earlier times."""
 
     def __init__(self) -> None:
-        self.now: dict[str, bytes] = {}
-        self.days: list[dict[str, bytes]] = []  # snapshots, oldest first
+        self.synced: dict[str, bytes] = {}
+        self.snapshots: list[dict[str, bytes]] = []  # snapshots, oldest first
         self.full = False
 
     def write(self, items: dict[str, bytes | None]) -> None:
         """Write values as synced; None deletes one."""
         for name, value in items.items():
             if value is None:
-                self.now.pop(name, None)
+                self.synced.pop(name, None)
             else:
-                self.now[name] = value
+                self.synced[name] = value
 
-    def lose(self) -> None:
+    def erase(self) -> None:
         """Replace the disk by an empty one."""
-        self.now = {}
+        self.synced = {}
 
-    def copy(self) -> None:
+    def take_snapshot(self) -> None:
         """Take a snapshot."""
-        self.days.append(dict(self.now))
+        self.snapshots.append(dict(self.synced))
 
 
 class Process:
@@ -94,7 +94,7 @@
         """Pause the process (SIGSTOP)."""
         self.paused = True
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume the process (SIGCONT); run the callbacks deferred meanwhile, in order."""
         if not (self.up and self.paused):
             return
@@ -120,7 +120,7 @@
                 self._is_syncing = True
                 delay = int(self._rng.integers(*SYNC_DURATION_RANGE))
                 self.kernel.after(
-                    delay, self._on_sync_complete, self.incarnation, effect, self.disk.now
+                    delay, self._on_sync_complete, self.incarnation, effect, self.disk.synced
                 )
             else:
                 self.perform(effect)
@@ -129,7 +129,7 @@
         self, incarnation: int, persist: Persist, medium: dict[str, bytes]
     ) -> None:
         # A write to a disk that was replaced does not reach the new one.
-        if self.incarnation != incarnation or self.disk.now is not medium:
+        if self.incarnation != incarnation or self.disk.synced is not medium:
             return
         if not self.up:
             # Killed during the sync: it may have completed all the same.
--- a/sailhitch/model/tier.py
+++ b/sailhitch/model/tier.py
@@ -62,20 +62,20 @@
         self.names = tuple(f"g{i + 1}" for i in range(members))
         self.voters = self.names[:voters]
         self.lease = lease
-        self.beat = beat
+        self.heartbeat_interval = beat
         self.write_interval = write_interval
-        self.late = frozenset(late)
+        self.late_members = frozenset(late)
         self.zones = dict(zones or {})
         self.step = step
         self.act = act
-        self.frozen: set[str] = set()  # zones whose nodes don't answer
+        self.failed_zones: set[str] = set()  # zones whose nodes don't answer
         self._last_unreachable = dict.fromkeys(self.names, 0)  # times
-        self.first = frozenset(first)
+        self.initially_permitted = frozenset(first)
         self.acts = acts
         self.contents = contents
-        self.bootstrap_tree = contents.tree(self.first, 0)
+        self.bootstrap_tree = contents.tree(self.initially_permitted, 0)
         # What each version permits, by its digest.
-        self.acts_by_digest = {tree_digest(self.bootstrap_tree.root): self.first}
+        self.acts_by_digest = {tree_digest(self.bootstrap_tree.root): self.initially_permitted}
         self.checker = InvariantChecker(
             self.voters, lambda digest, act: act in self.permitted(digest)
         )
@@ -86,7 +86,7 @@
 
     def config_of(self, name: str) -> TierConfig:
         """Return a member's configuration file."""
-        peers = tuple(peer for peer in self.names if peer == name or peer not in self.late)
+        peers = tuple(peer for peer in self.names if peer == name or peer not in self.late_members)
         return TierConfig(name, self.voters, peers, self.lease)
 
     def zone_of(self, name: str) -> str:
@@ -106,7 +106,7 @@
         self._track_reachability()
         for name, process in self.processes.items():
             delay = int(self.kernel.stream(f"start {name}").integers(500_000))
-            if name not in self.late:
+            if name not in self.late_members:
                 self.kernel.after(delay, process.start)
 
     def _track_reachability(self) -> None:
@@ -157,7 +157,9 @@
         for name, member in self._live_members().items():
             process = self.processes[name]
             statuses[name] = member.member_status(process.clock())
-            revisions[name] = 0 if process.view is None else process.view.revision
+            revisions[name] = (
+                0 if process.applied_versions is None else process.applied_versions.revision
+            )
         self.checker.check_ended(statuses, revisions)
 
     def check_liveness(self) -> None:
--- a/sailhitch/model/tier_process.py
+++ b/sailhitch/model/tier_process.py
@@ -19,7 +19,7 @@
 from ..tier.member import BootstrapVersion, Member, MemberStatus
 from ..tier.messages import Message, Version
 from ..tier.register import VOTE_KEY
-from ..zones.controller import ZoneController, ZoneTerms, all_inactive_nodes
+from ..zones.controller import ZoneController, ZoneSettings, inactive_nodes_by_pool
 from ..zones.traffic_policy import EMPTY_POLICY, TrafficPolicy, decode
 from .contents import is_on_disk, permitted
 from .invariants import InvariantViolationError, WriteEvent
@@ -40,11 +40,11 @@
         super().__init__(world.kernel, name, rate)
         self.world = world
         self.member: Member | None = None
-        self.view: AppliedVersions | None = None  # those that it applies
+        self.applied_versions: AppliedVersions | None = None  # those that it applies
         self.permitted_acts: frozenset[int] = frozenset()
         self.log: list[tuple[int, str]] = []
         self.change_ids: dict[int, str] = {}  # by job
-        self.ended: dict[int, JobCompleted] = {}  # by job
+        self.completed_jobs: dict[int, JobCompleted] = {}  # by job
         self.controller: ZoneController | None = None
         self.inactive_nodes: frozenset[str] = frozenset()
         self._apply_completes_at = 0
@@ -57,16 +57,16 @@
         rng = random.Random(int(self._rng.integers(1 << 62)))
         boot = int(self._rng.integers(1, 1 << 48))
         bootstrap = BootstrapVersion(world.bootstrap_tree, 1, "model")
-        self.view = None
+        self.applied_versions = None
         self.change_ids = {}
-        self.ended = {}
+        self.completed_jobs = {}
         self.member = Member(
-            world.config_of(self.name), boot, dict(self.disk.now), rng, self.clock(), bootstrap
+            world.config_of(self.name), boot, dict(self.disk.synced), rng, self.clock(), bootstrap
         )
         self._apply_completes_at = 0
         self.controller = None
         if world.zones:
-            terms = ZoneTerms(1, world.step, world.zone_of(self.name), world.act)
+            terms = ZoneSettings(1, world.step, world.zone_of(self.name), world.act)
             self.controller = ZoneController(terms, rng)
             self.controller.apply(0, EMPTY_POLICY, {"all": world.zones}, self.clock())
         self.inactive_nodes = frozenset()
@@ -85,20 +85,22 @@
         self._process_effects()
         for name in self.member.prober.dead_members():
             self.world.check_declared_dead(self.name, name)
-        self.kernel.after(self.world.beat, self.guarded(self._tick))
+        self.kernel.after(self.world.heartbeat_interval, self.guarded(self._tick))
 
     def _run_zone_controller(self) -> None:
         controller = self.controller
         member = self.member
         now = self.clock()
-        if controller is None or member is None or not controller.due(now):
+        if controller is None or member is None or not controller.is_due(now):
             return
         member.metadata, has_changed = controller.report(now)
         if has_changed:
             member.gossip_soon(now)
-        proposal = controller.look(now, controller.on_reports(member.metadata_by_member(now)))
+        proposal = controller.next_proposal(
+            now, controller.on_reports(member.metadata_by_member(now))
+        )
         if proposal is not None and member.member_status(now) is MemberStatus.ACTIVE:
-            self.pose_zones(proposal[0])
+            self.propose_zone_policy(proposal[0])
 
     def receive(self, sender: str, message: Message) -> None:
         """Receive a datagram."""
@@ -116,15 +118,17 @@
         """Write, if the applied rules permit a random act now."""
         assert self.member is not None
         act = self._act_rng.randrange(self.world.acts)
-        is_permitted = self.view is not None and act in self.permitted_acts
+        is_permitted = self.applied_versions is not None and act in self.permitted_acts
         is_permitted = is_permitted and str(act) not in self.inactive_nodes
         if is_permitted and self.member.member_status(self.clock()) is MemberStatus.ACTIVE:
-            assert self.view is not None
+            assert self.applied_versions is not None
             zone = self.world.zones.get(str(act))
             if self.controller is not None and zone is not None:
-                self.controller.record(str(act), zone in self.world.frozen, False, self.clock())
+                self.controller.record(
+                    str(act), zone in self.world.failed_zones, False, self.clock()
+                )
             self.world.checker.on_write(
-                WriteEvent(self.kernel.now, self.name, act, self.view.revision)
+                WriteEvent(self.kernel.now, self.name, act, self.applied_versions.revision)
             )
         self.kernel.after(self.world.write_interval, self.guarded(self._try_write))
 
@@ -145,14 +149,14 @@
         elif isinstance(effect, JobCompleted):
             if effect.job in self.change_ids:
                 world.checker.on_result(self.name, effect, self.change_ids[effect.job])
-            self.ended[effect.job] = effect
+            self.completed_jobs[effect.job] = effect
             self.log.append((self.kernel.now, f"job {effect.job} {effect.result.value}"))
         else:
             self.log.append((self.kernel.now, f"{effect.event} {effect.fields}"))
 
     def _apply(self, versions: AppliedVersions) -> None:
         assert self.member is not None
-        self.view = versions
+        self.applied_versions = versions
         self.permitted_acts = self._read_permitted(versions.active)
         if versions.pending is not None:
             self.permitted_acts &= self._read_permitted(versions.pending)
@@ -160,7 +164,7 @@
             policy = decode(self.member.contents.read(versions.traffic_policy.digest))
             nodes = {"all": self.world.zones}
             self.controller.apply(versions.traffic_policy.serial, policy, nodes, self.clock())
-            self.inactive_nodes = all_inactive_nodes(policy, nodes)
+            self.inactive_nodes = inactive_nodes_by_pool(policy, nodes)
         self.world.checker.on_applied(self.kernel.now, versions)
         self.member.confirm_applied(versions.revision, self.clock())
         self._process_effects()
@@ -184,7 +188,7 @@
         super().on_synced(persist)
         vote = persist.items.get(VOTE_KEY)
         if vote is not None:
-            has = partial(is_on_disk, self.disk.now)
+            has = partial(is_on_disk, self.disk.synced)
             self.world.checker.on_vote(self.name, vote, has)
 
     # --- Operators' requests
@@ -198,9 +202,9 @@
             return
         old = self.world.permitted(active.digest)
         new = old ^ {flip} if 0 <= flip < ACT_COUNT else old
-        self.offer(active, frozenset(new), weight)
+        self.propose_version(active, frozenset(new), weight)
 
-    def offer(self, base: Version, new: frozenset[int], weight: int) -> int:
+    def propose_version(self, base: Version, new: frozenset[int], weight: int) -> int:
         """Propose a version that permits these acts, made from `base`; return the job."""
         assert self.member is not None
         contents = self.world.contents
@@ -227,9 +231,9 @@
 
     def propose_traffic_policy(self, weight: int) -> None:
         """Propose another traffic policy; it permits and forbids nothing."""
-        if not self.up or self.paused or self.member is None or self.view is None:
+        if not self.up or self.paused or self.member is None or self.applied_versions is None:
             return
-        current = self.view.traffic_policy
+        current = self.applied_versions.traffic_policy
         content = msgspec.json.encode({"weight": weight})
         self._record_change(
             self.member.propose_traffic_policy(
@@ -237,7 +241,7 @@
             )
         )
 
-    def pose_zones(self, policy: TrafficPolicy) -> int:
+    def propose_zone_policy(self, policy: TrafficPolicy) -> int:
         """Propose a traffic policy of zones; return the job."""
         assert self.member is not None
         assert self.controller is not None
@@ -245,7 +249,7 @@
             self.member.propose_traffic_policy(policy.encode(), self.controller.serial, "model", 0)
         )
 
-    def ask(self, what: Callable[[Member], int | None]) -> int | None:
+    def begin_job(self, what: Callable[[Member], int | None]) -> int | None:
         """Have the core begin a job; return its number, or None where it can't now."""
         assert self.member is not None
         job = what(self.member)
@@ -262,7 +266,7 @@
             return False
         if self.member.why_not_evictable(name, min_silence, self.clock()):
             return False
-        self.ask(lambda member: member.evict(name))
+        self.begin_job(lambda member: member.evict(name))
         return True
 
     def withdraw(self) -> None:
--- a/sailhitch/net/client_connection.py
+++ b/sailhitch/net/client_connection.py
@@ -132,7 +132,7 @@
         # A half-closed connection counts as closed; the transport closes itself after this.
         self._drop_requests()
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has closed its connection, even if the loop has not read so.
 
         The event loop doesn't read the end while a body is held, nor while it is busy, and bytes
@@ -257,16 +257,16 @@
 
     def _account_unsent(self, size: int) -> None:
         """Record how many bytes of responses are buffered for the client."""
-        self.core.budget.flows += size - self.unsent
+        self.core.budget.streamed += size - self.unsent
         self.unsent = size
 
     def _account_written(self, size: int, now: int, written: int = 0) -> None:
         """Record that `size` bytes of a streamed response are buffered, `written` of them new."""
         watchdog = self.read_watchdog
         if watchdog is not None:
-            watchdog.move(self.unsent + written - size, now)
+            watchdog.record(self.unsent + written - size, now)
             if size:
-                watchdog.go(now)
+                watchdog.resume(now)
             else:
                 watchdog.stop(now)  # it has read all there is
         self._account_unsent(size)
@@ -283,10 +283,10 @@
     def resume_reading(self) -> None:
         """Resume reading the body; a `Source`."""
         if self.transport is not None and not self.transport.is_closing():
-            if self.incoming is not None and not self.discarding_body and self.left():
+            if self.incoming is not None and not self.discarding_body and self.has_disconnected():
                 # Deferred: the policy module may be the caller, and is not re-entrant.
                 self.core.loop.call_soon(self._abort_departed)
                 return
             self.transport.resume_reading()
             if self.send_watchdog is not None:
-                self.send_watchdog.go(self.core.clock())
+                self.send_watchdog.resume(self.core.clock())
--- a/sailhitch/net/connection_pool.py
+++ b/sailhitch/net/connection_pool.py
@@ -309,7 +309,7 @@
         may have lost its client in the meantime, and nobody has read the end of that connection.
         """
         request = attempt.request
-        return request.closed or request.client is None or request.client.left()
+        return request.closed or request.client is None or request.client.has_disconnected()
 
     def _is_listed(self, host: Host) -> bool:
         """Return whether new requests may go to it, by the news so far."""
--- a/sailhitch/net/downstream.py
+++ b/sailhitch/net/downstream.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Final
 
-from ..core.budget import HELD_MOST
+from ..core.budget import MAX_BUFFERED_BODY
 from ..core.request_context import RequestContext
 from ..front import Reason, State
 from .client_connection import BODY, CLOSING, HEAD
@@ -62,7 +62,7 @@
             self._dispatch(self.pipelined.popleft())
             return
         incoming = self.incoming
-        if incoming is not None and self.received > HELD_MOST and incoming.upload is None:
+        if incoming is not None and self.received > MAX_BUFFERED_BODY and incoming.upload is None:
             self._begin_upload(incoming)
 
     # --- Eviction and deadlines
@@ -95,7 +95,7 @@
         size = transport.get_write_buffer_size()
         if self.phase == CLOSING:
             self._sweep_closing(transport, size, now)
-        elif self.send_watchdog is not None and self.send_watchdog.overdue(now):
+        elif self.send_watchdog is not None and self.send_watchdog.is_too_slow(now):
             self._reject(408, "body too slow", Reason.SLOW)
         elif self.read_watchdog is not None:
             self._check_reader(size, now)
--- a/sailhitch/net/intake.py
+++ b/sailhitch/net/intake.py
@@ -151,7 +151,7 @@
             kind = older.request_class
         request.request_class = kind
         request.tenant = names.tenants.get(found.get(b"req-owner", b""), len(names.tenants))
-        request.repeat = found.get(b"req-retry") == b"1"
+        request.is_retry = found.get(b"req-retry") == b"1"
         cost = found.get(b"req-cost", b"")
         if cost.isdigit() and len(cost) < 12:
             request.work = int(cost)
--- a/sailhitch/net/listener.py
+++ b/sailhitch/net/listener.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 from typing import Final
 
-from ..core.budget import HELD_MOST
+from ..core.budget import MAX_BUFFERED_BODY
 from ..core.core import GatewayCore
 from ..core.endpoints import Address
 from ..front import ConnectionSlot, Reason, Verdict
@@ -172,7 +172,7 @@
         with contextlib.suppress(OSError):
             sock.setblocking(False)
             with contextlib.suppress(BlockingIOError):
-                sock.recv(HELD_MOST)
+                sock.recv(MAX_BUFFERED_BODY)
             sock.send(closing_response(503, self.core.retry_after()))
         sock.close()
 
--- a/sailhitch/net/request_head.py
+++ b/sailhitch/net/request_head.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from ..core.budget import LONGEST
+from ..core.budget import MAX_BODY_BYTES
 from ..core.response import HeaderField
 from .intake import READ, SINGLE, RejectError
 
@@ -47,7 +47,7 @@
     if not length.isdigit() or len(length) > LENGTH_DIGITS:
         raise RejectError(400, "content-length is no number")
     size = int(length)
-    if size > LONGEST:
+    if size > MAX_BODY_BYTES:
         raise RejectError(413, "body too large")
     return False, size
 
--- a/sailhitch/net/request_reader.py
+++ b/sailhitch/net/request_reader.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from ..core.budget import HELD_MOST, LONGEST
+from ..core.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY
 from ..core.request_context import RequestContext
 from ..core.throughput_watchdog import ThroughputWatchdog
 from ..core.upload import Upload
@@ -60,7 +60,7 @@
         incoming = self.incoming
         if incoming is not None and incoming.upload is not None:
             self._forward_upload(incoming.upload, size)
-        elif incoming is not None and self.received > HELD_MOST:
+        elif incoming is not None and self.received > MAX_BUFFERED_BODY:
             self._dispatch_next()  # earlier requests go first
             if self.incoming is incoming and incoming.upload is None:
                 self._begin_upload(incoming)
@@ -172,12 +172,12 @@
         size = len(data)
         before = self.received
         self.received = received = before + size
-        if received > LONGEST:
+        if received > MAX_BODY_BYTES:
             raise RejectError(413, "body too large")
         if request.upload is not None:
-            request.upload.came(data)
+            request.upload.add(data)
             return
-        if not self.core.budget.take(size):
+        if not self.core.budget.reserve(size):
             raise RejectError(503, "no room for the body")
         request.reserved += size
         if not before:
@@ -226,7 +226,7 @@
         if self.request is not None or self.pipelined:
             transport.pause_reading()  # `_dispatch_next` goes on
             return
-        if self.core.budget.flows > self.core.budget.limit:
+        if self.core.budget.streamed > self.core.budget.limit:
             self._reject(503, "no room for a long body")
             return
         request.keep_alive = self.parser.should_keep_alive()
@@ -235,7 +235,7 @@
             request.head += b"Transfer-Encoding: chunked\r\n"
         start = request.body
         request.body = b""
-        self.core.budget.give_back(request.reserved)
+        self.core.budget.release(request.reserved)
         request.reserved = 0
         request.upload = Upload(self, start, self.chunked, self.core.budget)
         self.send_watchdog = ThroughputWatchdog(self.core.clock())
@@ -245,12 +245,12 @@
     def _forward_upload(self, upload: Upload, size: int) -> None:
         """Forward what a read of `size` bytes brought of a streamed body."""
         if self.send_watchdog is not None:
-            self.send_watchdog.move(size, self.core.clock())
+            self.send_watchdog.record(size, self.core.clock())
         upload.flush()
 
     def _end_upload(self, request: RequestContext, upload: Upload) -> None:
         """Finish a streamed body; what this read brought of it goes out with its end."""
-        if self.left():
+        if self.has_disconnected():
             return  # forwarding the last byte would run the request for nobody
         upload.complete = True
         self.head_received = 0
--- a/sailhitch/net/response_writer.py
+++ b/sailhitch/net/response_writer.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from ..core.budget import HELD_MOST
+from ..core.budget import MAX_BUFFERED_BODY
 from ..core.interfaces import ResponseSource
 from ..core.request_context import RequestContext
 from ..core.response import Response
@@ -104,7 +104,7 @@
             self._start_closing(Reason.ANSWERED)
             self._drop_undispatched()
             transport.close()
-        elif self.pipelined or (self.incoming is not None and self.received > HELD_MOST):
+        elif self.pipelined or (self.incoming is not None and self.received > MAX_BUFFERED_BODY):
             # A response may be given from inside the policy module, which is not re-entrant.
             self.core.loop.call_soon(self._dispatch_next)
         else:
@@ -213,7 +213,7 @@
         watchdog.stall = READ_STALL[0] + int(
             admission.pressure_factor * (READ_STALL[1] - READ_STALL[0])
         )
-        if size and watchdog.overdue(now) and self.transport is not None:
+        if size and watchdog.is_too_slow(now) and self.transport is not None:
             admission.on_closing(self.slot, now, Reason.UNREAD)
             self.abort()
 
--- a/sailhitch/net/upstream_connection.py
+++ b/sailhitch/net/upstream_connection.py
@@ -11,7 +11,7 @@
 import socket
 from typing import TYPE_CHECKING, Final, cast
 
-from ..core.budget import HELD_MOST, LONGEST
+from ..core.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY
 from ..core.interfaces import Client
 from ..core.request_context import Attempt
 from ..core.response import Response
@@ -79,7 +79,7 @@
     def _clear(self) -> None:
         self.body: bytes | bytearray = b""
         self.size = 0
-        self.flow_budget.give_back(self.reserved)
+        self.flow_budget.release(self.reserved)
         self.reserved = 0
         self.rejected = self.dropping = False
         self.load: LoadReport | None = None
@@ -124,7 +124,7 @@
             # In a full socket the request would wait, and be sent at any later time: to a host
             # that is draining by then, or for a client that has left.
             if upload is not None:
-                upload.left(self)
+                upload.detach(self)
             return False
         self.reset()
         self._clear()
@@ -171,7 +171,7 @@
             self.has_more_body and transport is not None and not transport.get_write_buffer_size()
         )
         if waits and self.upload is not None:
-            self.upload.taken(self)
+            self.upload.on_written(self)
 
     def resume_writing(self) -> None:
         """Send more of the request body."""
@@ -194,7 +194,7 @@
         self.rejected = declined and self.status in (503, 504)
         if self.length is None:
             self.head_at = self.hosts.core.clock()
-        elif self.length > LONGEST:
+        elif self.length > MAX_BODY_BYTES:
             raise MalformedError("body too large")
 
     def body_read(self, data: bytes) -> None:
@@ -204,14 +204,14 @@
         breaks off, and count against the memory budget. Long ones are streamed.
         """
         self.size += len(data)
-        if self.size > LONGEST:
+        if self.size > MAX_BODY_BYTES:
             raise MalformedError("body too large")
         if self.dropping or (
             self.status != 200 and not self.hosts.pool.connection_settings.passes_any_status
         ):
             return
         if self.client is None:
-            if not self.flow_budget.take(len(data)):
+            if not self.flow_budget.reserve(len(data)):
                 raise MalformedError("no room for the body")
             self.reserved += len(data)
         if not self.body:
@@ -251,14 +251,16 @@
         ):
             return False
         if self.length is not None:
-            return self.length > HELD_MOST
-        return self.size > HELD_MOST or self.hosts.core.clock() - self.head_at > STREAM_AFTER
+            return self.length > MAX_BUFFERED_BODY
+        return (
+            self.size > MAX_BUFFERED_BODY or self.hosts.core.clock() - self.head_at > STREAM_AFTER
+        )
 
     def _begin_flow(self, attempt: Attempt) -> None:
         response = Response(self.status, self.fields, b"")
         length = self.length if not self.chunked else None
         self.client = self.hosts.pool.response_started(attempt, response, length, self.load, self)
-        self.flow_budget.give_back(self.reserved)
+        self.flow_budget.release(self.reserved)
         self.reserved = 0
         if self.client is None:
             self.dropping = True
@@ -272,7 +274,7 @@
         taker = self.client
         body = self.body
         if self.watchdog is not None:
-            self.watchdog.move(size, self.hosts.core.clock())
+            self.watchdog.record(size, self.hosts.core.clock())
         if body and taker is not None:
             self.body = b""
             taker.more(bytes(body))
@@ -286,7 +288,7 @@
     def resume_reading(self) -> None:
         """Read again, as the client has caught up."""
         if self.transport is not None and self.watchdog is not None:
-            self.watchdog.go(self.hosts.core.clock())
+            self.watchdog.resume(self.hosts.core.clock())
             self.transport.resume_reading()
 
     def cancelled(self) -> None:
@@ -297,7 +299,7 @@
 
     def is_stalled(self, now: int) -> bool:
         """Return whether the host has stopped in the middle of a response."""
-        return self.watchdog is not None and self.watchdog.overdue(now)
+        return self.watchdog is not None and self.watchdog.is_too_slow(now)
 
     def give_up(self) -> None:
         """End a stalled response."""
@@ -387,7 +389,7 @@
 
     def _let_go_of_body(self) -> None:
         if self.upload is not None:
-            self.upload.left(self)
+            self.upload.detach(self)
         self.upload = None
         self.unsent_body = None
         self.has_more_body = False
--- a/sailhitch/tier/content_exchange.py
+++ b/sailhitch/tier/content_exchange.py
@@ -16,8 +16,8 @@
 MAX_AWAITED_CONTENTS: Final = 24  # retained for pending votes, whether they are chosen or not
 # Revisions whose contents stay until the process has applied a later one.
 MAX_UNCONFIRMED_REVISIONS: Final = 16
-SOURCES: Final = 16  # members that have confirmed, from which contents are requested
-ANY_SOURCES: Final = 4  # members beside them, confirmed or not
+MAX_CONFIRMED_SOURCES: Final = 16  # members that have confirmed, from which contents are requested
+MAX_OTHER_SOURCES: Final = 4  # members beside them, confirmed or not
 
 ContentMessage = BlockRequest | Block | PageRequest | PageReply
 
@@ -50,7 +50,7 @@
         if not self._job_references[digest]:
             del self._job_references[digest]
 
-    def applying(self, state: RegisterState) -> None:
+    def retain_for_apply(self, state: RegisterState) -> None:
         """Retain the contents of a state that the process is requested to apply.
 
         Those that it applies until then stay too: it compares the two, and may be requested to
@@ -60,7 +60,7 @@
         if len(self._applied_contents) > MAX_UNCONFIRMED_REVISIONS:
             del self._applied_contents[sorted(self._applied_contents)[1]]
 
-    def applied(self, revision: int) -> None:
+    def release_before(self, revision: int) -> None:
         """Release the contents of earlier revisions than the one that the process has applied."""
         for earlier in [applied for applied in self._applied_contents if applied < revision]:
             del self._applied_contents[earlier]
@@ -79,28 +79,28 @@
 
         `known` is the latest state, and `accepted` the one that this member has voted for.
         """
-        removed = self.store.keep_only(self._referenced_digests(known, accepted))
+        removed = self.store.retain_only(self._referenced_digests(known, accepted))
         if removed:
             self._outbox.persist(dict.fromkeys(removed))
 
     # --- Fetching
 
-    def want(self, state: RegisterState, source: str) -> None:
+    def fetch(self, state: RegisterState, source: str) -> None:
         """Fetch the contents of a state; `source` most likely has them."""
         for digest in content_digests(state):
-            self.store.want(digest, source)
+            self.store.fetch(digest, source)
 
-    def want_to_vote(self, state: RegisterState, source: str) -> None:
+    def fetch_for_vote(self, state: RegisterState, source: str) -> None:
         """Fetch the contents of a state that a vote waits for."""
         self._awaited_by_votes.extend(content_digests(state))
-        self.want(state, source)
+        self.fetch(state, source)
 
-    def want_latest(
+    def fetch_latest(
         self, known: RegisterState, accepted: RegisterState | None, source: str
     ) -> None:
         """Fetch the contents of a state that has just become known, and no older one's."""
         self.store.fetch_only(self._referenced_digests(known, accepted))
-        self.want(known, source)
+        self.fetch(known, source)
 
     def has(self, state: RegisterState) -> bool:
         """Return whether all contents of a state are here."""
--- a/sailhitch/tier/content_store.py
+++ b/sailhitch/tier/content_store.py
@@ -36,8 +36,8 @@
 
 __all__ = [
     "BLOCK_SIZE",
-    "CONTENT",
-    "PAGE",
+    "CONTENT_KEY_PREFIX",
+    "PAGE_KEY_PREFIX",
     "TREE_PREFIX",
     "ContentStore",
     "digest_of",
@@ -47,8 +47,8 @@
 
 TREE_PREFIX: Final = "tree:"
 _TREE = re.compile(f"{TREE_PREFIX}([0-9a-f]{{64}})")
-CONTENT = "content/"
-PAGE = "page/"  # prefixes of names on disk, before a digest
+CONTENT_KEY_PREFIX = "content/"
+PAGE_KEY_PREFIX = "page/"  # prefixes of names on disk, before a digest
 BYTES_PER_SECOND: Final = 64 << 10  # of requested blocks, and as much of those sent
 BURST_BYTES: Final = 128 << 10  # beyond that rate at once
 MAX_REPLY_BYTES: Final = 1100  # of blocks; with its envelope and seal within 1,200
@@ -98,7 +98,9 @@
     @classmethod
     def from_disk(cls, kept: Mapping[str, bytes], now: int) -> ContentStore:
         """Return the store with the contents on a disk; other names are ignored."""
-        return cls(_strip_prefix(kept, CONTENT), _strip_prefix(kept, PAGE), now)
+        return cls(
+            _strip_prefix(kept, CONTENT_KEY_PREFIX), _strip_prefix(kept, PAGE_KEY_PREFIX), now
+        )
 
     @property
     def corrupt_count(self) -> int:
@@ -135,7 +137,7 @@
         packed = zlib.compress(content, 6)
         self.packed[digest] = packed
         self._block_fetcher.forget(digest)
-        return digest, {CONTENT + digest: packed}
+        return digest, {CONTENT_KEY_PREFIX + digest: packed}
 
     def _add_tree(self, tree: Tree) -> dict[str, bytes]:
         persisted = {}
@@ -143,7 +145,7 @@
             packed = compress(tree.pages[digest])
             self._page_fetcher.forget(digest)
             self._pages.insert(digest, packed, children)
-            persisted[PAGE + digest] = packed
+            persisted[PAGE_KEY_PREFIX + digest] = packed
         return persisted
 
     def _children_of_new(self, tree: Tree) -> dict[str, tuple[str, ...]]:
@@ -163,7 +165,7 @@
             waiting += children[digest]
         return children
 
-    def keep_only(self, digests: Collection[str]) -> list[str]:
+    def retain_only(self, digests: Collection[str]) -> list[str]:
         """Remove all other contents, and fetch no others; return the removed names on disk."""
         retained = set(digests)
         removed = [digest for digest in self.packed if digest not in retained]
@@ -171,8 +173,8 @@
             del self.packed[digest]
         removed_pages = self._pages.retain_only(_tree_roots(retained))
         self.fetch_only(retained)
-        names = [CONTENT + digest for digest in removed]
-        return names + [PAGE + digest for digest in removed_pages]
+        names = [CONTENT_KEY_PREFIX + digest for digest in removed]
+        return names + [PAGE_KEY_PREFIX + digest for digest in removed_pages]
 
     # --- Fetching
 
@@ -181,7 +183,7 @@
         """Whether a content that is not here is being fetched."""
         return bool(len(self._block_fetcher) or len(self._page_fetcher))
 
-    def want(self, digest: str, source: str) -> None:
+    def fetch(self, digest: str, source: str) -> None:
         """Fetch a content; `source` most likely has it."""
         root = root_of(digest)
         if root is None:
@@ -230,7 +232,7 @@
         if packed is None:
             return NO_ARRIVAL
         self.packed[block.digest] = packed
-        return Arrival({CONTENT + block.digest: packed}, True)
+        return Arrival({CONTENT_KEY_PREFIX + block.digest: packed}, True)
 
     def take_pages(self, sender: str, reply: PageReply, now: int) -> Arrival:
         """Take blocks of pages."""
@@ -239,7 +241,7 @@
             self._pages.insert(page.digest, page.packed, page.children)
             for child in page.children:
                 self._page_fetcher.add(self._pages.lacking(child))
-            persisted[PAGE + page.digest] = page.packed
+            persisted[PAGE_KEY_PREFIX + page.digest] = page.packed
         complete = {root for root in self._wanted_roots if self._pages.is_complete(root)}
         self._wanted_roots -= complete
         return Arrival(persisted, bool(complete))
--- a/sailhitch/tier/member.py
+++ b/sailhitch/tier/member.py
@@ -16,8 +16,8 @@
 from ..pages import Tree
 from .config import BootstrapVersion, MemberStatus, TierConfig
 from .configuration import Configuration
-from .content_exchange import ANY_SOURCES, SOURCES, ContentMessage
-from .content_store import CONTENT
+from .content_exchange import MAX_CONFIRMED_SOURCES, MAX_OTHER_SOURCES, ContentMessage
+from .content_store import CONTENT_KEY_PREFIX
 from .effects import AppliedVersions, Effect
 from .gossip_exchange import GossipExchange
 from .join import Joining
@@ -33,7 +33,7 @@
 
 __all__ = [
     "CHOSEN_KEY",
-    "CONTENT",
+    "CONTENT_KEY_PREFIX",
     "RENEWALS_PER_LEASE",
     "BootstrapVersion",
     "Configuration",
@@ -154,7 +154,7 @@
             self._pending_change.activate(now)
             self._gossip_exchange.send_round()
             self._gossip_exchange.report_confirmed(now)
-            self._parts.exchange.applied(revision)
+            self._parts.exchange.release_before(revision)
             if self.is_caught_up():
                 self._register.release_unreferenced()
         self._deliver_local_messages(now)
@@ -301,9 +301,9 @@
         """Return the live members to fetch from: voters and those that apply it; then any."""
         exchange = self._parts.exchange
         confirmed = exchange.sample(
-            self._parts.liveness.confirmed(self._register.revision), SOURCES
+            self._parts.liveness.confirmed(self._register.revision), MAX_CONFIRMED_SOURCES
         )
         likely = sorted({*self.config.voters, *confirmed} - {self.config.name})
-        others = exchange.sample(list(self._parts.gossip.others), ANY_SOURCES)
+        others = exchange.sample(list(self._parts.gossip.others), MAX_OTHER_SOURCES)
         is_alive = self.prober.is_alive
         return [[name for name in names if is_alive(name)] for names in (likely, others)]
--- a/sailhitch/tier/messages.py
+++ b/sailhitch/tier/messages.py
@@ -14,8 +14,8 @@
 class Ballot(NamedTuple):
     """A round's number. `boot` is random for each process, so no two rounds share a ballot."""
 
-    n: int
-    by: str
+    number: int
+    proposer: str
     boot: int
 
 
--- a/sailhitch/tier/proposer.py
+++ b/sailhitch/tier/proposer.py
@@ -134,7 +134,7 @@
 
     def observe_ballot(self, ballot: Ballot) -> None:
         """Keep the ballots to come above this one."""
-        self._highest_number = max(self._highest_number, ballot.n)
+        self._highest_number = max(self._highest_number, ballot.number)
 
     def next_ballot(self) -> Ballot:
         """Return a ballot above all that were observed."""
--- a/sailhitch/tier/register.py
+++ b/sailhitch/tier/register.py
@@ -95,7 +95,7 @@
         ok = ballot >= self.vote.promised
         is_changed = ballot > self.vote.promised
         if is_changed:
-            others = (other for other in self.vote.unfinished if other.by != ballot.by)
+            others = (other for other in self.vote.unfinished if other.proposer != ballot.proposer)
             self._set_vote(ballot, self.vote.accepted, (*others, ballot))
         vote = self.vote
         return Promise(ballot, ok, vote.promised, vote.accepted, vote.stamp), is_changed
@@ -129,7 +129,7 @@
 
         Such a round may still be chosen, even if its proposer has ended.
         """
-        return any(ballot.by in (proposer, ANY_PROPOSER) for ballot in self.vote.unfinished)
+        return any(ballot.proposer in (proposer, ANY_PROPOSER) for ballot in self.vote.unfinished)
 
     def _set_vote(
         self, promised: Ballot, accepted: ChosenState | None, unfinished: tuple[Ballot, ...]
@@ -187,7 +187,7 @@
 
         `known_stamp` is the latest stamp of this voter that anybody knows.
         """
-        forgotten = Ballot(ballot.n, ANY_PROPOSER, 0)
+        forgotten = Ballot(ballot.number, ANY_PROPOSER, 0)
         self.vote = Vote(ballot, accepted, max(known_stamp, self.vote.stamp) + 1, (forgotten,))
         self.mode = VoterMode.VOTING
         self._recovery_promises.clear()
--- a/sailhitch/tier/register_view.py
+++ b/sailhitch/tier/register_view.py
@@ -169,7 +169,7 @@
         self.chosen = chosen
         self._outbox.persist({CHOSEN_KEY: msgspec.msgpack.encode(chosen)})
         self._on_adopted()
-        self._exchange.want_latest(chosen.state, self._accepted_state(), source)
+        self._exchange.fetch_latest(chosen.state, self._accepted_state(), source)
         self.apply_chosen()
 
     def apply_chosen(self) -> None:
@@ -179,7 +179,7 @@
             return
         state = chosen.state
         if not self._exchange.has(state):
-            self._exchange.want(state, self._parts.rng.choice(self._config.voters))
+            self._exchange.fetch(state, self._parts.rng.choice(self._config.voters))
             return
         if self._voter is not None:
             self._voter.learn(chosen)
@@ -193,7 +193,7 @@
         self.applying = AppliedVersions(
             state.revision, state.active, state.pending, state.traffic_policy
         )
-        self._exchange.applying(state)
+        self._exchange.retain_for_apply(state)
         self._outbox.effects.append(ApplyVersions(self.applying))
 
     def _load_configuration(self, digest: str) -> None:
--- a/sailhitch/tier/voter_messages.py
+++ b/sailhitch/tier/voter_messages.py
@@ -73,7 +73,7 @@
         answer = self._voter.accept(request)
         if answer is None and self._voter.is_voting:
             self._unanswered = sender, request
-            self._exchange.want_to_vote(request.state, sender)
+            self._exchange.fetch_for_vote(request.state, sender)
             self._exchange.send_requests(now)
         return answer
 
@@ -99,7 +99,7 @@
             self.observe_stamp(sender, message.stamp)
             self._outbox.send_all(self._proposer.on_promise(sender, message, now))
             if self._voter is not None:
-                self._voter.on_recovery_promise(sender, message, self._exchange.want_to_vote)
+                self._voter.on_recovery_promise(sender, message, self._exchange.fetch_for_vote)
         elif isinstance(message, Accepted):
             self.observe_stamp(sender, message.stamp)
             self._outbox.send_all(self._proposer.on_accepted(sender, message, now))
--- a/sailhitch/zones/controller.py
+++ b/sailhitch/zones/controller.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneTerms:
+class ZoneSettings:
     """A gateway's settings for zones; times in microseconds."""
 
     max_out: int  # zones that may be out at a time
@@ -73,7 +73,7 @@
 class ZoneController:
     """A gateway's traffic policy, counts and next proposal."""
 
-    def __init__(self, terms: ZoneTerms, rng: random.Random) -> None:
+    def __init__(self, terms: ZoneSettings, rng: random.Random) -> None:
         self.terms = terms
         self.rng = rng
         self.serial = 0
@@ -96,14 +96,14 @@
     ) -> None:
         """Apply a traffic policy and the state's nodes."""
         old = self.traffic_policy
-        inactive_before = all_inactive_nodes(old, nodes)
+        inactive_before = inactive_nodes_by_pool(old, nodes)
         retried = all_retried_nodes(old, traffic_policy, nodes)
         self.nodes = nodes
         self.zone_of = {name: zone for pool in nodes.values() for name, zone in pool.items()}
         self.zone_health.retain(self.zone_of)
         if serial == self.serial:
             return
-        activated = inactive_before - all_inactive_nodes(traffic_policy, nodes)
+        activated = inactive_before - inactive_nodes_by_pool(traffic_policy, nodes)
         self.zone_health.forget(activated | retried)
         for zone, order in traffic_policy.zones.items():
             if order.ordered_by == rollout.AUTOMATION and zone not in old.zones:
@@ -142,7 +142,7 @@
 
     # --- What the fleet sees
 
-    def due(self, now: int) -> bool:
+    def is_due(self, now: int) -> bool:
         """Return whether the next report and look are due; if so, schedule the ones after."""
         if now < self._next_report_at:
             return False
@@ -188,12 +188,12 @@
         failed = {
             zone
             for zone, finding in findings.items()
-            if finding.kind is ZoneCondition.FAILED and finding.confidence > 0.5
+            if finding.condition is ZoneCondition.FAILED and finding.confidence > 0.5
         }
         failed -= self.traffic_policy.zones.keys()
         self._failed_since = {zone: self._failed_since.get(zone, now) for zone in failed}
 
-    def look(self, now: int, received: ReceivedReports) -> PolicyProposal | None:
+    def next_proposal(self, now: int, received: ReceivedReports) -> PolicyProposal | None:
         """Return the policy to propose now, None if there is none."""
         leave = self.propose_leave(now, received)
         if leave is not None or self.traffic_policy.hold_reason:
@@ -249,7 +249,7 @@
 
     def status(self, now: int, received: ReceivedReports) -> dict[str, Any]:
         """Return the reply to `zones status`."""
-        inactive = all_inactive_nodes(self.traffic_policy, self.nodes)
+        inactive = inactive_nodes_by_pool(self.traffic_policy, self.nodes)
         active = Counter(zone for node, zone in self.zone_of.items() if node not in inactive)
         zones = {}
         for name, count in sorted(Counter(self.zone_of.values()).items()):
@@ -260,7 +260,7 @@
                 "in_use": active[name],
                 "share": 1.0,
                 "phase": "in use",
-                "finding": finding.kind.value,
+                "finding": finding.condition.value,
                 "sure": round(finding.confidence, 3),
                 "seen": finding.description,
             }
@@ -290,10 +290,10 @@
     if not zones:
         return frozenset()
     retried = {name for pool in nodes.values() for name, zone in pool.items() if zone in zones}
-    return frozenset(retried) - all_inactive_nodes(new, nodes)
+    return frozenset(retried) - inactive_nodes_by_pool(new, nodes)
 
 
-def all_inactive_nodes(traffic_policy: TrafficPolicy, nodes: ZonesByPool) -> frozenset[str]:
+def inactive_nodes_by_pool(traffic_policy: TrafficPolicy, nodes: ZonesByPool) -> frozenset[str]:
     """Return the nodes that get no new requests; a zone's share holds in each pool by itself."""
     if not traffic_policy.zones:
         return frozenset()
--- a/sailhitch/zones/diagnosis.py
+++ b/sailhitch/zones/diagnosis.py
@@ -51,7 +51,7 @@
 class Finding(NamedTuple):
     """A zone's diagnosis, with the ratio of the reports that agree, and the figures behind it."""
 
-    kind: ZoneCondition
+    condition: ZoneCondition
     confidence: float
     description: str
 
@@ -84,13 +84,13 @@
     counted = [report for report in reports if report.name not in faulty]
     min_reporters = max(1, min(MIN_REPORTERS, len(reports)))
     findings = {zone: _diagnose_zone(counted, zone, sizes, min_reporters) for zone in sizes}
-    failing = [zone for zone, finding in findings.items() if finding.kind in _FAILING]
+    failing = [zone for zone, finding in findings.items() if finding.condition in _FAILING]
     known = [
-        zone for zone, finding in findings.items() if finding.kind is not ZoneCondition.UNKNOWN
+        zone for zone, finding in findings.items() if finding.condition is not ZoneCondition.UNKNOWN
     ]
     if len(known) > 1 and len(failing) == len(known):
         for zone in failing:
-            findings[zone] = findings[zone]._replace(kind=ZoneCondition.ALL_ZONES_FAILING)
+            findings[zone] = findings[zone]._replace(condition=ZoneCondition.ALL_ZONES_FAILING)
     return findings
 
 
--- a/sailhitch/zones/rollout.py
+++ b/sailhitch/zones/rollout.py
@@ -16,7 +16,7 @@
 from .traffic_policy import ZoneOrder
 
 AUTOMATION: Final = "automation"  # the author of orders that no operator has given
-FIRST: Final = 0.1  # share of the first step
+FIRST_SHARE: Final = 0.1  # share of the first step
 MIN_REQUESTS: Final = 20  # requests that must end in a zone before its step may succeed
 # Of a step's requests: the least ratio that so few requests distinguish from chance.
 MAX_FAILURE_RATIO: Final = 0.1
@@ -45,18 +45,18 @@
 def start_recovery(order: ZoneOrder, step_duration: int, by: str, why: str) -> ZoneOrder:
     """Return the first step of the recovery."""
     return ZoneOrder(
-        FIRST, "returning", step_duration, order.failed_recoveries, by, why, order.step + 1
+        FIRST_SHARE, "returning", step_duration, order.failed_recoveries, by, why, order.step + 1
     )
 
 
-def following(share: float) -> float:
+def next_share(share: float) -> float:
     """Return the share of the next step; 1 or more: the zone is completely in use."""
     return share * 2
 
 
 def previous_share(share: float) -> float:
     """Return the share of the step before; 0: nothing of the zone is in use for one step's time."""
-    return 0.0 if share <= FIRST else share / 2
+    return 0.0 if share <= FIRST_SHARE else share / 2
 
 
 class OrderChange(NamedTuple):
@@ -83,7 +83,7 @@
         return None
     if not order.share:
         reason = "once more" if order.failed_recoveries else "the first step"
-        return _start_step(order, FIRST, reason)
+        return _start_step(order, FIRST_SHARE, reason)
     if outcomes.ended < MIN_REQUESTS:
         # Failed nodes are ejected: without a retry, waiting would bring no more evidence.
         ended = f"{outcomes.ended} of {MIN_REQUESTS} requests have ended"
@@ -92,7 +92,7 @@
     if too_many_failed:
         return _step_back(order, outcomes)
     reason = f"{outcomes.failed} of {outcomes.ended} failed at {order.share:.0%}"
-    share = following(order.share)
+    share = next_share(order.share)
     return OrderChange(None, reason) if share >= 1 else _start_step(order, share, reason)
 
 
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -13,7 +13,7 @@
 
 from sailhitch.core.core import GatewayCore
 from sailhitch.core.log import Log
-from sailhitch.daemon.admin import Admin, ask
+from sailhitch.daemon.admin import AdminServer, ask
 from sailhitch.daemon.plan import make_plan
 from sailhitch.daemon.schema import OperatorFile, parse_value
 from sailhitch.daemon.source import LocalStateSource
@@ -78,7 +78,7 @@
     """A daemon in this process."""
 
     def __init__(
-        self, live: StateApplier, source: LocalStateSource, port: int, admin: Admin
+        self, live: StateApplier, source: LocalStateSource, port: int, admin: AdminServer
     ) -> None:
         self.live, self.source, self.port, self.admin = live, source, port, admin
         self.addr = f"127.0.0.1:{port}"
@@ -113,7 +113,7 @@
     live = StateApplier(core, gateway, store, step)
     core.begin()
     source = LocalStateSource(live)
-    admin = Admin(live, source, tmp_path / "g1.sock")
+    admin = AdminServer(live, source, tmp_path / "g1.sock")
     try:
         await source.start(whole)
         await admin.start()
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from sailhitch.core.budget import HELD_MOST
+from sailhitch.core.budget import MAX_BUFFERED_BODY
 from sailhitch.core.endpoints import EndpointUpdate
 from sailhitch.net import connection_pool
 from tests.crossings import PATIENT, ended, leave, reset_at_close, unread, waiting_gate
@@ -193,7 +193,7 @@
 def _long(name: str, size: int) -> tuple[bytes, bytes]:
     """A long request in two parts: with as much of its body as is held, and the rest."""
     whole = request(name, b"~" * size, wait_ms=20_000)
-    first = whole.index(b"\r\n\r\n") + 4 + HELD_MOST + 1000
+    first = whole.index(b"\r\n\r\n") + 4 + MAX_BUFFERED_BODY + 1000
     return whole[:first], whole[first:]
 
 
@@ -201,7 +201,7 @@
     async def play() -> None:
         async with waiting_gate() as (host, it, held):
             client = await it.client()
-            first, rest = _long("r1", HELD_MOST + 9000)
+            first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
             await until(lambda: held.waiting == 1)
             client.send(rest)  # which is not read: the body is held
@@ -234,7 +234,7 @@
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with server, gate(("a", addr), settings=PATIENT) as it:
             client = await it.client()
-            first, rest = _long("r1", HELD_MOST + 9000)
+            first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
             await begun.wait()
             conn = unread(it)
@@ -248,7 +248,11 @@
             await until(
                 lambda: all(writer.is_closing() for writer in got) or not it.hosts.connections
             )
-            assert HELD_MOST <= sum(one.count(b"~") for one in got.values()) < HELD_MOST + 9000
+            assert (
+                MAX_BUFFERED_BODY
+                <= sum(one.count(b"~") for one in got.values())
+                < MAX_BUFFERED_BODY + 9000
+            )
 
     asyncio.run(play())
 
@@ -265,11 +269,11 @@
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with server, gate(("a", addr), settings=PATIENT) as it:
-            first, rest = _long("r1", HELD_MOST + 9000)
+            first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             with plain(it.addr) as client:
                 client.setblocking(False)
                 await asyncio.get_running_loop().sock_sendall(client, first)
-                await until(lambda: sum(got) >= HELD_MOST)
+                await until(lambda: sum(got) >= MAX_BUFFERED_BODY)
                 if how == "reset":
                     reset_at_close(client)
                 more = b"GET /more HTTP/1.1\r\n" if how == "bytes before" else b""
@@ -277,7 +281,7 @@
             await until(
                 lambda: not it.core.open_requests and not it.clients() and not it.hosts.connections
             )
-            assert HELD_MOST <= sum(got) < HELD_MOST + 9000
+            assert MAX_BUFFERED_BODY <= sum(got) < MAX_BUFFERED_BODY + 9000
 
     asyncio.run(play())
 
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -31,7 +31,7 @@
     BURST_BYTES,
     BYTES_PER_SECOND,
     MAX_REPLY_BYTES,
-    PAGE,
+    PAGE_KEY_PREFIX,
     ContentStore,
     root_of,
     tree_digest,
@@ -100,7 +100,7 @@
         self._wires: dict[str, Wire] = {}
 
     def want(self, digest: str, source: str) -> None:
-        self.sink.want(digest, source)
+        self.sink.fetch(digest, source)
 
     def run(self, digest: str, until: int = 60 * S, most_kept: int | None = None) -> bool:
         """Go on until the tree is here, or until a time; whether it is."""
@@ -167,7 +167,9 @@
     play.want(digest, "a")
     assert play.run(digest)
     assert entries_of(play.sink, digest) == entries
-    assert play.disk() == {PAGE + page: compress(raw) for page, raw in tree.pages.items()}
+    assert play.disk() == {
+        PAGE_KEY_PREFIX + page: compress(raw) for page, raw in tree.pages.items()
+    }
     assert play.sink.corrupt_count == 0
 
 
@@ -304,7 +306,9 @@
     assert both.run(digest)
     assert both.sink.corrupt_count > 0
     assert entries_of(both.sink, digest) == entries
-    assert both.disk() == {PAGE + page: compress(raw) for page, raw in tree.pages.items()}
+    assert both.disk() == {
+        PAGE_KEY_PREFIX + page: compress(raw) for page, raw in tree.pages.items()
+    }
 
 
 def test_a_malformed_page_of_the_right_digest_is_not_taken() -> None:
@@ -356,15 +360,15 @@
     assert here
     play.sources["a"] = silent
     assert play.run(digest)
-    after = {PAGE + wanted.digest.hex() for _, _, wanted in play.asked[before:]}
+    after = {PAGE_KEY_PREFIX + wanted.digest.hex() for _, _, wanted in play.asked[before:]}
     assert not after & here
-    assert {*play.disk()} == {PAGE + page for page in tree.pages}
+    assert {*play.disk()} == {PAGE_KEY_PREFIX + page for page in tree.pages}
 
 
 def test_an_answer_from_whom_was_not_asked_is_not_taken() -> None:
     tree = build(some_entries(3))
     store, sink = holding(tree), ContentStore({})
-    sink.want(tree_digest(tree.root), "a")
+    sink.fetch(tree_digest(tree.root), "a")
     [(_, request)] = sink.requests(1, random.Random(1), [["a"]])
     assert isinstance(request, PageRequest)
     [reply] = store.answer_pages(request, 1)
@@ -377,7 +381,7 @@
     tree = build(some_entries(3))
     store, sink, digest = holding(tree), ContentStore({}), tree_digest(tree.root)
     rng = random.Random(1)
-    sink.want(digest, "a")
+    sink.fetch(digest, "a")
     [(first, request)] = sink.requests(1, rng, [["b"]])
     [(second, _)] = sink.requests(1 + MAX_TIMEOUT, rng)
     assert (first, second) == ("a", "b")
@@ -424,7 +428,7 @@
     digest = tree_digest(tree.root)
     play.want(digest, "a")
     assert play.run(digest)
-    assert {*play.disk()} == {PAGE + page for page in tree.pages}
+    assert {*play.disk()} == {PAGE_KEY_PREFIX + page for page in tree.pages}
 
 
 def test_a_page_of_the_largest_size_is_fetched_and_found_by_its_blocks() -> None:
@@ -452,7 +456,7 @@
         play = Play({"a": honest(holding(tree))}, sink=store)
         play.want(tree_digest(tree.root), "a")
         assert play.run(tree_digest(tree.root))
-        assert {*play.disk()} == {PAGE + leaf}
+        assert {*play.disk()} == {PAGE_KEY_PREFIX + leaf}
 
 
 def test_an_updated_tree_needs_the_pages_that_it_shares() -> None:
@@ -461,10 +465,10 @@
     empty = ContentStore({})
     with pytest.raises(ValueError, match=f"tree {new.root}: its page .* is neither new nor here"):
         empty.add(new)
-    assert empty.keep_only([]) == []  # nothing was put in
+    assert empty.retain_only([]) == []  # nothing was put in
     store = holding(old)
     digest, kept = store.add(new)
-    assert kept == {PAGE + page: compress(raw) for page, raw in new.pages.items()}
+    assert kept == {PAGE_KEY_PREFIX + page: compress(raw) for page, raw in new.pages.items()}
     assert store.has(digest)
     assert entries_of(store, digest)[Key("group1", "name1")] == b"changed"
 
@@ -476,7 +480,7 @@
     play.want(digest, "a")
     play.run(digest, most_kept=5)
     _, kept = play.sink.add(tree)
-    assert {*kept} == {PAGE + page for page in tree.pages} - {*play.disk()}
+    assert {*kept} == {PAGE_KEY_PREFIX + page for page in tree.pages} - {*play.disk()}
     assert play.sink.has(digest)
     assert not play.sink.is_fetching
 
@@ -538,14 +542,16 @@
     two = update(store, one.root, {Key("group1", "name1"): b"changed"}, 500)
     store.add(two)
     digests = tree_digest(one.root), tree_digest(two.root)
-    assert store.keep_only(digests) == []
-    gone = store.keep_only([digests[1]])
-    assert {*gone} == {PAGE + page for page in one.pages if page not in _all_of(store, two.root)}
+    assert store.retain_only(digests) == []
+    gone = store.retain_only([digests[1]])
+    assert {*gone} == {
+        PAGE_KEY_PREFIX + page for page in one.pages if page not in _all_of(store, two.root)
+    }
     assert 0 < len(gone) < len(one.pages) / 10
     assert not store.has(digests[0])
     assert entries_of(store, digests[1]) == entries | {Key("group1", "name1"): b"changed"}
-    rest = {PAGE + page for page in {**one.pages, **two.pages}} - {*gone}
-    assert {*store.keep_only([])} == rest
+    rest = {PAGE_KEY_PREFIX + page for page in {**one.pages, **two.pages}} - {*gone}
+    assert {*store.retain_only([])} == rest
 
 
 def _all_of(store: ContentStore, root: str) -> set[str]:
@@ -560,7 +566,7 @@
 def test_letting_go_of_one_of_two_versions_costs_what_goes(monkeypatch: pytest.MonkeyPatch) -> None:
     one = build(some_entries(3000), 500)
     store = holding(one)
-    store.keep_only([tree_digest(one.root)])
+    store.retain_only([tree_digest(one.root)])
     two = update(store, one.root, {Key("group1", "name1"): b"changed"}, 500)
     store.add(two)
     removed, referred = list[str](), list[str]()
@@ -577,7 +583,7 @@
     monkeypatch.setattr(PageStore, "_remove", counted_remove)
     monkeypatch.setattr(PageStore, "_add_reference", counted_refer)
     monkeypatch.setattr("sailhitch.tier.page_store.decompress", None)  # no page is decoded
-    store.keep_only([tree_digest(two.root)])
+    store.retain_only([tree_digest(two.root)])
     assert len(removed) == len(two.pages)
     assert len(referred) == 1
 
@@ -592,7 +598,7 @@
     assert play.sink.is_fetching
     came = {*play.disk()}
     assert came
-    assert {*play.sink.keep_only([tree_digest(one.root)])} == came
+    assert {*play.sink.retain_only([tree_digest(one.root)])} == came
     assert not play.sink.is_fetching
     before = len(play.asked)
     assert not play.run(digest, play.now + 2 * S)
@@ -615,10 +621,10 @@
     play.sink.fetch_only([tree_digest(two.root)])
     before = len(play.asked)
     assert play.run(tree_digest(two.root))
-    asked = {PAGE + wanted.digest.hex() for _, _, wanted in play.asked[before:]}
+    asked = {PAGE_KEY_PREFIX + wanted.digest.hex() for _, _, wanted in play.asked[before:]}
     assert not asked & here
-    wanted = {PAGE + page for page in _all_of(play.sink, two.root)}
-    assert {*play.sink.keep_only([tree_digest(two.root)])} == {*play.disk()} - wanted
+    wanted = {PAGE_KEY_PREFIX + page for page in _all_of(play.sink, two.root)}
+    assert {*play.sink.retain_only([tree_digest(two.root)])} == {*play.disk()} - wanted
 
 
 # --- The disk
@@ -638,33 +644,38 @@
         assert again.sink.has(digest) == (steps == len(first.kept))
         again.want(digest, "a")
         assert again.run(digest)
-        assert {*again.disk()} == {PAGE + page for page in tree.pages} - {*disk}
+        assert {*again.disk()} == {PAGE_KEY_PREFIX + page for page in tree.pages} - {*disk}
         assert entries_of(again.sink, digest) == entries
-        assert again.sink.keep_only([digest]) == []
+        assert again.sink.retain_only([digest]) == []
 
 
 def test_pages_on_an_old_disk_that_nothing_wants_are_let_go_of() -> None:
     one = build(some_entries(100), 500)
     withdrawn = build(some_entries(100, seed=2), 500)
-    disk = {PAGE + page: compress(raw) for page, raw in {**one.pages, **withdrawn.pages}.items()}
-    del disk[PAGE + withdrawn.root]  # not even its root came to be there
+    disk = {
+        PAGE_KEY_PREFIX + page: compress(raw)
+        for page, raw in {**one.pages, **withdrawn.pages}.items()
+    }
+    del disk[PAGE_KEY_PREFIX + withdrawn.root]  # not even its root came to be there
     store = ContentStore.from_disk({**disk, "known": b"", "vote": b""}, 0)
-    gone = store.keep_only([tree_digest(one.root)])
-    assert {*gone} == {PAGE + page for page in withdrawn.pages} - {PAGE + withdrawn.root}
+    gone = store.retain_only([tree_digest(one.root)])
+    assert {*gone} == {PAGE_KEY_PREFIX + page for page in withdrawn.pages} - {
+        PAGE_KEY_PREFIX + withdrawn.root
+    }
     assert store.has(tree_digest(one.root))
 
 
 def test_a_page_on_disk_that_cannot_be_read_is_fetched_anew() -> None:
     tree = build(some_entries(100), 500)
-    disk = {PAGE + page: compress(raw) for page, raw in tree.pages.items()}
-    disk[PAGE + tree.root] = disk[PAGE + tree.root][:-3]
+    disk = {PAGE_KEY_PREFIX + page: compress(raw) for page, raw in tree.pages.items()}
+    disk[PAGE_KEY_PREFIX + tree.root] = disk[PAGE_KEY_PREFIX + tree.root][:-3]
     store = ContentStore.from_disk(disk, 0)
     digest = tree_digest(tree.root)
     assert not store.has(digest)
     play = Play({"a": honest(holding(tree))}, sink=store)
     play.want(digest, "a")
     assert play.run(digest)
-    assert {*play.disk()} == {PAGE + tree.root}
+    assert {*play.disk()} == {PAGE_KEY_PREFIX + tree.root}
 
 
 # --- Members
@@ -693,7 +704,7 @@
 
 
 def _pages_on(process: TierProcess) -> set[str]:
-    return {name for name in process.disk.now if name.startswith(PAGE)}
+    return {name for name in process.disk.synced if name.startswith(PAGE_KEY_PREFIX)}
 
 
 def _of_versions(world: World, *versions: Version) -> set[str]:
@@ -702,7 +713,7 @@
     for allow in world.acts_by_digest.values():
         everything.update(world.contents.tree(allow, 0).pages)
     roots = {root for version in versions if (root := root_of(version.digest)) is not None}
-    return {PAGE + page for page in _reached(everything, roots)}
+    return {PAGE_KEY_PREFIX + page for page in _reached(everything, roots)}
 
 
 def _count(world: World, to: str) -> list[Message]:
@@ -811,12 +822,16 @@
     world = _stood()
     process, kept = world.processes["g5"], list[set[str]]()
     process.kill()
-    process.disk.lose()
+    process.disk.erase()
     real = process.on_synced
 
     def on_synced(persist: Persist) -> None:
         real(persist)
-        pages = {name for name, value in persist.items.items() if name.startswith(PAGE) and value}
+        pages = {
+            name
+            for name, value in persist.items.items()
+            if name.startswith(PAGE_KEY_PREFIX) and value
+        }
         if pages:
             kept.append(pages)
             if process.incarnation == 2 and len(kept) == steps:
@@ -875,12 +890,12 @@
     assert world.checker.latest is not None
     assert world.checker.latest.pending is not None
     withdrawn = _of_versions(world, world.checker.latest.pending)
-    old.disk.copy()
+    old.disk.take_snapshot()
     old.kill()
     world.processes["g2"].withdraw()
     heal()
     world.kernel.run(world.kernel.now + 3 * S)
-    old.disk.now = dict(old.disk.days[-1])
+    old.disk.synced = dict(old.disk.snapshots[-1])
     assert withdrawn <= _pages_on(old)
     old.start()
     register_state = _rested(world)
@@ -930,7 +945,9 @@
                 member.confirm_applied(effect.versions.revision, now)
     assert member.applying.active.digest == tree_digest(tree.root)
     contents = {name for name in disk if "/" in name}
-    assert contents == {PAGE + page for page in tree.pages} | {f"content/{configuration_digest}"}
+    assert contents == {PAGE_KEY_PREFIX + page for page in tree.pages} | {
+        f"content/{configuration_digest}"
+    }
 
 
 LARGE = Contents(some_entries(6000, size=250), 4096)
@@ -963,10 +980,10 @@
     newcomer = world.processes["g5"]
     newcomer.start()
     began = world.kernel.now
-    while not (newcomer.view is not None and _member(world, "g5").is_caught_up()):
+    while not (newcomer.applied_versions is not None and _member(world, "g5").is_caught_up()):
         world.kernel.run(world.kernel.now + S)
         assert world.kernel.now - began < 60 * S
-    size = sum(len(newcomer.disk.now[name]) for name in _pages_on(newcomer))
+    size = sum(len(newcomer.disk.synced[name]) for name in _pages_on(newcomer))
     assert size > 1.5e6
     world.kernel.run(world.kernel.now + 5 * S)
     assert _member(world, "g5").member_status(newcomer.clock()) is MemberStatus.ACTIVE
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailhitch.core.budget import HELD_MOST, LONGEST, Budget
+from sailhitch.core.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY, Budget
 from sailhitch.core.throughput_watchdog import GRACE_TIME, MAX_STALL, MIN_RATE, ThroughputWatchdog
 from sailhitch.core.upload import Upload
 from sailhitch.front import Reason
@@ -71,7 +71,7 @@
         step = draw(st.sampled_from(("read", "open", "taken", "left", "whole", "close")))
         if step == "read" and not source.held and not upload.complete and not upload.abandoned:
             for piece in draw(st.lists(st.binary(min_size=1, max_size=9), min_size=1, max_size=3)):
-                upload.came(piece)
+                upload.add(piece)
                 sent += piece
             upload.flush()
             assert source.held  # until whoever has it says that it is taken
@@ -82,9 +82,9 @@
             assert start == sent  # from the first byte on, all that has come
             sink.more(start, last)
         elif step == "taken" and sink is not None:
-            upload.taken(sink)
+            upload.on_written(sink)
         elif step == "left" and sink is not None:
-            upload.left(sink)
+            upload.detach(sink)
             sink = None
         elif step == "whole" and not upload.complete and not upload.abandoned:
             upload.complete = True
@@ -93,12 +93,12 @@
             upload.close()
             sink = None
             assert not source.held
-            assert budget.flows == 0
+            assert budget.streamed == 0
         for one in sinks:
             assert sent.startswith(one.got)
             assert one.ends <= 1
             assert not one.ends or (one.got == sent and upload.complete)
-        assert budget.flows <= len(sent)
+        assert budget.streamed <= len(sent)
     if sink is not None and upload.complete:
         assert sink.got == sent
         assert sink.ends == 1
@@ -114,17 +114,17 @@
             honest.stop(now)
             trickle.stop(now)
             now += gap * 20
-            assert not honest.overdue(now)
-            honest.go(now)
-            trickle.go(now)
+            assert not honest.is_too_slow(now)
+            honest.resume(now)
+            trickle.resume(now)
         now += gap
         counted += gap
-        honest.move(1 + gap * MIN_RATE // 1_000_000, now)
-        trickle.move(gap * MIN_RATE // 1_000_000 // (10 * slow), now)
-        assert not honest.overdue(now)
+        honest.record(1 + gap * MIN_RATE // 1_000_000, now)
+        trickle.record(gap * MIN_RATE // 1_000_000 // (10 * slow), now)
+        assert not honest.is_too_slow(now)
     if counted > 2 * GRACE_TIME:
-        assert trickle.overdue(now)
-    assert honest.overdue(now + MAX_STALL + 1)
+        assert trickle.is_too_slow(now)
+    assert honest.is_too_slow(now + MAX_STALL + 1)
 
 
 # --- Over sockets
@@ -134,7 +134,7 @@
     async def run() -> None:
         async with host, gate(("a", host.addr), **changes) as it:
             await act(it, host)
-            await until(lambda: it.core.budget.reserved == it.core.budget.flows == 0)
+            await until(lambda: it.core.budget.reserved == it.core.budget.streamed == 0)
             assert it.core.counters.panics == it.core.counters.faults == 0
 
     asyncio.run(run())
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("form", [b"length", b"chunked", b"close"])
-@pytest.mark.parametrize("size", [HELD_MOST, HELD_MOST + 1, 3 * MB])
+@pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, 3 * MB])
 def test_bodies_of_any_form_and_length_go_both_ways(form: bytes, size: int) -> None:
     async def act(it: Gate, host: Server) -> None:
         client = await it.client()
@@ -216,7 +216,7 @@
         while not all(task.done() for task in tasks):
             n += 1
             assert (await short.ask(request(f"s{n}", b"body")))[1] == b"body"
-            most = max(most, it.core.budget.flows)
+            most = max(most, it.core.budget.streamed)
         await asyncio.gather(*tasks)
         assert 0 < most < count * READS
 
@@ -228,7 +228,7 @@
     form: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_connection, "MAX_FLOW_STALL", 300_000)
-    monkeypatch.setattr(upstream_connection, "LONGEST", 2 * MB)
+    monkeypatch.setattr(upstream_connection, "MAX_BODY_BYTES", 2 * MB)
 
     async def broken(message: bytes, writer: Writer) -> None:
         long = b"Content-Length: %d\r\n" % (2 * MB) if form in ("breaks", "stops", "lies") else b""
@@ -261,7 +261,7 @@
 
 
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
-@pytest.mark.parametrize("size", [10, HELD_MOST // 2, MB])
+@pytest.mark.parametrize("size", [10, MAX_BUFFERED_BODY // 2, MB])
 def test_an_answer_without_a_length_that_is_reset_is_not_passed_on_as_whole(
     size: int, version: bytes
 ) -> None:
@@ -323,20 +323,20 @@
         async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
             self.writers.append(writer)
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(HELD_MOST)
+            await reader.readexactly(MAX_BUFFERED_BODY)
             writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
             self.seen.append(b"declined")
 
     async def act(it: Gate, host: Server) -> None:
         client = await it.client()
         whole = request("r", BODY)
-        client.send(whole[: 2 * HELD_MOST])
+        client.send(whole[: 2 * MAX_BUFFERED_BODY])
         async with asyncio.timeout(PATIENCE):
             early = await read_message(client.reader)
         assert early.startswith(b"HTTP/1.1 503")
         assert b"\r\nConnection: close\r\n" in early
         # What the client still sends is taken in, so that the answer is not lost to a reset.
-        client.send(whole[2 * HELD_MOST :])
+        client.send(whole[2 * MAX_BUFFERED_BODY :])
         assert await client.rest() == b""
 
     play(act, Declines())
@@ -433,13 +433,15 @@
     async def act(it: Gate, host: Server) -> None:
         slow, trickle, half = [await it.client() for _ in range(3)]
         tasks = [
-            asyncio.create_task(send(slow, request("s", BODY[: 4 * HELD_MOST]), 8192, 0.12)),
-            asyncio.create_task(send(trickle, request("t", BODY[:HELD_MOST]), 10, 0.1)),
+            asyncio.create_task(
+                send(slow, request("s", BODY[: 4 * MAX_BUFFERED_BODY]), 8192, 0.12)
+            ),
+            asyncio.create_task(send(trickle, request("t", BODY[:MAX_BUFFERED_BODY]), 10, 0.1)),
         ]
-        half.send(request("h", BODY)[: 2 * HELD_MOST])
+        half.send(request("h", BODY)[: 2 * MAX_BUFFERED_BODY])
         assert (await trickle.answer())[0] == 408
         assert (await half.answer())[0] == 408
-        assert await slow.answer() == (200, BODY[: 4 * HELD_MOST])
+        assert await slow.answer() == (200, BODY[: 4 * MAX_BUFFERED_BODY])
         for task in tasks:
             task.cancel()
 
@@ -477,7 +479,7 @@
         sent = 0
         answered = asyncio.create_task(client.answer())
         while not answered.done():
-            assert sent <= 2 * LONGEST
+            assert sent <= 2 * MAX_BODY_BYTES
             client.send(piece)
             sent += MB
             await asyncio.wait((answered,), timeout=0.01)
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -209,12 +209,12 @@
         for i in range(12):
             beside(scene, scene.crowd.slow_reader(platform(f"s{i}", SAFE, 3000)))
         admission = scene.it.core.admission
-        await until(lambda: scene.it.core.budget.flows > 1_000_000)
+        await until(lambda: scene.it.core.budget.streamed > 1_000_000)
         scene.node.size = 32
         await scene.serve_honest()
         scene.check()
         await until(lambda: admission.figures.closed[Reason.UNREAD] >= 5)
-        await until(lambda: scene.it.core.budget.flows == 0)
+        await until(lambda: scene.it.core.budget.streamed == 0)
 
     play(act)
 
--- a/tests/test_tier_cases.py
+++ b/tests/test_tier_cases.py
@@ -111,7 +111,7 @@
     latest = world.checker.latest
     assert latest is not None
     assert (latest.pending is None) == (lease is not None)
-    world.processes["g3"].wake()  # the checker looks at each of its writes
+    world.processes["g3"].resume()  # the checker looks at each of its writes
     assert settled(world).active.serial == 2
 
 
@@ -123,7 +123,7 @@
     world.processes["g4"].propose(1, 0)
     state = settled(world)
     assert state.active.serial == 3
-    assert world.permitted(state.active.digest) == world.first
+    assert world.permitted(state.active.digest) == world.initially_permitted
 
 
 def test_a_withdrawn_change_leaves_all_where_they_were() -> None:
@@ -136,7 +136,7 @@
     latest = world.checker.latest
     assert latest is not None
     assert (latest.active.serial, latest.pending) == (1, None)
-    world.processes["g3"].wake()
+    world.processes["g3"].resume()
     world.processes["g2"].propose(3, 0)
     assert settled(world).active.serial == 3  # serials are not assigned twice
 
@@ -196,7 +196,7 @@
     for name in world.voters:
         world.processes[name].kill()
     for name in world.voters:
-        world.processes[name].disk.lose()
+        world.processes[name].disk.erase()
         world.processes[name].start()
 
 
@@ -223,7 +223,7 @@
     latest = world.checker.latest
     assert latest is not None
     assert (latest.active.serial, latest.pending) == (2, None)
-    world.processes["g3"].wake()
+    world.processes["g3"].resume()
     settled(world)
 
 
@@ -240,7 +240,9 @@
 
     world.network.send = counted  # type: ignore[method-assign]
     world.kernel.run(world.kernel.now + 10 * S)
-    assert size / members / 10 < 2 * 1000 * (S / world.beat)  # two datagrams of 1,000 a tick
+    assert size / members / 10 < 2 * 1000 * (
+        S / world.heartbeat_interval
+    )  # two datagrams of 1,000 a tick
 
 
 def test_a_configuration_change_while_a_version_is_pending() -> None:
@@ -262,6 +264,6 @@
         while not process._is_syncing:
             world.kernel.run(world.kernel.now + 100)
         process.kill()
-        process.disk.lose()
+        process.disk.erase()
         world.kernel.run(world.kernel.now + S)
-        assert process.disk.now == {}
+        assert process.disk.synced == {}
--- a/tests/test_tier_model.py
+++ b/tests/test_tier_model.py
@@ -113,7 +113,7 @@
 def _confirms_before_it_acts(patch: Patch) -> None:
     patch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW)
     # Contents that it lets go of too early would be found out first.
-    patch.setattr(ContentExchange, "applied", lambda self, revision: None)
+    patch.setattr(ContentExchange, "release_before", lambda self, revision: None)
     real = TierProcess.perform
 
     def happen(self: TierProcess, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
@@ -221,7 +221,7 @@
 
 
 def _lets_go_of_what_is_applied(patch: Patch) -> None:
-    patch.setattr(ContentExchange, "applying", lambda self, state: None)
+    patch.setattr(ContentExchange, "retain_for_apply", lambda self, state: None)
 
 
 S = 1_000_000
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -17,7 +17,7 @@
 from sailhitch.model.explore import Explorer, LostUpdateError
 from sailhitch.model.tier import World
 from sailhitch.tier.configuration import Configuration, ConfigurationIndex
-from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT, NO_ARRIVAL, ContentStore
+from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT_KEY_PREFIX, NO_ARRIVAL, ContentStore
 from sailhitch.tier.disk import Disk, DiskError
 from sailhitch.tier.effects import ProposalResult
 from sailhitch.tier.lease import GrantTable, Lease
@@ -275,7 +275,7 @@
 ) -> None:
     source, sink, rng = ContentStore({}), ContentStore({}), random.Random(seed)
     digest, kept = source.add(content)
-    sink.want(digest, "a")
+    sink.fetch(digest, "a")
     now = 0
     for _ in range(400):
         now += 100_000
@@ -289,7 +289,7 @@
                 sink.take_block(block)
         if sink.has(digest):
             break
-    assert sink.packed == {digest: kept[CONTENT + digest]}
+    assert sink.packed == {digest: kept[CONTENT_KEY_PREFIX + digest]}
     assert sink.read(digest) == content
 
 
@@ -298,8 +298,8 @@
     digest, _ = source.add(b"x" * 10)
     other = ContentStore({})
     wrong, kept = other.add(b"another")
-    packed = kept[CONTENT + wrong]
-    sink.want(digest, "a")
+    packed = kept[CONTENT_KEY_PREFIX + wrong]
+    sink.fetch(digest, "a")
     assert sink.take_block(Block(digest, 0, len(packed), packed)) == NO_ARRIVAL
     assert sink.corrupt_count == 1
     assert not sink.has(digest)
@@ -314,7 +314,7 @@
     nodes = {f"p/n{i}": {"address": f"10.0.{i // 250}.{i % 250}:80"} for i in range(10_000)}
     source, sink = ContentStore({}), ContentStore({})
     digest, kept = source.add(repr(nodes).encode())
-    sink.want(digest, "a")
+    sink.fetch(digest, "a")
     now, sent = 0, 0
     while not sink.has(digest):
         now += 1000
@@ -324,7 +324,7 @@
             assert block is not None
             sent += 1
             sink.take_block(block)
-    assert sent == -(-len(kept[CONTENT + digest]) // BLOCK_SIZE)
+    assert sent == -(-len(kept[CONTENT_KEY_PREFIX + digest]) // BLOCK_SIZE)
 
 
 # --- Leases
--- a/tests/test_tier_probes.py
+++ b/tests/test_tier_probes.py
@@ -235,7 +235,7 @@
     world.processes["g2"].propose(1, 0)
     _go_on(world, 5)
     assert _member(world, "g1").waiting_for() == ["g5"]
-    newcomer.wake()
+    newcomer.resume()
     _go_on(world, 12)
     world.check_end()
 
--- a/tests/test_tier_recovery.py
+++ b/tests/test_tier_recovery.py
@@ -94,11 +94,11 @@
     world.kernel.run(4 * S)
     process = world.processes["g4"]
     _delay_accepts(world, "g4", ("g2", "g3"), 600_000)
-    process.ask(lambda member: member.leave())
+    process.begin_job(lambda member: member.leave())
     _run_until(world, lambda: _accepted_revision(world, "g1") == 2)
     process.kill()
     if disk == "empty":
-        process.disk.lose()
+        process.disk.erase()
     process.start()
     world.kernel.run(world.kernel.now + 520_000)
     names = world.names
@@ -192,7 +192,7 @@
 
 
 def _leave(process: TierProcess) -> None:
-    process.ask(lambda member: member.leave())
+    process.begin_job(lambda member: member.leave())
 
 
 def _withdraw(process: TierProcess) -> None:
@@ -213,7 +213,7 @@
         world.processes["g5"].pause()
         world.processes[name].propose(1, 0)
         world.kernel.run(6 * S)
-        world.processes["g5"].wake()
+        world.processes["g5"].resume()
     process = world.processes[name]
     change(process)
     delay = int(world.kernel.stream("death").integers(1_000, 120_000))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -20,9 +20,9 @@
     HOUR,
     ZoneController,
     ZonesByPool,
-    ZoneTerms,
-    all_inactive_nodes,
+    ZoneSettings,
     all_retried_nodes,
+    inactive_nodes_by_pool,
 )
 from sailhitch.zones.diagnosis import (
     Finding,
@@ -33,7 +33,7 @@
 )
 from sailhitch.zones.health_tracker import OUTCOME_TTL, ZoneHealth, ZoneObservation
 from sailhitch.zones.rollout import (
-    FIRST,
+    FIRST_SHARE,
     MAX_FAILED_RECOVERIES,
     MIN_FAILURES,
     MIN_REQUESTS,
@@ -55,7 +55,7 @@
 Patch = pytest.MonkeyPatch
 NODES = {f"p/n{i}": f"z{i % 3}" for i in range(30)}
 POOLS = {"p": NODES}
-BACK = ZoneOrder(FIRST, "returning", STEP, 0, "ada", "", 1)
+BACK = ZoneOrder(FIRST_SHARE, "returning", STEP, 0, "ada", "", 1)
 
 
 def _order(**changes: Any) -> ZoneOrder:
@@ -79,7 +79,7 @@
 
 def test_a_share_is_one_of_each_pool() -> None:
     nodes = {"a": {f"a/{i}": "z" for i in range(10)}, "b": {f"b/{i}": "z" for i in range(3)}}
-    out = all_inactive_nodes(TrafficPolicy({"z": _order(share=0.4)}), nodes)
+    out = inactive_nodes_by_pool(TrafficPolicy({"z": _order(share=0.4)}), nodes)
     assert [sum(name in out for name in here) for here in nodes.values()] == [6, 1]
 
 
@@ -87,7 +87,7 @@
     old, nodes = TrafficPolicy({"z1": _order(share=0.2)}), {"p": NODES}
     again = TrafficPolicy({"z1": _order(share=0.2, attempt=1)})
     here = {name for name, zone in NODES.items() if zone == "z1"}
-    assert all_retried_nodes(old, again, nodes) == here - all_inactive_nodes(again, nodes)
+    assert all_retried_nodes(old, again, nodes) == here - inactive_nodes_by_pool(again, nodes)
     for new in (old, TrafficPolicy({"z1": _order(share=0.4, step=2, attempt=1)}), EMPTY_POLICY):
         assert all_retried_nodes(old, new, nodes) == frozenset()
 
@@ -115,13 +115,13 @@
         ({}, STEP - 1, (500, 0), None, ""),  # its time is not over
         ({}, STEP, (500, 0), 0.2, "0 of 500 failed"),
         ({"share": 0.8}, STEP, (500, 0), 1.0, "0 of 500 failed"),
-        ({}, STEP, (MIN_REQUESTS - 1, 0), FIRST, "tried anew"),  # nobody knows yet
+        ({}, STEP, (MIN_REQUESTS - 1, 0), FIRST_SHARE, "tried anew"),  # nobody knows yet
         ({}, 0, (MIN_FAILURES, MIN_FAILURES), 0.0, "relapse"),  # at once
         ({}, 0, (MIN_FAILURES - 1, MIN_FAILURES - 1), None, ""),  # too few to tell
         ({}, STEP, (MIN_FAILURES * 10, MIN_FAILURES), 0.2, "failed at"),  # a tenth may
         ({"share": 0.4}, 0, (50, 20), 0.2, "relapse"),
         ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP - 1, (0, 0), None, ""),  # twice as long
-        ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP, (0, 0), FIRST, "once more"),
+        ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP, (0, 0), FIRST_SHARE, "once more"),
         ({"failed_recoveries": MAX_FAILED_RECOVERIES}, 0, (50, 50), 0.0, "left to an operator"),
         ({"phase": "out", "share": 0.0}, 1 << 60, (0, 0), None, ""),  # operators return
     ],
@@ -152,7 +152,7 @@
         if found[0] is None:
             break
         order = found[0]
-    assert shares == [FIRST, 0.2, 0.4, 0.8]
+    assert shares == [FIRST_SHARE, 0.2, 0.4, 0.8]
 
 
 # --- The evidence
@@ -212,7 +212,7 @@
 def _controller(
     posture: TrafficPolicy = EMPTY_POLICY, nodes: ZonesByPool = POOLS, **terms: Any
 ) -> ZoneController:
-    controller = ZoneController(ZoneTerms(1, STEP, **terms), random.Random(1))
+    controller = ZoneController(ZoneSettings(1, STEP, **terms), random.Random(1))
     controller.apply(1, posture, nodes, 0)
     return controller
 
@@ -256,9 +256,9 @@
     words = controller.on_reports(
         {"g2": evidence.encode(evidence.ZoneHealthReport({"z1": (1, 100, 0)}))}
     )
-    assert controller.look(10 * S, words) is not None
+    assert controller.next_proposal(10 * S, words) is not None
     controller.apply(2, controller.operator_request("hold", "", "", "ada", None), POOLS, 10 * S)
-    assert controller.look(60 * S, words) is None
+    assert controller.next_proposal(60 * S, words) is None
     assert controller.operator_request("leave", "z1", "", "ada", None).zones["z1"].phase == "out"
 
 
@@ -294,7 +294,7 @@
 def _ask(world: World, name: str, act: str, zone: str) -> None:
     process = world.processes[name]
     assert process.controller is not None
-    process.pose_zones(process.controller.operator_request(act, zone, "", "ada", None))
+    process.propose_zone_policy(process.controller.operator_request(act, zone, "", "ada", None))
 
 
 def _out(world: World, zone: str) -> list[int]:
@@ -329,7 +329,7 @@
     world = _fleet()
     _ask(world, "g1", "leave", "z1")
     _go_on(world, 2)
-    world.frozen.add("z1")
+    world.failed_zones.add("z1")
     _ask(world, "g4", "return", "z1")
     least: list[int] = []
     _go_on(world, 60, lambda: least.append(min(_out(world, "z1"))))
@@ -340,7 +340,7 @@
         if p.controller
     ]
     assert min(relapses) >= 2
-    world.frozen.clear()
+    world.failed_zones.clear()
     _go_on(world, 120)
     assert _out(world, "z1") == [0] * 9
 
@@ -370,7 +370,7 @@
     assert head is not None
     assert head.pending is not None
     for name in ("g7", "g8", "g9"):
-        world.processes[name].wake()
+        world.processes[name].resume()
     _go_on(world, 5)
     assert _out(world, "z2") == [4] * 9
 
@@ -473,7 +473,7 @@
 )
 def test_what_a_zone_is_taken_for(rows: list[Row], kinds: tuple[ZoneCondition, ...]) -> None:
     found = diagnose(_reports(*rows), SIZES)
-    assert tuple(one.kind for one in found.values()) == kinds, found
+    assert tuple(one.condition for one in found.values()) == kinds, found
 
 
 def test_a_sick_gateway_is_named_and_no_other() -> None:
@@ -494,7 +494,7 @@
     rows += [("z0", *(data.draw(sight) for _ in range(3))) for _ in range(liars)]
     found = diagnose(_reports(*rows), SIZES)
     assert not any(
-        one.kind is ZoneCondition.FAILED and one.confidence > 0.5 for one in found.values()
+        one.condition is ZoneCondition.FAILED and one.confidence > 0.5 for one in found.values()
     )
 
 
@@ -519,13 +519,23 @@
     assert eyes.observations(nodes, 12 + OUTCOME_TTL) == {}
 
 
+def test_reports_without_any_observation_are_diagnosed() -> None:
+    """No zone has nodes, while three gateways still report."""
+    reports = [GatewayReport(f"g{i}", "z0", {}) for i in range(3)]
+    try:
+        findings = diagnose(reports, {})
+    except ZeroDivisionError as error:
+        raise AssertionError("no diagnosis") from error
+    assert findings == {}
+
+
 # --- Leaving without an operator
 
 
 def test_all_leave_a_zone_that_is_gone_and_return_once_it_is_well() -> None:
     world = _fleet(9, 1, 0.1, act=True)
     at, last = world.kernel.now, 0
-    world.frozen.add("z2")
+    world.failed_zones.add("z2")
 
     def note() -> None:
         nonlocal last
@@ -539,7 +549,7 @@
     _go_on(world, 30)
     assert min(_out(world, "z2")) >= 3
     assert set(_out(world, "z0") + _out(world, "z1")) == {0}
-    world.frozen.clear()
+    world.failed_zones.clear()
     _go_on(world, 150)
     assert _out(world, "z2") == [0] * 9
 
@@ -550,7 +560,7 @@
         controller = world.processes[name].controller
         assert controller is not None
         controller.record = functools.partial(_as_failed, controller.record)  # type: ignore[method-assign]
-    world.frozen |= frozen
+    world.failed_zones |= frozen
     _go_on(world, 20)
     for zone in ("z0", "z1", "z2"):
         assert set(_out(world, zone)) == {0}
@@ -573,9 +583,9 @@
 
 def test_a_second_zone_is_not_left_beyond_what_may_be_out() -> None:
     world = _fleet(9, 1, act=True)
-    world.frozen.add("z2")
+    world.failed_zones.add("z2")
     _go_on(world, 5)
-    world.frozen.add("z1")
+    world.failed_zones.add("z1")
     _go_on(world, 20)
     assert min(_out(world, "z2")) >= 3
     assert set(_out(world, "z1") + _out(world, "z0")) == {0}
