--- a/benchmarks/scale/state_slopes.py
+++ b/benchmarks/scale/state_slopes.py
@@ -282,7 +282,7 @@
             Figure("packed_bytes", "B", "the same, packed", _STATE),
             Figure("encode_s", "s", "canonical text and digest", "daemon/state.py"),
             Figure("pack_s", "s", "packing (zlib)", "tier/content_store.py"),
-            Figure("decode_s", "s", "text to a state", "daemon/tier_source.py"),
+            Figure("decode_s", "s", "text to a state", "daemon/version_states.py"),
             Figure("memory_bytes", "B", "one state in memory", "daemon/state.py"),
         ),
         text,
@@ -313,7 +313,9 @@
             Figure("diff_s", "s", "the changes alone (an apply's summary)", "daemon/plan.py"),
             Figure("contradictions_s", "s", "contradictions of one weight", "daemon/rules.py"),
             Figure("check_s", "s", "check of a decided state", "daemon/state.py (to_file)"),
-            Figure("equal_s", "s", "routes, classes, tenants compared", "daemon/tier_source.py"),
+            Figure(
+                "equal_s", "s", "routes, classes, tenants compared", "daemon/version_applier.py"
+            ),
             Figure("plan_text_bytes", "B", "plan of one weight, text", "daemon/plan.py"),
             Figure("service_plan_text_bytes", "B", "plan of a service, text", "daemon/plan.py"),
         ),
--- a/benchmarks/scale/tier_slopes.py
+++ b/benchmarks/scale/tier_slopes.py
@@ -370,8 +370,8 @@
 
 
 _REST_FIGURES: Final = (
-    Figure("rest_bytes_s", "B/s", "sent by a member at rest", "tier/member.py (gossip)"),
-    Figure("rest_datagrams_s", "1/s", "datagrams of a member at rest", "tier/member.py (gossip)"),
+    Figure("rest_bytes_s", "B/s", "sent by a member at rest", "tier/gossip_exchange.py"),
+    Figure("rest_datagrams_s", "1/s", "datagrams of a member at rest", "tier/gossip_exchange.py"),
 )
 _PLAY_FIGURES: Final = (
     *_REST_FIGURES,
@@ -379,7 +379,7 @@
     Figure("until_rest_s", "s", "one change until at rest again", "tier/membership.py"),
     Figure("change_bytes", "B", "sent by a member from a change until rest", "tier/membership.py"),
     Figure("change_datagrams", "1", "datagrams of that", "tier/membership.py"),
-    Figure("worst_bytes_s", "B/s", "the worst second of that", "tier/member.py (gossip)"),
+    Figure("worst_bytes_s", "B/s", "the worst second of that", "tier/gossip_exchange.py"),
 )
 MEASUREMENTS: Final = (
     Measurement(
@@ -395,7 +395,7 @@
             Figure("seal_us", "us", "a datagram sealed", "tier/wire.py"),
             Figure("open_us", "us", "a datagram opened", "tier/wire.py"),
             Figure("news_bytes", "B", "a datagram of gossip", "tier/messages.py"),
-            Figure("voter_tick_us", "us", "a voter's beat at rest", "tier/member.py (lapsed)"),
+            Figure("voter_tick_us", "us", "a voter's beat at rest", "tier/pending_change.py"),
             Figure("poll_us", "us", "a lease question answered", "tier/voter.py"),
         ),
         rounds,
@@ -421,8 +421,8 @@
         MEMBERS,
         (
             Figure("table_bytes", "B", "membership in memory", "tier/membership.py"),
-            Figure("roster_bytes", "B", "the list of members, text", "tier/member.py (Roster)"),
-            Figure("roster_packed_bytes", "B", "the same, packed", "tier/member.py (Roster)"),
+            Figure("roster_bytes", "B", "the list of members, text", "tier/configuration.py"),
+            Figure("roster_packed_bytes", "B", "the same, packed", "tier/configuration.py"),
         ),
         table,
     ),
