--- a/benchmarks/scale/tier_slopes.py
+++ b/benchmarks/scale/tier_slopes.py
@@ -16,6 +16,7 @@
 import msgspec
 
 from sailhitch.model.tier import World
+from sailhitch.model.tier_process import TierProcess
 from sailhitch.tier.effects import ApplyVersions, Persist, Send
 from sailhitch.tier.member import BootstrapVersion, Configuration, Member, MemberStatus, TierConfig
 from sailhitch.tier.membership import MembershipTable
@@ -354,8 +355,8 @@
     return (tally.bytes - sent) * SECOND / time, (tally.datagrams - said) * SECOND / time
 
 
-def _acts_alone(process: Any) -> bool:
-    view = process.view
+def _acts_alone(process: TierProcess) -> bool:
+    view = process.applied_versions
     return view is not None and view.active.serial > 1 and view.pending is None
 
 
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -84,8 +84,8 @@
     return member is not None and member.member_status(process.clock()) is MemberStatus.ACTIVE
 
 
-def _active(process: Any) -> bool:
-    view = process.view
+def _active(process: TierProcess) -> bool:
+    view = process.applied_versions
     return view is not None and view.active.serial > 1 and view.pending is None
 
 
