--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -1,6 +1,6 @@
 """How evenly reach shares servers out, what churn moves, and what a decision costs.
 
-    python benchmarks/reach.py [--json]
+    python -m benchmarks.reach [--json]
 
 For each size of tier: gateways that have a server in reach (least, mean, most); changes a gateway
 makes beside those that are due while half of the servers are replaced one by one; CPU of a request
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -1,6 +1,6 @@
 """How long a change of a tier takes, and what the tier costs, in the model.
 
-    python benchmarks/tier.py [--members 5,25,200] [--loss 0,0.1,0.3] [--plays 5] [--json]
+    python -m benchmarks.tier [--members 5,25,200] [--loss 0,0.1,0.3] [--plays 5] [--json]
 
 Times are virtual seconds. A play founds a tier, lets it come to rest, and has one member propose a
 change that contradicts: `active` is when its proposer acts by it, `all` when the last member does;
--- a/benchmarks/tier_cpu.py
+++ b/benchmarks/tier_cpu.py
@@ -1,6 +1,6 @@
 """What being in a tier costs: CPU of idle daemons, and of a request beside a daemon that is alone.
 
-    python benchmarks/tier_cpu.py [--members 5,25] [--seconds 20] [--requests 6000] [--turns 5]
+    python -m benchmarks.tier_cpu [--members 5,25] [--seconds 20] [--requests 6000] [--turns 5]
         [--json]
 
 Idle: so many real daemons with nobody asking, their CPU over the time, by /proc. Requests: one
--- a/benchmarks/tier_processes.py
+++ b/benchmarks/tier_processes.py
@@ -1,6 +1,6 @@
 """How long a change takes between real daemons, and what it holds back, on this machine.
 
-    python benchmarks/tier_processes.py [--members 5,25] [--changes 10] [--json]
+    python -m benchmarks.tier_processes [--members 5,25] [--changes 10] [--json]
 
 For each size: a tier of so many daemons with a client each; bans and unbans of one node, asked of
 one member after the other. Seconds from the command to its "active"; requests held back in all and
--- a/benchmarks/tier_seeds.py
+++ b/benchmarks/tier_seeds.py
@@ -1,6 +1,6 @@
 """Plays many seeds of random faults on a modelled tier; prints each violation with its scenario.
 
-    python benchmarks/tier_seeds.py [--from 0] [--seeds 20000] [--jobs 4] [--death]
+    python -m benchmarks.tier_seeds [--from 0] [--seeds 20000] [--jobs 4] [--death]
 
 With `--death` a member dies for good in each scenario. Exits 1 if a promise was broken. The
 tests play the first 200, and the first 100 with a death.
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,6 +1,6 @@
 """How soon a fleet leaves a zone that is gone, and whether it leaves one that is not, in the model.
 
-    python benchmarks/zones.py [--members 9,25] [--seeds 20] [--loss 0,0.1] [--false 1000]
+    python -m benchmarks.zones [--members 9,25] [--seeds 20] [--loss 0,0.1] [--false 1000]
 
 Times are virtual seconds from the failure: until the first gateway uses nothing of the zone, until
 the last does; from the end of the failure until the zone is in use as a whole again. `--false`
