--- a/sailhitch/tier/activation.py
+++ b/sailhitch/tier/activation.py
@@ -1,6 +1,6 @@
 """When a member proposes to activate the pending version.
 
-The proposer of a version does so as soon as all have confirmed it. Other members do so later, each
+The proposer of a version does so as soon as all members have confirmed it. Other members do so
 after a random delay, so that few of them compete.
 """
 
@@ -9,8 +9,8 @@
 import random
 from typing import Final
 
-FIRST_AFTER: Final = 600_000  # us, the least delay of a member other than the proposer
-LAST_AFTER: Final = 2_000_000  # us, the upper bound of that delay
+MIN_DELAY: Final = 600_000  # us, of a member other than the proposer
+MAX_DELAY: Final = 2_000_000  # us
 
 
 class Activation:
@@ -26,8 +26,8 @@
         self._ready_at = None
 
     def is_due(self, now: int, is_proposer: bool) -> bool:
-        """Return whether to propose the activation now, given that all have confirmed."""
+        """Return whether to propose the activation now, given that all members have confirmed."""
         if self._ready_at is None:
-            delay = 0 if is_proposer else self._rng.randrange(FIRST_AFTER, LAST_AFTER)
+            delay = 0 if is_proposer else self._rng.randrange(MIN_DELAY, MAX_DELAY)
             self._ready_at = now + delay
         return now >= self._ready_at
--- a/sailhitch/tier/pending_change.py
+++ b/sailhitch/tier/pending_change.py
@@ -25,7 +25,7 @@
         self._recovery = RoundRecovery(parts.rng)
 
     def on_adopted(self) -> None:
-        """Restart the delay of the activation, as the state has changed."""
+        """Restart the delay of the activation, because the state has changed."""
         self._activation.restart()
 
     def waiting_for(self) -> list[str]:
@@ -52,7 +52,7 @@
             self._confirmations.make_report(self._register.index, chosen.state, voter.grants, now)
 
     def activate(self, now: int) -> None:
-        """Propose to activate a pending version that waits for nobody any more."""
+        """Propose to activate a pending version that no longer waits for any member."""
         register = self._register
         chosen = register.chosen
         if chosen is None or chosen.state.pending is None or self._activation.in_progress:
@@ -70,9 +70,9 @@
         self._register.adopt_from_voters(chosen, result)
 
     def recover_round(self, now: int) -> None:
-        """Complete a round that this voter has accepted and whose outcome nobody reports."""
+        """Complete a round in which this voter has accepted, if no outcome becomes known."""
         voter = self._voter
         if voter is None or not voter.is_voting or self._proposer.jobs:
-            return  # a job of its own finds what was accepted
+            return  # a job of this member finds an accepted state anyway
         if self._recovery.is_due(now, voter.accepted_state(), self._register.chosen):
             self._proposer.add(Job(read, self._register.adopt_from_voters))
--- a/sailhitch/tier/proposer.py
+++ b/sailhitch/tier/proposer.py
@@ -29,7 +29,7 @@
 ROUND_TIMEOUT: Final = 4_000_000  # us until an attempt without progress is abandoned
 BACKOFF_STEP: Final = 50_000  # us; after the n-th failure in a row the delay is up to 2^n of these
 MAX_DOUBLINGS: Final = 5  # of the upper bound of the backoff
-MAX_READS: Final = 6  # reads without a ballot before one with a ballot
+MAX_READS: Final = 6  # quorum reads without a ballot, before a round with a ballot
 
 JobCallback = Callable[[ChosenState | None, ProposalResult], None]
 """Called with the chosen state, or None where the register is empty."""
@@ -38,7 +38,8 @@
 class Job:
     """A change to propose, or with `change` None a read, and the callback for its result.
 
-    After a `final` one no round of an earlier incarnation of this member can be chosen any more.
+    Once a `final` job is completed, no round of an earlier incarnation of this member can be
+    chosen any more.
     """
 
     def __init__(
@@ -48,7 +49,10 @@
         final: bool = False,
         with_ballot: bool = False,
     ) -> None:
-        """Make a job; `with_ballot` begins with a round, as one of an earlier life may be open."""
+        """Make a job. With `with_ballot`, a read begins with a round instead of a quorum read.
+
+        It then supersedes a round of an earlier incarnation that may be unfinished.
+        """
         self.change = change
         self.on_completed = on_completed
         self.final = final
@@ -133,7 +137,7 @@
         self.jobs.append(job)
 
     def observe_ballot(self, ballot: Ballot) -> None:
-        """Keep the ballots to come above this one."""
+        """Record a ballot, so that later ones of this proposer are above it."""
         self._highest_number = max(self._highest_number, ballot.number)
 
     def next_ballot(self) -> Ballot:
@@ -168,7 +172,7 @@
     def _back_off(self, now: int) -> None:
         """Abandon the attempt, and retry after a backoff that grows with the failures in a row."""
         if self.quorum_read is not None and self.quorum_read.has_unfinished():
-            self.jobs[0].reads = MAX_READS  # only a round of this incarnation supersedes that one
+            self.jobs[0].reads = MAX_READS  # continue with a round, which supersedes that one
         self.round = None
         self.quorum_read = None
         self.failed_attempts += 1
--- a/sailhitch/tier/register.py
+++ b/sailhitch/tier/register.py
@@ -3,11 +3,11 @@
 `Acceptor` is a voter's side, `Round` one attempt of a proposer. Both follow the paper, and add
 protection against disks that lose votes. Each change of a vote has a number, its stamp.
 
-- A state is accepted only with the stamps of the promises that it rests on. So a voter that stores
-  a chosen state also stores the stamps that the other voters had reached.
-- A voter that starts votes only once the others have reported which stamp of it they know. A later
-  one than its own shows that its disk is old or empty; so does one in an `Accept` or in gossip, at
-  any later time.
+- A state is accepted together with the stamps of the promises that its round is based on. So a
+  voter that stores a chosen state also stores the stamps that the other voters had reached.
+- After a start, a voter votes only once the others have reported the latest stamp of it that they
+  know. A stamp above its own shows that its disk is outdated or empty; so does one in an `Accept`
+  or in gossip, at any later time.
 - A voter whose disk has lost votes recovers by a round of its own: a majority of the *others*
   promise a new ballot, and it takes the latest state that they accepted. Whatever was chosen with
   its lost vote is known to one of them, or can't be chosen any more.
@@ -35,11 +35,11 @@
 from .transitions import StateChange, Transition
 
 VOTE_KEY: Final = "vote"  # the key of a voter's vote on disk
-ANY_PROPOSER: Final = ""  # in a ballot of a vote: the proposers that had promises are unknown
+ANY_PROPOSER: Final = ""  # in `Vote.unfinished`: promises were lost, and to whom is unknown
 
 
 def majority(voters: int) -> int:
-    """Return the size of a majority of so many voters."""
+    """Return the size of a majority of this many voters."""
     return voters // 2 + 1
 
 
@@ -54,10 +54,10 @@
 
 
 class VoterMode(Enum):
-    """Whether a voter votes."""
+    """Whether a voter votes, or what it does before it may."""
 
-    CHECKING_DISK = "asking"  # it asks the others whether its disk is old
-    RECOVERING = "mending"  # its disk was old or empty, and it recovers from the others
+    CHECKING_DISK = "asking"  # it asks the others whether its disk is outdated
+    RECOVERING = "mending"  # its disk was outdated or empty, and it recovers from the others
     VOTING = "voting"
 
 
@@ -71,7 +71,7 @@
         self.name = name
         self.others = [voter for voter in voters if voter != name]
         self.quorum = majority(len(voters))
-        # So many of the others include at least one of any majority that has accepted something.
+        # Any set of this many other voters contains a member of every majority.
         self.recovery_quorum = len(voters) - self.quorum + 1
         self.vote = persisted or Vote(NO_BALLOT, None, 0)
         self.mode = VoterMode.CHECKING_DISK if self.others else VoterMode.VOTING
@@ -139,7 +139,10 @@
     # --- Recovery
 
     def observe_stamp(self, stamp: int) -> bool:
-        """Compare a stamp that another knows of this voter; return whether votes were lost."""
+        """Compare another member's stamp of this voter; return whether votes were lost.
+
+        They were if that stamp is above the voter's own.
+        """
         if stamp <= self.vote.stamp or self.mode is VoterMode.RECOVERING:
             return False
         self.has_lost_votes = True
@@ -149,9 +152,9 @@
     def on_recovery_reply(self, voter: str, reply: VoteRecoveryReply, is_reduced: bool) -> None:
         """Count a reply to this voter's request, and vote once there are enough.
 
-        With `is_reduced` fewer replies suffice: the voter has waited for long, and one that is down
-        for good must not keep others from voting that were only restarted. A voter that has never
-        voted waits for all: it can't tell whether it has lost everything.
+        With `is_reduced`, after a long wait, fewer replies suffice, so that a voter that is down
+        for good does not keep restarted voters from voting. A voter that has never voted waits for
+        all others: it can't tell whether it has lost everything.
         """
         if voter not in self.others or self.observe_stamp(reply.stamps.get(self.name, 0)):
             return
@@ -187,8 +190,8 @@
 
         `known_stamp` is the latest stamp of this voter that anybody knows.
         """
-        forgotten = Ballot(ballot.number, ANY_PROPOSER, 0)
-        self.vote = Vote(ballot, accepted, max(known_stamp, self.vote.stamp) + 1, (forgotten,))
+        lost_promises = Ballot(ballot.number, ANY_PROPOSER, 0)
+        self.vote = Vote(ballot, accepted, max(known_stamp, self.vote.stamp) + 1, (lost_promises,))
         self.mode = VoterMode.VOTING
         self._recovery_promises.clear()
 
@@ -217,8 +220,8 @@
     ) -> None:
         """Begin a round of these voters.
 
-        With `write`, a state that is chosen already is written again under this ballot; then
-        nothing that was in progress under a lower ballot can be chosen any more.
+        With `write`, a state that is chosen already is written again under this ballot; after that
+        no unfinished round with a lower ballot can be chosen.
         """
         self.ballot = ballot
         self.voters = tuple(voters)
@@ -249,7 +252,7 @@
         return messages
 
     def on_promise(self, voter: str, promise: Promise) -> None:
-        """Count a voter's answer to `Prepare`; a late one may still accept."""
+        """Count a voter's answer to `Prepare`; voters that promise late are sent `Accept` too."""
         if self.phase not in (Phase.PREPARE, Phase.ACCEPT) or promise.ballot != self.ballot:
             return
         if not promise.ok:
@@ -270,7 +273,7 @@
             return
         self.transition = transition
         self.phase = Phase.ACCEPT
-        # A state that a majority has accepted under one ballot is chosen: nothing is left to write.
+        # A state that a majority has accepted under one ballot is chosen already.
         is_chosen = (
             latest is not None
             and transition.state == latest.state
@@ -298,9 +301,10 @@
             self.chosen = ChosenState(self.ballot, self.transition.state)
 
     def _is_chosen(self) -> bool:
-        """Return whether a majority has accepted, each knowing of all the others' promises.
+        """Return whether a majority has accepted, each knowing the promises of all of them.
 
-        A voter knows of ever more promises, in their order, so only its prefixes matter.
+        Every `Accept` lists the promises so far in the order in which they came, so it suffices to
+        check the prefixes of that order.
         """
         order = list(self._promises)
         for count in range(self.quorum, len(order) + 1):
--- a/sailhitch/tier/register_view.py
+++ b/sailhitch/tier/register_view.py
@@ -32,7 +32,8 @@
 class RegisterView:
     """The latest chosen state that this member knows, and what it has asked its process to apply.
 
-    A state is applied only once its contents are here and the register was read since the start.
+    A state is applied only once this member has its contents and has read the register since its
+    start.
     """
 
     def __init__(
@@ -73,18 +74,18 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Return the configuration of the latest state whose contents are here."""
+        """Return the configuration of the latest state whose contents this member has."""
         return self.index.configuration
 
     @property
     def knows_configuration(self) -> bool:
-        """Whether the contents of a state were here since the start; until then it is empty."""
+        """Return whether a chosen configuration was loaded since the start; before, it is empty."""
         return bool(self._configuration_digest)
 
     def is_caught_up(self) -> bool:
-        """Return whether all contents of the chosen state are here.
+        """Return whether this member has all contents of the chosen state.
 
-        The next configuration must not be made from that of another revision, or from none.
+        A new configuration must not be made from that of an older revision, or from the empty one.
         """
         return self.chosen is not None and self._caught_up_revision == self.chosen.state.revision
 
@@ -96,12 +97,13 @@
     # --- The startup read
 
     def begin_startup_read(self) -> None:
-        """Read the register, as a start begins with.
+        """Read the register for the first time.
 
         A leave of an earlier incarnation may still be in progress. If it were chosen after this
-        incarnation has read that it is a member, no change would wait for it. A mark on this
-        member's own disk is not enough, because that may be old or empty by now: voters remember
-        the leave too. But voters of an earlier version of the program don't, so the mark counts.
+        incarnation has read that it is a member, no change would wait for it. The mark on this
+        member's own disk is not enough to detect that, because the disk may be outdated or empty
+        by now: voters report unfinished rounds too. But voters of an earlier version of the program
+        don't, so the mark is checked as well.
         """
         self._add_startup_read(with_ballot=self._may_have_left)
 
@@ -129,7 +131,7 @@
             self._bootstrap_tier()
         if chosen is not None:
             self.has_read_register = True
-            if not self.has_left:  # otherwise a leave of this incarnation is queued behind this
+            if not self.has_left:  # otherwise a leave of this incarnation is queued after this read
                 self._outbox.persist({LEFT_KEY: None})
             self.adopt_from_voters(chosen, result)
             self.apply_chosen()
@@ -147,16 +149,16 @@
         self._parts.proposer.add(Job(change, self._on_startup_read))
 
     def _report_register_regression(self, state: RegisterState | None) -> None:
-        """Report that voters have lost a chosen state: more than a minority of disks are lost."""
+        """Report that the voters lost a chosen state: more than a minority of disks are lost."""
         self.register_regressed = True
         read_revision = 0 if state is None else state.revision
         fields: dict[str, object] = {"known": self.revision, "read": read_revision}
-        self._outbox.log_event("register went back", fields)
+        self._outbox.log_event("register regressed", fields)
 
     # --- The chosen state
 
     def adopt_from_voters(self, chosen: ChosenState | None, result: ProposalResult) -> None:
-        """Adopt the state that a round or a read of this member has found or written."""
+        """Adopt the state that a read or a round of this member has returned."""
         if chosen is not None:
             self.adopt_chosen(chosen, self._parts.rng.choice(self._config.voters))
 
@@ -178,7 +180,10 @@
         self.apply_chosen()
 
     def apply_chosen(self) -> None:
-        """Have the chosen state applied, once its contents are here and the register was read."""
+        """Have the process apply the chosen state, or fetch the contents that it lacks.
+
+        Nothing is applied before the register was read since the start.
+        """
         chosen = self.chosen
         if chosen is None:
             return
@@ -223,6 +228,6 @@
         return None if accepted is None else accepted.state
 
     def release_unreferenced(self) -> None:
-        """Release the contents that nobody can ask for any more."""
+        """Release the contents that no member can request any more."""
         assert self.chosen is not None
         self._exchange.retain_only(self.chosen.state, self._accepted_state())
--- a/sailhitch/tier/round_recovery.py
+++ b/sailhitch/tier/round_recovery.py
@@ -1,9 +1,10 @@
-"""When a voter completes a round whose outcome it has not heard of.
+"""When a voter completes a round whose outcome it does not know.
 
-A proposer may end after voters have accepted its state and before it has told anybody. The state
-may be chosen by then with no running process knowing. So a voter that has accepted a state, and
-hears of none as late within a random delay, reads the register by a round: a chosen state is found,
-and one accepted by a minority is chosen or superseded.
+A proposer may end after voters have accepted its state and before it has reported the outcome. The
+state may be chosen by then without any running process knowing. So a voter that has accepted a
+state, and learns of no chosen state of that revision or a later one within a random delay, reads
+the register by a round: a chosen state is found, and one accepted by a minority is chosen or
+superseded.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 
 from .messages import Ballot, ChosenState
 
-FIRST_AFTER: Final = 600_000  # us after an acceptance, the least delay of a voter
-LAST_AFTER: Final = 2_000_000  # us, the upper bound of that delay
+MIN_DELAY: Final = 600_000  # us after the voter has accepted a state
+MAX_DELAY: Final = 2_000_000  # us
 
 
 class RoundRecovery:
@@ -40,5 +41,5 @@
             return False
         if accepted.ballot != self._ballot:
             self._ballot = accepted.ballot
-            self._due_at = now + self._rng.randrange(FIRST_AFTER, LAST_AFTER)
+            self._due_at = now + self._rng.randrange(MIN_DELAY, MAX_DELAY)
         return now >= self._due_at
--- a/sailhitch/tier/startup_read.py
+++ b/sailhitch/tier/startup_read.py
@@ -1,4 +1,4 @@
-"""What a member does after the register read that its start begins with."""
+"""What a member does after the register read at its start."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     Args:
         read_state: The result of the read; None where the register is empty.
         persisted_revision: The revision on this member's disk at its start, 0 for none.
-        knows_state: Gossip has brought a chosen state since the start.
+        knows_state: A chosen state is known, from disk or from gossip.
         may_bootstrap: This member is a voter with a first version to propose.
     """
     if read_state is not None:
@@ -32,6 +32,6 @@
         return NextStep.REPORT_LOSS if is_older else NextStep.ADOPT
     if persisted_revision:
         return NextStep.REPORT_LOSS
-    # A state known by gossip was chosen after the read, or the voters' disks are lost. Without one,
-    # voters bootstrap the tier, and other members wait for them.
+    # The register was empty. If gossip has brought a state, that was chosen after the read, or the
+    # voters' disks are lost. Otherwise voters bootstrap the tier, and other members wait for them.
     return NextStep.BOOTSTRAP if may_bootstrap and not knows_state else NextStep.RETRY
--- a/sailhitch/tier/transitions.py
+++ b/sailhitch/tier/transitions.py
@@ -30,13 +30,13 @@
 def read(current: RegisterState | None) -> Transition | None:
     """Return the transition that changes nothing.
 
-    The state that it finds was chosen, and was the latest one when the read began.
+    The state that it returns was chosen, and was the latest one when the read began.
     """
     return None if current is None else Transition(current, ProposalResult.NO_CHANGE)
 
 
 def bootstrap(version: Version, configuration_digest: str) -> StateChange:
-    """Return the change that writes a tier's first state, and keeps a state that exists."""
+    """Return the change that writes a tier's first state, unless the register has one."""
 
     def change(current: RegisterState | None) -> Transition | None:
         if current is None:
@@ -85,7 +85,7 @@
 
 
 def activate(serial: int) -> StateChange:
-    """Return the change that makes the pending version active, as everybody has confirmed it."""
+    """Return the change that makes the pending version active; all members have confirmed it."""
 
     def change(current: RegisterState | None) -> Transition | None:
         if current is None:
@@ -137,8 +137,8 @@
 def propose_traffic_policy(version: Version) -> StateChange:
     """Return the change to a traffic policy made from that of serial `version.base`, 0 for none.
 
-    Traffic policies have serials of their own. One is active at once, even while a version of the
-    gateways' state is pending.
+    Traffic policies have serials of their own. A new one is active at once, even while a version of
+    the gateways' state is pending.
     """
 
     def change(current: RegisterState | None) -> Transition | None:
--- a/sailhitch/tier/voter.py
+++ b/sailhitch/tier/voter.py
@@ -34,7 +34,7 @@
 
 
 def content_digests(state: RegisterState) -> tuple[str, ...]:
-    """Return the contents that a member needs before it accepts or applies a state."""
+    """Return the digests of the contents needed before a state is accepted or applied."""
     versions = (state.active, state.pending, state.traffic_policy)
     return (
         *(version.digest for version in versions if version is not None),
@@ -43,10 +43,10 @@
 
 
 class Voter:
-    """Answers as a voter. What changes its vote goes to `out` as a `Keep` before the answer does.
+    """Answers as a voter. A changed vote is appended to `effects` as a `Persist` before the answer.
 
-    A state is accepted only once its contents are on this disk: so the contents of a chosen state
-    can be read from a majority of the voters, whoever proposed it.
+    A state is accepted only once its contents are on this voter's disk, so the contents of a chosen
+    state can be fetched from a majority of the voters, whoever proposed it.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._sent_at = 0
         self._started_at: int | None = None
         self._recovery_ballot: Ballot | None = None
-        # The state that a recovering voter resumes from, once its contents are here.
+        # The state that a recovering voter resumes from, once it has the contents.
         self._recovered_state: ChosenState | None = None
         self._is_recovered_state_known = False
         self._logged_mode = VoterMode.CHECKING_DISK
@@ -84,7 +84,7 @@
 
     @property
     def is_voting(self) -> bool:
-        """Return whether it votes: its disk is neither unchecked nor being recovered."""
+        """Return whether it votes: its disk was checked and needs no recovery."""
         return self.acceptor.mode is VoterMode.VOTING
 
     def _persist_vote(self) -> None:
@@ -146,14 +146,17 @@
         return has_new
 
     def learn(self, chosen: ChosenState) -> None:
-        """Accept a chosen state whose contents are here."""
+        """Accept a chosen state whose contents are on this voter's disk."""
         if self.is_voting and self.acceptor.learn(chosen):
             self._persist_vote()
 
     # --- Leases
 
     def grant(self, name: str, request: LeaseRequest, required_revision: int, now: int) -> bool:
-        """Grant a lease to a member that has confirmed the required revision, and say so."""
+        """Grant a lease if the member has confirmed the required revision; return whether it did.
+
+        A voter that does not vote grants no lease.
+        """
         ok = self.is_voting and request.confirmed_revision >= required_revision
         if ok and self.grants is not None:
             self.grants.record(name, now)
@@ -162,7 +165,7 @@
     # --- Recovery
 
     def on_tick(self, now: int) -> list[tuple[str, Message]]:
-        """Return the messages to the other voters of one that checks its disk or recovers."""
+        """Return the messages to the other voters, while this one checks its disk or recovers."""
         self._log_mode()
         if self._started_at is None:
             self._started_at = now
@@ -183,7 +186,7 @@
         return VoteRecoveryReply(request.nonce, dict(self.stamps))
 
     def on_recovery_reply(self, voter: str, reply: VoteRecoveryReply, now: int) -> None:
-        """Process what another voter knows of this one's votes."""
+        """Process another voter's reply about the votes of this one."""
         if reply.nonce != self.nonce:
             return
         is_reduced = self._started_at is not None and now - self._started_at >= REDUCED_QUORUM_AFTER
@@ -192,7 +195,7 @@
         self._log_mode()
 
     def observe_stamp(self, stamp: int) -> bool:
-        """Compare a stamp that another knows of this voter; return whether votes were lost."""
+        """Compare another member's stamp of this voter; return whether votes were lost."""
         lost = self.acceptor.observe_stamp(stamp)
         if lost:
             self.stamps[self.name] = max(stamp, self.stamps.get(self.name, 0))
@@ -212,7 +215,7 @@
         ):
             return
         if not promise.ok:
-            self._recovery_ballot = None  # the next one is above the ballot that was promised
+            self._recovery_ballot = None  # on_tick takes one above the ballot that was promised
             return
         recovered = self.acceptor.on_recovery_promise(voter, promise)
         if isinstance(recovered, bool):
@@ -224,7 +227,7 @@
         self.complete_recovery()
 
     def complete_recovery(self) -> None:
-        """Vote again, once the recovered state is known and its contents are here."""
+        """Vote again, if the recovered state is known and its contents have arrived."""
         if not self._is_recovered_state_known or self._recovery_ballot is None or self.is_voting:
             return
         if self._recovered_state is not None and not self.contents.has(
