--- a/sailhitch/tier/config.py
+++ b/sailhitch/tier/config.py
@@ -1,4 +1,4 @@
-"""A member's configuration at its start, and its status."""
+"""A member's settings, and its status."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 
 
 class MemberStatus(Enum):
-    """Whether a member may act under rules that may contradict others', and if not, why.
+    """Whether a member may act under its rules, and if not, why.
+
+    If not, its acts might contradict the rules that other members act under.
 
     A value is the status's name in `tier status`.
     """
@@ -32,12 +34,12 @@
 
 _STATUS_REASONS: Final[Mapping[MemberStatus, str]] = {
     MemberStatus.ACTIVE: "in",
-    MemberStatus.READING_REGISTER: "has not heard of a majority of voters since it started",
+    MemberStatus.READING_REGISTER: "has not read the register from a majority of voters yet",
     MemberStatus.NOT_A_MEMBER: "is not in the roster",
     MemberStatus.BEHIND: "does not act by the version that holds yet",
-    MemberStatus.LEASE_EXPIRED: "has not heard of a majority of voters within its lease",
-    MemberStatus.DUPLICATE_NAME: "another process goes by its name",
-    MemberStatus.REGISTER_REGRESSED: "the register has gone back; see the log",
+    MemberStatus.LEASE_EXPIRED: "no majority of voters has renewed its lease in time",
+    MemberStatus.DUPLICATE_NAME: "another process uses its name",
+    MemberStatus.REGISTER_REGRESSED: "the voters have lost a state that was chosen; see the log",
 }
 
 
--- a/sailhitch/tier/operator_commands.py
+++ b/sailhitch/tier/operator_commands.py
@@ -41,8 +41,8 @@
             content: The new state. A tree has at least the pages that this member lacks.
             base: The serial of the version that it was made from.
             needs_confirmation: It contradicts its base, so all members have to confirm it first.
-            operator: Who asked, for people.
-            when: The time of day in microseconds, for people.
+            operator: The operator who proposes it, for display.
+            when: The time of day in microseconds, for display.
 
         Raises:
             ValueError: A tree lacks pages that this member lacks too.
@@ -75,7 +75,7 @@
         It must have given no heartbeat for at least `min_silence` microseconds.
         """
         parts = self._parts
-        # A member not heard of since this one started may have been heard of shortly before.
+        # Without a record since this member started, the last heartbeat may have come just before.
         age = now - parts.membership.updated_at.get(name, self._started_at)
         may_act = parts.lease is None and name not in parts.prober.dead_members()
         is_member = name in self._register.index.members
@@ -84,8 +84,8 @@
     def evict(self, name: str) -> int | None:
         """Evict a member, so that changes no longer wait for it.
 
-        Where there are leases it is granted none from here on, and changes wait until its last one
-        has expired; without leases the operator's command is trusted.
+        Where there are leases, it is granted none from now on, and changes wait until its last one
+        has expired. Without leases, the operator is trusted to have ended its process.
 
         Returns:
             The job's number, or None where this member has to catch up first.
@@ -103,7 +103,7 @@
         return why_not_admitted(is_member, name in self._parts.prober.dead_members())
 
     def admit(self, name: str, address: str) -> int | None:
-        """Set the address (`host:port`) of a member, over that in the files; it joins by itself.
+        """Set a member's address (`host:port`), overriding the operator files; it joins by itself.
 
         Returns:
             The job's number, or None where this member has to catch up first.
@@ -115,7 +115,7 @@
         )
 
     def leave(self) -> int | None:
-        """Leave the tier: this member acts on nothing from here on, and no change waits for it.
+        """Leave the tier: from now on this member acts on nothing, and no change waits for it.
 
         Returns:
             The job's number, or None where this member has to catch up first.
@@ -134,7 +134,7 @@
         return self._add_job(change, digest)
 
     def _add_job(self, change: StateChange | None, digest: str | None) -> int:
-        """Queue a job; `digest` is of a content that it needs until it ends."""
+        """Queue a job; `digest` is that of a content to be offered until the job ends."""
         self._job_count += 1
         number = self._job_count
 
