--- a/sailhitch/tier/configuration_changes.py
+++ b/sailhitch/tier/configuration_changes.py
@@ -13,9 +13,9 @@
     """Return the configuration with `name` as a member, or None where nothing changes.
 
     Evicted members whose lease has expired are removed. An evicted member rejoins only after its
-    own lease has expired: otherwise what it does under the old lease would count as confirmed by
-    what it does under a new one. It removes others even while it is evicted itself, because nobody
-    else could if all members were evicted.
+    own lease has expired: otherwise a confirmation under a new lease would also count for what it
+    may still do under the old one. It removes others even while it is evicted itself, because no
+    member could if all were evicted.
     """
     configuration = index.configuration
     expired = {
--- a/sailhitch/tier/confirmations.py
+++ b/sailhitch/tier/confirmations.py
@@ -1,7 +1,7 @@
 """Which members have confirmed a state, and which ones it still waits for.
 
 A state waits for a member until the member has confirmed it, or until a majority of voters report
-that it has no valid lease and that they grant it none for anything older.
+that it has no valid lease and that they grant it none for any older state.
 """
 
 from __future__ import annotations
@@ -56,8 +56,8 @@
     ) -> None:
         """Report the members without a valid lease from this voter, at this state.
 
-        The report stays true as long as the state is current: no such member is granted a lease
-        before it has confirmed, and then nothing waits for it anyway.
+        The report stays true as long as the state is current: such a member is granted no lease
+        before it has confirmed the state, and after that nothing waits for it.
         """
         expired = (
             position
--- a/sailhitch/tier/gossip.py
+++ b/sailhitch/tier/gossip.py
@@ -1,7 +1,7 @@
 """When a member gossips, and with whom.
 
-There is a round at each tick while there is something new, and one each `IDLE_INTERVAL` otherwise.
-The traffic of a member does not depend on the number of members.
+There is a round at each tick while there is something new to spread, and one each `IDLE_INTERVAL`
+otherwise. The traffic of a member does not depend on the number of members.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 IDLE_INTERVAL: Final = 1_000_000  # us between two rounds of gossip where there is nothing new
 EXPEDITED_FOR: Final = 3_000_000  # us after something new in which each tick has a round
-DEAD_SHARE: Final = 0.1  # share of messages that go to the drawn member even if it is dead
-MAX_DRAWS: Final = 8  # draws to find a member that is not dead
+DEAD_TARGET_PROBABILITY: Final = 0.1  # that a drawn member is sent gossip even if declared dead
+MAX_DRAWS: Final = 8  # random draws to find a member that is not declared dead
 
 
 class Gossip:
@@ -37,17 +37,19 @@
         return now < self._expedited_until
 
     def is_due(self, now: int, busy: bool) -> bool:
-        """Return whether a round begins now; it does if `busy`: others wait for something."""
+        """Return whether a round begins now; always if `busy`, as there is something to spread."""
         if now < self._next_at and not busy:
             return False
         self._next_at = now + IDLE_INTERVAL
         return True
 
-    def draw(self, count: int) -> list[str]:
+    def draw_targets(self, count: int) -> list[str]:
         """Return the targets of one round; seldom a member declared dead, which may be back."""
         chosen = []
         for name in self._rng.sample(self.others, min(count, len(self.others))):
-            target = name if self._rng.random() < DEAD_SHARE else self.first_alive(name)
+            target = (
+                name if self._rng.random() < DEAD_TARGET_PROBABILITY else self.first_alive(name)
+            )
             if target is not None:
                 chosen.append(target)
         return chosen
--- a/sailhitch/tier/gossip_exchange.py
+++ b/sailhitch/tier/gossip_exchange.py
@@ -1,4 +1,4 @@
-"""What a member gossips, and what it does with others' gossip."""
+"""Gossip messages: what a member sends in them, and how it processes those of others."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
     def send_round(self) -> None:
         """Send gossip to as many members as the configured fan-out."""
-        for name in self._gossip.draw(self._config.fanout):
+        for name in self._gossip.draw_targets(self._config.fanout):
             self.send(name)
 
     def send(self, to: str) -> None:
@@ -57,7 +57,8 @@
     def report_confirmed(self, now: int) -> None:
         """Report a confirmation or a fault to the proposer of the pending version.
 
-        It repeats that while the version is pending. Gossip would bring it too, but later.
+        The report is repeated while the version is pending. Random gossip would reach the proposer
+        too, but later.
         """
         chosen = self._register.chosen
         pending = None if chosen is None else chosen.state.pending
@@ -84,7 +85,7 @@
             return
         record = self._parts.membership.records.get(sender)
         if record is not None and record.confirmed_revision >= chosen.state.revision:
-            # It applies that state, and so has all of its contents.
+            # The sender applies that state, and so has all of its contents.
             self._parts.exchange.store.add_source(sender)
         sender_revision = 0 if message.chosen is None else message.chosen.state.revision
         if sender_revision < chosen.state.revision:
@@ -101,7 +102,7 @@
         return GossipMessage(chosen, records, stamps, report, suspicions)
 
     def _is_busy(self, now: int) -> bool:
-        """Return whether there is something that others or this member should learn soon."""
+        """Return whether this member or others should learn something soon."""
         register = self._register
         chosen = register.chosen
         if chosen is None or not register.has_read_register or self._gossip.is_expedited(now):
--- a/sailhitch/tier/join.py
+++ b/sailhitch/tier/join.py
@@ -54,7 +54,10 @@
         self._schedule = JoinSchedule()
 
     def join(self, now: int) -> None:
-        """Propose the configuration with this member, where it is not in; it acts only then."""
+        """Propose a configuration with this member if it is not in the current one.
+
+        A member may act only once it is in the configuration.
+        """
         register = self._register
         chosen = register.chosen
         if chosen is None or not register.has_read_register or not self._schedule.is_due(now):
--- a/sailhitch/tier/lease.py
+++ b/sailhitch/tier/lease.py
@@ -1,4 +1,4 @@
-"""Leases: whether a member has heard from a majority of voters lately, by round trips alone.
+"""Leases: whether a member has recently heard from a majority of voters, by round trips alone.
 
 No two clocks are compared. A member's lease counts from when it *sent* the request that a voter
 granted, on its own clock; the voter's record counts from when it answered, which is later. So a
@@ -39,7 +39,7 @@
             self._granted[voter] = sent
 
     def expires_at(self) -> int:
-        """Return when the lease expires unless it is renewed; 0 where a majority is lacking."""
+        """Return when the lease expires unless renewed; 0 if no majority has granted it."""
         times = sorted(self._granted.values(), reverse=True)
         if len(times) < self.quorum:
             return 0
@@ -49,18 +49,21 @@
 class GrantTable:
     """A voter's side: when it last granted each member's request.
 
-    A voter that has just started may have granted a lease to any member before.
+    A voter that has just started may have granted a lease to any member before, so until a lease's
+    length after its start it reports none as expired.
     """
 
     def __init__(self, length: int, now: int) -> None:
         self.length = length
         self.since = now
-        self._last: dict[str, int] = {}
+        self._last_granted: dict[str, int] = {}
 
     def record(self, name: str, now: int) -> None:
         """Record that a member's request is granted."""
-        self._last[name] = now
+        self._last_granted[name] = now
 
     def has_expired(self, name: str, now: int) -> bool:
         """Return whether no grant of this voter to that member can still be valid."""
-        return now - self._last.get(name, self.since) > int(self.length * (1 + MAX_CLOCK_SKEW))
+        return now - self._last_granted.get(name, self.since) > int(
+            self.length * (1 + MAX_CLOCK_SKEW)
+        )
--- a/sailhitch/tier/lease_expiry_reports.py
+++ b/sailhitch/tier/lease_expiry_reports.py
@@ -1,4 +1,4 @@
-"""Voters' reports of expired leases, and how many voters report it of a member.
+"""Voters' reports of expired leases, and whether a majority reports a member's lease expired.
 
 A report has a bit for each name of a configuration, in order, and is of one register revision.
 """
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-# The revision, and a bit for each position in its configuration. A pair on the wire.
+# The revision, and a bit for each position in its configuration; on the wire a two-element array.
 LeaseExpiryReport = tuple[int, bytes]
 
 
@@ -31,7 +31,7 @@
         self._by_voter[voter] = report
 
     def is_expired(self, position: int, revision: int) -> bool:
-        """Return whether a majority report, at that revision, that a member's lease expired."""
+        """Return whether a majority of voters report, at that revision, that the lease expired."""
         byte_index = position // 8
         mask = 1 << position % 8
         count = 0
--- a/sailhitch/tier/lease_renewal.py
+++ b/sailhitch/tier/lease_renewal.py
@@ -21,7 +21,7 @@
         self._renew_at = 0
 
     def renew_if_due(self, now: int) -> None:
-        """Request the lease if it is time to."""
+        """Request the lease if the renewal interval has passed."""
         if now >= self._renew_at:
             self.renew(now)
 
--- a/sailhitch/tier/liveness.py
+++ b/sailhitch/tier/liveness.py
@@ -30,7 +30,7 @@
         self._outbox.persist({INCARNATION_KEY: encoded})
 
     def on_probe(self, sender: str, message: Ping | Ack | Nack) -> None:
-        """Answer a probe, or take the reply to one."""
+        """Answer a probe, or process the reply to one."""
         if isinstance(message, Ping):
             self._refute(message.suspected_incarnation)
             self._outbox.send(sender, Ack(message.number))
@@ -46,7 +46,7 @@
         if table.merge(message.records, now):
             self.persist_incarnation()
             self._outbox.log_event(
-                "name heard in another life", {"life": table.own_record.incarnation}
+                "another process used this name", {"life": table.own_record.incarnation}
             )
         prober.on_records(message.records)
         self._refute(prober.on_suspicions(message.suspicions, table.incarnation_of, now))
@@ -56,7 +56,7 @@
             self._outbox.send(sender, Ping(0, suspected))
 
     def _refute(self, incarnation: int) -> None:
-        """Take the next incarnation if this one is suspected; 0: it is not."""
+        """Raise this member's incarnation above a suspected one, given as 0 for none."""
         if incarnation and self._membership.raise_incarnation(incarnation):
             self._prober.on_own_suspicion()
             self.persist_incarnation()
@@ -64,8 +64,8 @@
     def metadata(self, own: bytes, now: int) -> dict[str, bytes]:
         """Return the metadata of live members, this one included, by name.
 
-        A member that fails together with its zone has last reported the zone as healthy, so its
-        metadata is ignored as soon as it is suspected.
+        The last metadata of a member that fails together with its zone still report the zone as
+        healthy, so a member's metadata is ignored as soon as it is suspected.
         """
         records = self._membership.records
         health = self._prober.health
@@ -79,7 +79,7 @@
         return {**metadata, self._name: own} if own else metadata
 
     def confirmed(self, revision: int) -> list[str]:
-        """Return the members whose records confirm that revision or a later one."""
+        """Return the members that have confirmed that revision or a later one."""
         records = self._membership.records
         return [name for name, record in records.items() if record.confirmed_revision >= revision]
 
--- a/sailhitch/tier/membership.py
+++ b/sailhitch/tier/membership.py
@@ -16,7 +16,7 @@
 
 from .messages import MemberRecord
 
-# Datagrams that carry an updated record before it is selected like all others.
+# Datagrams that carry an updated record first; after those it takes its turn like all others.
 MAX_TRANSMISSIONS: Final = 6
 DUPLICATE_AFTER: Final = 4  # refutations, each within `DUPLICATE_WINDOW` of the one before
 DUPLICATE_WINDOW: Final = 20_000_000  # us
@@ -32,10 +32,10 @@
             name: MemberRecord(name, incarnation, boot, 0, 0, "")
         }
         self.updated_at: dict[str, int] = {}  # when each member's record last advanced
-        self.refutations = 0  # in a row
+        self.refutations = 0  # in a row, each within `DUPLICATE_WINDOW` of the one before
         self._refuted_at = 0
         self._transmissions: dict[str, int] = {}  # by member whose record was updated
-        self._gossip_order: list[str] = []  # members not yet sent in this round
+        self._gossip_order: list[str] = []  # members whose records were not sent in this cycle
 
     @property
     def own_record(self) -> MemberRecord:
@@ -90,7 +90,7 @@
         return self.raise_incarnation(record.incarnation)
 
     def incarnation_of(self, name: str) -> int:
-        """Return the latest known incarnation of a member; 0: none."""
+        """Return the latest known incarnation of a member, 0 for none."""
         record = self.records.get(name)
         return 0 if record is None else record.incarnation
 
@@ -103,7 +103,7 @@
         return True
 
     def has_unsent_updates(self) -> bool:
-        """Return whether an updated record was not sent often enough."""
+        """Return whether an updated record was sent fewer than `MAX_TRANSMISSIONS` times."""
         return bool(self._transmissions)
 
     def select_for_gossip(self, limit: int, rng: random.Random) -> list[MemberRecord]:
@@ -122,7 +122,7 @@
             if len(chosen) >= limit:
                 break
             if not order:
-                # Each round in another order, so that no two members keep sending the same records.
+                # Shuffled in each cycle, so that no two members keep sending the same records.
                 order.extend(name for name in self.records if name != self.name)
                 rng.shuffle(order)
             if order:
--- a/sailhitch/tier/probes.py
+++ b/sailhitch/tier/probes.py
@@ -28,11 +28,11 @@
 DIRECT_PROBE_TIMEOUT: Final = 400_000  # us for the ack of a ping, before helpers are asked
 INDIRECT_PROBES: Final = 3  # helpers that are asked
 NACK_DELAY: Final = 250_000  # us until a helper reports that it had no ack either
-MAX_HEALTH_PENALTY: Final = 8  # intervals and time-outs stretch by one more than the penalty
+MAX_HEALTH_PENALTY: Final = 8  # intervals and timeouts are multiplied by 1 + the penalty
 # Probe intervals by log10 of the members, from suspected to dead, once confirmed.
 SUSPICION_ALPHA: Final = 4.0
-SUSPICION_BETA: Final = 6  # times that, where no other member confirms
-MAX_CONFIRMATIONS: Final = 3  # more of them don't make a suspicion expire any sooner
+SUSPICION_BETA: Final = 6  # factor on that timeout where no other member confirms
+MAX_CONFIRMATIONS: Final = 3  # further ones don't make a suspicion expire any sooner
 MAX_TRANSMISSIONS: Final = 6  # datagrams that carry a suspicion
 MAX_SUSPICIONS_PER_DATAGRAM: Final = 4
 MAX_RELAYED_PINGS: Final = 64  # others' probes that are being relayed
@@ -61,7 +61,7 @@
         """Return when the member is declared dead."""
         min_timeout = SUSPICION_ALPHA * max(1.0, math.log10(max(2, members))) * PROBE_INTERVAL
         if members - 2 < MAX_CONFIRMATIONS:
-            return self.since + int(min_timeout)  # too few members could confirm
+            return self.since + int(min_timeout)  # too few members to confirm it
         reporters = min(max(1, len(self.reporters)), MAX_CONFIRMATIONS + 1)
         confirmed_share = math.log(reporters) / math.log(MAX_CONFIRMATIONS + 1)
         factor = SUSPICION_BETA - (SUSPICION_BETA - 1) * confirmed_share
@@ -120,7 +120,7 @@
         return [name for name, suspicion in self._suspicions.items() if suspicion.dead]
 
     def has_unsent_updates(self) -> bool:
-        """Return whether a suspicion was not sent often enough."""
+        """Return whether a suspicion was sent fewer than `MAX_TRANSMISSIONS` times."""
         return any(
             suspicion.transmissions < MAX_TRANSMISSIONS for suspicion in self._suspicions.values()
         )
@@ -138,7 +138,7 @@
         for name in names:
             self._suspicions[name].transmissions += 1
         if len(names) < MAX_SUSPICIONS_PER_DATAGRAM:
-            # Members that have started since received none of these.
+            # Members that have started in the meantime received none of these.
             dead = [name for name in self.dead_members() if name not in names]
             names += self.rng.sample(dead, min(1, len(dead)))
         return [self._message_of(name) for name in names]
@@ -152,7 +152,7 @@
     ) -> int:
         """Merge others' suspicions; return the highest suspected incarnation of this member, or 0.
 
-        A suspicion of an earlier incarnation than `incarnation_of` returns is void.
+        A suspicion of an earlier incarnation than `incarnation_of` returns is ignored.
         """
         own_incarnation = 0
         for suspicion in suspicions:
@@ -200,21 +200,21 @@
         self._check_stall(now)
         for suspicion in self._suspicions.values():
             suspicion.dead = suspicion.dead or now >= suspicion.expires_at(len(others) + 1)
-        stretch = self.health_penalty + 1
+        multiplier = self.health_penalty + 1
         messages = self._due_nacks(now)
         probe = self._probe
         if probe is not None:
-            if now - probe.started_at >= PROBE_INTERVAL * stretch:
+            if now - probe.started_at >= PROBE_INTERVAL * multiplier:
                 self._on_probe_failed(probe, incarnation_of, now)
                 self._probe = None
             else:
-                messages += self._continue_probe(probe, stretch, now, others, incarnation_of)
+                messages += self._continue_probe(probe, multiplier, now, others, incarnation_of)
         if self._probe is None and now >= self._next_probe_at and others:
             messages += self._start_probe(now, others, incarnation_of)
         return messages
 
     def _check_stall(self, now: int) -> None:
-        """After a stall of this process, extend suspicions: it could take no answers meanwhile."""
+        """After a stall of this process, extend suspicions: it read no answers meanwhile."""
         elapsed = now - self._last_tick
         if elapsed > PROBE_INTERVAL:
             self.on_own_suspicion()
@@ -226,18 +226,18 @@
     def _continue_probe(
         self,
         probe: _Probe,
-        stretch: int,
+        multiplier: int,
         now: int,
         others: Sequence[str],
         incarnation_of: IncarnationOf,
     ) -> list[tuple[str, Message]]:
-        """Repeat an unanswered ping, and ask helpers once the direct time-out is over."""
+        """Repeat an unanswered ping, and ask helpers once the direct timeout is over."""
         messages: list[tuple[str, Message]] = []
         if now - probe.sent_at >= PING_RETRY_INTERVAL:
             # At a loss of 30%, a single ping and its ack get through half of the time.
             probe.sent_at = now
             messages.append((probe.name, self._ping(probe, incarnation_of)))
-        if not probe.helpers and now - probe.started_at >= DIRECT_PROBE_TIMEOUT * stretch:
+        if not probe.helpers and now - probe.started_at >= DIRECT_PROBE_TIMEOUT * multiplier:
             messages += self._ask_helpers(probe, others, incarnation_of)
         return messages
 
@@ -271,9 +271,9 @@
 
     def _on_probe_failed(self, probe: _Probe, incarnation_of: IncarnationOf, now: int) -> None:
         if not self.is_alive(probe.name):
-            return  # an expected failure, which is no sign about this member
+            return  # expected, so it does not raise this member's health penalty
         for _ in probe.helpers:
-            # Helpers that send no nack are more likely unreachable from here.
+            # A helper that sends no nack suggests that this member can't reach others.
             self.on_own_suspicion()
         self._suspect(probe.name, incarnation_of(probe.name), [self.name], now)
 
@@ -285,19 +285,19 @@
             self.health_penalty = max(0, self.health_penalty - 1)
 
     def on_nack(self, helper: str, number: int) -> None:
-        """Note that a helper is reachable and had no ack either."""
+        """Record that a helper is reachable, and that it had no ack either."""
         if self._probe is not None and self._probe.number == number:
             self._probe.helpers.discard(helper)
 
     # --- Helping others' probes
 
     def on_relayed_ping(self, origin: str, number: int, now: int) -> None:
-        """Note a relayed ping, to send a nack if no ack comes."""
+        """Record a relayed ping, to send a nack if no ack comes."""
         if len(self._relayed) < MAX_RELAYED_PINGS:
             self._relayed[origin, number] = now + NACK_DELAY
 
     def on_relayed_ack(self, origin: str, number: int) -> None:
-        """Note that the ack of a relayed ping was relayed back."""
+        """Record that the ack of a relayed ping was relayed back."""
         self._relayed.pop((origin, number), None)
 
     def _due_nacks(self, now: int) -> list[tuple[str, Message]]:
