--- a/sailhitch/tier/__init__.py
+++ b/sailhitch/tier/__init__.py
@@ -13,12 +13,12 @@
     proposer          a member's reads and rounds of the register, one job at a time
     voter             a voter's part of a member
     voter_messages    requests to the voter, and voters' replies
-    startup_read      what follows the register read that a start begins with
-    register_view     the chosen state that a member knows and has its process apply
+    startup_read      what follows the register read at startup
+    register_view     the latest chosen state a member knows, and what its process applies
     pending_change    what a pending version waits for, and its activation
     activation        the delay before a pending version is activated
     round_recovery    when a voter completes a round whose proposer may have ended
-    lease             whether a member has heard from a majority of voters lately
+    lease             whether a member has recently heard from a majority of voters
     lease_renewal     when a member requests its lease
     confirmations     which members have confirmed a state, and which it still waits for
     lease_expiry_reports  the voters' reports of expired leases
@@ -34,7 +34,7 @@
     probes            failure detection: SWIM's probes and suspicions, with Lifeguard's extensions
     liveness          records and probes, combined
     gossip            when a member gossips, and with whom
-    gossip_exchange   what it gossips, and what it does with others' gossip
+    gossip_exchange   makes and processes gossip messages
     relay, outbox     what is sent, in order, and when it is also sent over a relay
 
 Contents:
@@ -46,15 +46,15 @@
     token_bucket      the budget of bytes for contents
     content_exchange  what a member serves, fetches and retains
 
-All of it:
+Composition:
 
-    parts             the parts above, made from a member's disk
-    member            one process of the tier: composes the parts and dispatches messages
+    parts             the components above, built from a member's disk
+    member            one process of the tier: composes them and dispatches messages
     status_report     what `tier status` shows
     wire              datagrams: authenticated with a shared key, versioned, replays rejected
     disk              the items that outlast the process, synced before any message about them
 
-All but `disk` are sans-IO: time comes in as an argument, effects go out as values, in the order to
+All but `disk` are sans-IO: time is an argument, effects are returned as values in the order to
 execute. The same code runs in the daemon and in the fleet model. Nothing here knows what a state
 means; the caller decides whether a version contradicts its base.
 """
--- a/sailhitch/tier/effects.py
+++ b/sailhitch/tier/effects.py
@@ -18,8 +18,8 @@
 class Persist(NamedTuple):
     """Write these items to disk; an item of None may be deleted.
 
-    No later effect may happen before they are synced. While that fails, incoming messages count as
-    lost and the rest waits: the process is silent in the tier.
+    No later effect may be executed before they are synced. While that fails, later effects wait and
+    incoming messages are dropped, so the process is silent in the tier.
     """
 
     items: dict[str, bytes | None]
--- a/sailhitch/tier/member.py
+++ b/sailhitch/tier/member.py
@@ -1,11 +1,11 @@
 """One process of the tier: composes the parts, dispatches messages and orders each tick.
 
-The argument, which `docs/design/tier.md` has at length: the meet of two versions permits what both
-permit. A member acts by the active version, or by the meet of active and pending. It confirms a
-pending version once it applies nothing older, and a pending version becomes active only when every
-member of the configuration has confirmed it, or can't act any more (its lease has expired at a
-majority of voters that grant it none for anything older). So whatever any member does at any time
-is allowed by the version that is active then.
+Why this is safe, argued at length in `docs/design/tier.md`: the meet of two versions permits only
+what both permit. A member acts by the active version, or by the meet of active and pending. It
+confirms a pending version once it applies nothing older, and a pending version becomes active only
+when every member of the configuration has confirmed it, or can't act any more (its lease has
+expired at a majority of voters, which grant it none for any older state). So whatever any member
+does at any time is allowed by the version that is active then.
 """
 
 from __future__ import annotations
@@ -105,12 +105,12 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Return the configuration of the latest state whose contents are here."""
+        """Return the configuration of the latest state whose contents this member has."""
         return self._register.configuration
 
     @property
     def knows_configuration(self) -> bool:
-        """Whether `configuration` is one that was chosen, and not the empty one of a start."""
+        """Return whether `configuration` was chosen; until one is loaded, it is empty."""
         return self._register.knows_configuration
 
     # --- Events
@@ -120,7 +120,7 @@
         return self._outbox.take_effects()
 
     def on_tick(self, now: int) -> None:
-        """Do what is due; called some ten times a second."""
+        """Run all timed actions that are due; called about ten times a second."""
         self._record_heartbeat()
         if self.voter is not None:
             self._outbox.send_all(self.voter.on_tick(now))
@@ -143,7 +143,7 @@
         self._deliver_local_messages(now)
 
     def on_message(self, sender: str, message: Message, now: int) -> None:
-        """Process a message; its sender is authenticated, its content need not be true."""
+        """Process a message; its sender is authenticated, its content may be wrong."""
         self._outbox.on_direct_message(sender)
         self._dispatch(sender, message, now)
         self._deliver_local_messages(now)
@@ -169,7 +169,7 @@
         self._register.report_apply_failure(revision, reason)
 
     def gossip_soon(self, now: int) -> None:
-        """Gossip at each tick for a while, as this member has something that others wait for."""
+        """Gossip at each tick for a while, because this member has news that others wait for."""
         self._parts.gossip.gossip_soon(now)
 
     def _record_heartbeat(self) -> None:
@@ -209,7 +209,7 @@
         return self._commands.why_not_evictable(name, min_silence, now)
 
     def evict(self, name: str) -> int | None:
-        """Evict a member; return the job's number, or None where to try again soon."""
+        """Evict a member; return the job's number, or None if this one has to catch up."""
         return self._commands.evict(name)
 
     def why_not_admitted(self, name: str) -> str:
@@ -217,21 +217,21 @@
         return self._commands.why_not_admitted(name)
 
     def admit(self, name: str, address: str) -> int | None:
-        """Set a member's address; return the job's number, or None where to try again soon."""
+        """Set a member's address; return the job's number, or None if this one has to catch up."""
         return self._commands.admit(name, address)
 
     def leave(self) -> int | None:
-        """Leave the tier; return the job's number, or None where to try again soon."""
+        """Leave the tier; return the job's number, or None if this one has to catch up."""
         return self._commands.leave()
 
     # --- Status
 
     def is_caught_up(self) -> bool:
-        """Return whether all contents of the chosen state are here."""
+        """Return whether this member has all contents of the chosen state."""
         return self._register.is_caught_up()
 
     def member_status(self, now: int) -> MemberStatus:
-        """Return whether this member may act on what contradicts; asked right before it acts."""
+        """Return whether this member may act under its rules; checked right before it acts."""
         register = self._register
         if register.register_regressed:
             return MemberStatus.REGISTER_REGRESSED
@@ -242,7 +242,7 @@
         if register.has_left:
             return MemberStatus.NOT_A_MEMBER
         if not register.joined_revision:
-            # Until its contents are here, the configuration that counts is not known.
+            # The current configuration is unknown until its contents have arrived.
             is_known = register.is_caught_up()
             return MemberStatus.NOT_A_MEMBER if is_known else MemberStatus.BEHIND
         if self.confirmed_revision < register.joined_revision:
@@ -299,7 +299,7 @@
         if relayed.to == self.config.name:
             with self._outbox.replying_over(relayed.origin, sender):
                 self._dispatch(relayed.origin, relayed.message, now)
-        elif relayed.origin == sender:  # one hop at most
+        elif relayed.origin == sender:  # otherwise it was relayed before; one hop is the most
             if isinstance(relayed.message, Ping):
                 self.prober.on_relayed_ping(sender, relayed.message.number, now)
             elif isinstance(relayed.message, Ack):
@@ -307,7 +307,7 @@
             self._outbox.send(relayed.to, relayed)
 
     def _content_sources(self) -> list[list[str]]:
-        """Return the live members to fetch from: voters and those that apply it; then any."""
+        """Return the live members to fetch from: voters and those that apply the state; others."""
         exchange = self._parts.exchange
         confirmed = exchange.sample(
             self._parts.liveness.confirmed(self._register.revision), MAX_CONFIRMED_SOURCES
--- a/sailhitch/tier/parts.py
+++ b/sailhitch/tier/parts.py
@@ -1,4 +1,4 @@
-"""The parts that the concerns of a member share, and how they are made from its disk."""
+"""The components of a member that its other classes share, built from the items on its disk."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberParts:
-    """What a member is made of. No part knows the member."""
+    """The components of a member. None of them refers to the member itself."""
 
     config: TierConfig
     boot: int
@@ -50,7 +50,7 @@
     rng: random.Random,
     now: int,
 ) -> MemberParts:
-    """Return the parts of a member that starts with these items on its disk."""
+    """Build the components of a member that starts with these items on its disk."""
     prober = Prober(config.name, rng, now)
     gossip = Gossip(rng, prober, [name for name in config.peers if name != config.name])
     outbox = Outbox(config.name, gossip, prober, rng)
@@ -91,7 +91,7 @@
     proposer: Proposer,
     outbox: Outbox,
 ) -> Voter | None:
-    """Return the voter of a member that is one; it adds its own stamp to `stamps`."""
+    """Build the voter of a member that is one; it adds its own stamp to `stamps`."""
     if config.name not in config.voters:
         return None
     voter = Voter(
--- a/sailhitch/tier/status_report.py
+++ b/sailhitch/tier/status_report.py
@@ -30,7 +30,7 @@
 def _members(member: Member, now: int) -> list[dict[str, Any]]:
     """Return a row for each member that is configured or has a record.
 
-    Where this member has no configuration yet, `inside` is None: not known.
+    Where this member has no configuration yet, `inside` is None, for unknown.
     """
     configuration = member.configuration
     table = member.membership
--- a/sailhitch/tier/token_bucket.py
+++ b/sailhitch/tier/token_bucket.py
@@ -15,7 +15,7 @@
         self._filled_at = now
 
     def take(self, amount: int, now: int) -> bool:
-        """Take so many tokens if they are there; return whether they were."""
+        """Take `amount` tokens if there are as many; return whether there were."""
         elapsed = max(0, now - self._filled_at)
         self._filled_at = now
         self._level = min(self._burst, self._level + self._rate * elapsed / MICROSECONDS_PER_SECOND)
