--- a/tests/test_tier_cases.py
+++ b/tests/test_tier_cases.py
@@ -1,4 +1,4 @@
-"""Hard cases of the tier in the model, one a test."""
+"""Rare faults of a tier in the model, one a test."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
 S = 1_000_000
 
 
-def stood(members: int = 5, voters: int = 3, lease: int | None = None, seed: int = 1) -> World:
+def start_world(
+    members: int = 5, voters: int = 3, lease: int | None = None, seed: int = 1
+) -> World:
     """Return a bootstrapped tier."""
     world = World(seed, members, voters, lease)
     world.start()
@@ -26,7 +28,7 @@
     return world
 
 
-def settled(world: World, seconds: int = 20) -> Any:
+def settle(world: World, seconds: int = 20) -> Any:
     """Let the tier settle, and return its register state."""
     world.kernel.run(world.kernel.now + seconds * S)
     world.check_end()
@@ -39,27 +41,27 @@
 def test_a_proposer_killed_after_any_message_leaves_no_half_change(
     count: int, lease: int | None
 ) -> None:
-    world = stood(lease=lease)
+    world = start_world(lease=lease)
     proposer = world.processes["g4"]
     real, sent = proposer.perform, [0]
 
-    def happen(effect: Any) -> Any:
+    def perform(effect: Any) -> Any:
         real(effect)
         sent[0] += isinstance(effect, Send)
         if sent[0] == count:
             proposer.kill()
 
-    proposer.perform = happen  # type: ignore[method-assign]
+    proposer.perform = perform  # type: ignore[method-assign]
     proposer.propose(1, 0)
     world.kernel.run(world.kernel.now + 5 * S)
     assert not proposer.up
     del proposer.perform
     proposer.start()
-    assert settled(world).pending is None
+    assert settle(world).pending is None
 
 
 def test_seven_in_ten_killed_during_a_change() -> None:
-    world = stood(10, 5)
+    world = start_world(10, 5)
     world.processes["g10"].propose(1, 0)
     world.kernel.run(world.kernel.now + S // 10)
     killed = [world.processes[f"g{i}"] for i in range(1, 8)]
@@ -73,61 +75,63 @@
     )
     for process in killed:
         process.start()
-    assert settled(world).active.serial == 2
+    assert settle(world).active.serial == 2
 
 
 def test_members_that_hear_only_each_other_delay_a_change() -> None:
     """Cut g4 and g5 off together: both apply the active version, and the change waits for them.
 
-    With a lease theirs have expired when the change goes on without them.
+    In a tier with leases, theirs have expired when the change is activated without them.
     """
-    for lease, serial, standing in (
+    for lease, serial, status in (
         (None, 1, MemberStatus.ACTIVE),
         (3 * S, 2, MemberStatus.LEASE_EXPIRED),
     ):
-        world = stood(lease=lease)
-        sides = {"g4", "g5"}
+        world = start_world(lease=lease)
+        cut_off = {"g4", "g5"}
         names = world.names
-        world.network.cuts = {(a, b) for a in names for b in names if (a in sides) != (b in sides)}
+        world.network.cuts = {
+            (a, b) for a in names for b in names if (a in cut_off) != (b in cut_off)
+        }
         world.processes["g2"].propose(1, 0)
         world.kernel.run(world.kernel.now + 12 * S)
         latest = world.checker.latest
         assert latest is not None
         assert latest.active.serial == serial
-        for name in sides:
+        for name in cut_off:
             process = world.processes[name]
             assert process.member is not None
-            assert process.member.member_status(process.clock()) is standing
+            assert process.member.member_status(process.clock()) is status
         world.network.cuts = set()
-        assert settled(world).active.serial == 2
+        assert settle(world).active.serial == 2
 
 
 @pytest.mark.parametrize("lease", [None, 3 * S])
-def test_a_member_paused_for_a_minute_wakes_into_a_change(lease: int | None) -> None:
-    world = stood(lease=lease)
+def test_a_member_paused_for_a_minute_resumes_during_or_after_a_change(lease: int | None) -> None:
+    world = start_world(lease=lease)
     world.processes["g3"].pause()
     world.processes["g1"].propose(1, 0)
     world.kernel.run(world.kernel.now + 60 * S)
     latest = world.checker.latest
     assert latest is not None
     assert (latest.pending is None) == (lease is not None)
-    world.processes["g3"].resume()  # the checker looks at each of its writes
-    assert settled(world).active.serial == 2
+    world.processes["g3"].resume()  # the checker checks each of its writes
+    assert settle(world).active.serial == 2
 
 
 def test_a_change_reverted_at_once_is_reverted_everywhere() -> None:
-    world = stood()
+    world = start_world()
     world.processes["g4"].propose(1, 0)
     world.processes["g4"].propose(1, 0)  # from the same base: one of the two is rejected
     world.kernel.run(world.kernel.now + 5 * S)
     world.processes["g4"].propose(1, 0)
-    state = settled(world)
+    state = settle(world)
     assert state.active.serial == 3
     assert world.permitted(state.active.digest) == world.initially_permitted
 
 
 def test_a_withdrawn_change_leaves_all_where_they_were() -> None:
-    world = stood()
+    world = start_world()
     world.processes["g3"].pause()
     world.processes["g1"].propose(1, 0)
     world.kernel.run(world.kernel.now + 3 * S)
@@ -138,24 +142,24 @@
     assert (latest.active.serial, latest.pending) == (1, None)
     world.processes["g3"].resume()
     world.processes["g2"].propose(3, 0)
-    assert settled(world).active.serial == 3  # serials are not assigned twice
+    assert settle(world).active.serial == 3  # serials are not assigned twice
 
 
 def test_a_version_that_one_member_cannot_apply_is_not_activated() -> None:
-    world = stood()
-    old = world.processes["g5"]
-    real = old.perform
+    world = start_world()
+    failing = world.processes["g5"]
+    real = failing.perform
 
-    def happen(effect: Any) -> Any:
+    def perform(effect: Any) -> Any:
         if isinstance(effect, ApplyVersions):
-            assert old.member is not None
-            old.member.report_apply_failure(
+            assert failing.member is not None
+            failing.member.report_apply_failure(
                 effect.versions.revision, "the state would be out of form: x"
             )
             return None
         return real(effect)
 
-    old.perform = happen  # type: ignore[method-assign]
+    failing.perform = perform  # type: ignore[method-assign]
     world.processes["g1"].propose(1, 0)
     world.kernel.run(world.kernel.now + 10 * S)
     reader = world.processes["g2"]
@@ -165,12 +169,12 @@
     (fault,) = [row["trouble"] for row in status["members"] if row["name"] == "g5"]
     assert fault == "the state would be out of form: x"
     world.processes["g3"].withdraw()
-    del old.perform
-    assert settled(world).active.serial == 1
+    del failing.perform
+    assert settle(world).active.serial == 1
 
 
 def test_two_members_with_one_name_detect_it_and_neither_acts() -> None:
-    """Each hears of the other's incarnations, and raises its own again and again."""
+    """Each receives records of the other's incarnation, and keeps raising its own above it."""
     first = MembershipTable("g1", 1, 11)
     second = MembershipTable("g1", 1, 22)
     now = 0
@@ -201,10 +205,13 @@
 
 
 def test_a_member_does_not_act_by_a_register_that_regressed() -> None:
-    """Lose all voters' disks, which is more than is promised: a member that knows does not act."""
-    world = stood()
+    """Erase all voters' disks, more than the tier tolerates.
+
+    A member that knows the lost state must not act by the new register.
+    """
+    world = start_world()
     world.processes["g4"].propose(1, 0)
-    settled(world)
+    settle(world)
     _lose_all_disks(world)
     survivor = world.processes["g5"]
     survivor.kill()
@@ -215,8 +222,8 @@
     assert survivor.member.member_status(survivor.clock()) is not MemberStatus.ACTIVE
 
 
-def test_where_no_change_contradicts_none_waits() -> None:
-    world = stood()
+def test_a_version_that_contradicts_nothing_waits_for_no_member() -> None:
+    world = start_world()
     world.processes["g3"].pause()
     world.processes["g1"].propose(-1, 7)
     world.kernel.run(world.kernel.now + 3 * S)
@@ -224,12 +231,12 @@
     assert latest is not None
     assert (latest.active.serial, latest.pending) == (2, None)
     world.processes["g3"].resume()
-    settled(world)
+    settle(world)
 
 
 @pytest.mark.parametrize("members", [3, 40])
 def test_gossip_is_bounded_whatever_the_size_of_the_tier(members: int) -> None:
-    world = stood(members)
+    world = start_world(members)
     size = 0
     send = world.network.send
 
@@ -258,7 +265,7 @@
 
 def test_a_write_in_progress_to_a_lost_disk_is_not_on_its_replacement() -> None:
     for seed in range(8):  # a sync that a kill interrupts completes in half of the cases
-        world = stood(seed=seed)
+        world = start_world(seed=seed)
         process = world.processes["g1"]
         process.propose(1, 0)
         while not process._is_syncing:
