--- a/tests/test_tier_model.py
+++ b/tests/test_tier_model.py
@@ -1,7 +1,8 @@
-"""Promises of the tier (docs/design/tier.md) in the model: held by seeds, and by a checker.
+"""The tier's promises (docs/design/tier.md) in the model: random scenarios, and mutations.
 
-Each mutation takes one safeguard away; the seed beside it is the first whose story then breaks one
-of the promises named. What is left out has no story that shows it, and no place here.
+Each mutation removes one safeguard. Beside it is the first seed whose scenario then violates one of
+the promises named, or a scenario written for it. Safeguards whose removal no known scenario
+detects are not listed.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 from sailhitch.tier.voter import Voter
 
 SEEDS = 200
-SLOW = (500, 1_500_000)  # us that a switch may take where its slowness is what matters
+SLOW_APPLY = (500, 1_500_000)  # us, the range in which a slow process applies versions
 Patch = pytest.MonkeyPatch
 
 
@@ -58,7 +59,7 @@
 
 
 def test_a_member_that_left_and_came_back_with_an_older_disk_keeps_no_change_waiting() -> None:
-    """The story of seed 100328: promise 4, as a pending version waits for it for ever."""
+    """Seed 100328 violated promise 4: a pending version waited for the member for ever."""
     assert find_violation(draw_scenario(100_328)) is None
 
 
@@ -67,62 +68,63 @@
     assert find_violation(draw_scenario_with_death(seed)) is None
 
 
-def test_a_slow_switch_alone_breaks_nothing(monkeypatch: Patch) -> None:
-    monkeypatch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW)
+def test_a_slow_apply_alone_violates_no_promise(monkeypatch: Patch) -> None:
+    monkeypatch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW_APPLY)
     assert [seed for seed in range(15) if find_violation(draw_scenario(seed))] == []
 
 
-def test_a_run_is_a_function_of_story_and_seed() -> None:
-    ends = [play(draw_scenario(7)) for _ in range(2)]
-    assert ends[0].kernel.event_count == ends[1].kernel.event_count
-    assert ends[0].checker.chosen == ends[1].checker.chosen
-    assert ends[0].checker.write_count > 1000
+def test_a_run_is_a_function_of_scenario_and_seed() -> None:
+    worlds = [play(draw_scenario(7)) for _ in range(2)]
+    assert worlds[0].kernel.event_count == worlds[1].kernel.event_count
+    assert worlds[0].checker.chosen == worlds[1].checker.chosen
+    assert worlds[0].checker.write_count > 1000
 
 
 # --- Mutations
 
 
-def _answers_before_the_sync(patch: Patch) -> None:
+def _sends_before_the_sync(patch: Patch) -> None:
     real = Member.take_effects
 
     def take(self: Member) -> list[Any]:
-        out = real(self)
-        return sorted(out, key=lambda one: isinstance(one, Persist))
+        effects = real(self)
+        return sorted(effects, key=lambda effect: isinstance(effect, Persist))
 
     patch.setattr(Member, "take_effects", take)
 
 
-def _acts_on_new_before_active(patch: Patch) -> None:
-    _views(patch, lambda world, acting: acting.pending or acting.active)
+def _acts_on_pending_before_active(patch: Patch) -> None:
+    _patch_permitted_acts(patch, lambda world, versions: versions.pending or versions.active)
 
 
 def _acts_on_old_until_active(patch: Patch) -> None:
-    _views(patch, lambda world, acting: acting.active)
+    _patch_permitted_acts(patch, lambda world, versions: versions.active)
 
 
-def _views(patch: Patch, chosen: Callable[[World, AppliedVersions], Any]) -> None:
+def _patch_permitted_acts(patch: Patch, chosen: Callable[[World, AppliedVersions], Any]) -> None:
+    """Have each process act by the version that `chosen` returns."""
     real = TierProcess._apply
 
-    def switch(self: TierProcess, acting: AppliedVersions) -> None:
-        real(self, acting)
-        self.permitted_acts = self.world.permitted(chosen(self.world, acting).digest)
+    def apply(self: TierProcess, versions: AppliedVersions) -> None:
+        real(self, versions)
+        self.permitted_acts = self.world.permitted(chosen(self.world, versions).digest)
 
-    patch.setattr(TierProcess, "_apply", switch)
+    patch.setattr(TierProcess, "_apply", apply)
 
 
-def _confirms_before_it_acts(patch: Patch) -> None:
-    patch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW)
-    # Contents that it lets go of too early would be found out first.
+def _confirms_before_it_has_applied(patch: Patch) -> None:
+    patch.setattr("sailhitch.model.tier_process.APPLY_DURATION_RANGE", SLOW_APPLY)
+    # Otherwise the early release of contents would be detected first.
     patch.setattr(ContentExchange, "release_before", lambda self, revision: None)
     real = TierProcess.perform
 
-    def happen(self: TierProcess, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
+    def perform(self: TierProcess, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
         real(self, effect)
         if isinstance(effect, ApplyVersions):
             assert self.member is not None
             self.member.confirm_applied(effect.versions.revision, self.clock())
 
-    patch.setattr(TierProcess, "perform", happen)
+    patch.setattr(TierProcess, "perform", perform)
 
 
 def _accepts_an_older_ballot(patch: Patch) -> None:
@@ -137,11 +139,11 @@
     patch.setattr(Acceptor, "accept", accept)
 
 
-def _ignores_what_was_accepted(patch: Patch) -> None:
+def _ignores_accepted_states(patch: Patch) -> None:
     real = Round._choose
 
     def choose(self: Round) -> None:
-        first = min(self._promises, key=lambda v: self._promises[v].accepted is not None)
+        first = min(self._promises, key=lambda voter: self._promises[voter].accepted is not None)
         self._promises = {first: self._promises[first]} | self._promises
         accepted = self._promises[first].accepted
         for voter, promise in self._promises.items():
@@ -163,16 +165,16 @@
     patch.setattr(QuorumRead, "__init__", init)
 
 
-def _votes_from_any_disk(patch: Patch) -> None:
+def _votes_without_a_disk_check(patch: Patch) -> None:
     patch.setattr(Acceptor, "observe_stamp", lambda self, stamp: False)
 
-    def heard(self: Acceptor, *_: Any) -> None:
+    def on_recovery_reply(self: Acceptor, *_: Any) -> None:
         self.mode = VoterMode.VOTING
 
-    patch.setattr(Acceptor, "on_recovery_reply", heard)
+    patch.setattr(Acceptor, "on_recovery_reply", on_recovery_reply)
 
 
-def _acts_before_it_has_heard(patch: Patch) -> None:
+def _acts_before_the_register_read(patch: Patch) -> None:
     real = Member.__init__
 
     def init(self: Member, *args: Any) -> None:
@@ -184,49 +186,49 @@
     patch.setattr(Member, "__init__", init)
 
 
-def _trusts_a_timer(patch: Patch) -> None:
+def _activates_without_confirmations(patch: Patch) -> None:
     patch.setattr(PendingChange, "waiting_for", lambda self: [])
 
 
-def _makes_a_roster_from_one_it_does_not_have(patch: Patch) -> None:
+def _changes_a_configuration_that_it_lacks(patch: Patch) -> None:
     patch.setattr(RegisterView, "is_caught_up", lambda self: self.chosen is not None)
 
 
-def _grants_to_those_behind(patch: Patch) -> None:
+def _grants_leases_to_members_behind(patch: Patch) -> None:
     real = Voter.grant
     patch.setattr(
-        Voter, "grant", lambda self, name, poll, floor, now: real(self, name, poll, 0, now)
+        Voter, "grant", lambda self, name, request, required, now: real(self, name, request, 0, now)
     )
     patch.setattr(GrantTable, "record", lambda self, name, now: None)
 
 
-def _takes_a_lease_for_lapsed_too_early(patch: Patch) -> None:
+def _reports_leases_expired_too_early(patch: Patch) -> None:
     patch.setattr(
         GrantTable, "has_expired", lambda self, name, now: now - self.since > self.length // 4
     )
 
 
-def _keeps_a_lease_for_ever(patch: Patch) -> None:
+def _never_lets_its_lease_expire(patch: Patch) -> None:
     patch.setattr("sailhitch.tier.lease.Lease.expires_at", lambda self: 1 << 62)
 
 
-def _takes_a_root_for_its_tree(patch: Patch) -> None:
+def _takes_a_root_page_for_its_tree(patch: Patch) -> None:
     real = ContentStore._has_content
 
-    def has_one(self: ContentStore, digest: str) -> bool:
+    def has_content(self: ContentStore, digest: str) -> bool:
         root = root_of(digest)
         return real(self, digest) if root is None else root in self._pages
 
-    patch.setattr(ContentStore, "_has_content", has_one)
+    patch.setattr(ContentStore, "_has_content", has_content)
 
 
-def _lets_go_of_what_is_applied(patch: Patch) -> None:
+def _releases_applied_contents(patch: Patch) -> None:
     patch.setattr(ContentExchange, "retain_for_apply", lambda self, state: None)
 
 
 S = 1_000_000
-# g2 hears nothing of a change that g1 and g3 decide; then g3 is away, and g1 without its disk.
-LOST = Scenario(
+# g2 is cut off while g1 and g3 choose a change; then g1 loses its disk, and g3 is down.
+LOST_DISK = Scenario(
     1,
     3,
     3,
@@ -238,17 +240,17 @@
         Event(int(5.9 * S), "kill", (2,), 5 * S),
     ),
 )
-# The same with the disk of a day before the change put back.
-OLD = msgspec.structs.replace(
-    LOST,
+# The same, but g1's disk is replaced by an earlier copy, from before the change.
+OUTDATED_DISK = msgspec.structs.replace(
+    LOST_DISK,
     events=tuple(
-        msgspec.structs.replace(one, kind="old", value=0.3) if one.kind == "lost" else one
-        for one in LOST.events
+        msgspec.structs.replace(event, kind="old", value=0.3) if event.kind == "lost" else event
+        for event in LOST_DISK.events
     ),
 )
 
-# g1 comes back with an empty disk while most of what is said is lost, and two others are cut off.
-DEAF = Scenario(
+# g1 restarts with an empty disk while most messages are lost, and two other members are cut off.
+LOST_DISK_AND_MESSAGES = Scenario(
     1,
     5,
     3,
@@ -261,8 +263,8 @@
     ),
 )
 
-# Each says of another that it is gone, until nobody is in any more.
-ALL_OUT = Scenario(
+# Each member evicts another, until the configuration has no members.
+ALL_EVICTED = Scenario(
     1,
     3,
     3,
@@ -270,40 +272,44 @@
     tuple(Event(int((4.8 + 1.5 * i) * S), "gone", (i,), S) for i in range(3)),
 )
 
-# With the seed of a story that shows it, others follow where it does so no more; or with a story.
+# A mutation, then a scenario that detects it, or the first seed that does; after a change of the
+# model that seed may no longer detect it, so further seeds are tried. Last the promises violated.
 MUTATIONS: list[tuple[Callable[[Patch], None], int | Scenario, str]] = [
-    (_answers_before_the_sync, 0, "1"),
-    (_acts_on_new_before_active, 1, "2"),
+    (_sends_before_the_sync, 0, "1"),
+    (_acts_on_pending_before_active, 1, "2"),
     (_acts_on_old_until_active, 6, "2"),
-    (_confirms_before_it_acts, 3, "2"),
+    (_confirms_before_it_has_applied, 3, "2"),
     (_accepts_an_older_ballot, 3, "1"),
-    (_ignores_what_was_accepted, 1, "1"),
+    (_ignores_accepted_states, 1, "1"),
     (_reads_from_one_voter, 1, "12"),
-    (_votes_from_any_disk, LOST, "14"),
-    (_votes_from_any_disk, OLD, "14"),
-    (_acts_before_it_has_heard, 50, "12"),
-    (_trusts_a_timer, 2, "2"),
-    (_makes_a_roster_from_one_it_does_not_have, DEAF, "24"),
-    (_grants_to_those_behind, 15, "2"),
-    (_takes_a_lease_for_lapsed_too_early, 37, "2"),
-    (_keeps_a_lease_for_ever, 88, "2"),
-    (_takes_a_root_for_its_tree, 0, "1"),
-    (_lets_go_of_what_is_applied, 0, "1"),
+    (_votes_without_a_disk_check, LOST_DISK, "14"),
+    (_votes_without_a_disk_check, OUTDATED_DISK, "14"),
+    (_acts_before_the_register_read, 50, "12"),
+    (_activates_without_confirmations, 2, "2"),
+    (_changes_a_configuration_that_it_lacks, LOST_DISK_AND_MESSAGES, "24"),
+    (_grants_leases_to_members_behind, 15, "2"),
+    (_reports_leases_expired_too_early, 37, "2"),
+    (_never_lets_its_lease_expire, 88, "2"),
+    (_takes_a_root_page_for_its_tree, 0, "1"),
+    (_releases_applied_contents, 0, "1"),
 ]
 
 
 @pytest.mark.parametrize(
-    ("mutation", "first", "promises"),
+    ("mutation", "detected_by", "promises"),
     MUTATIONS,
-    ids=[f"{one[0].__name__[1:]}-{i}" for i, one in enumerate(MUTATIONS)],
+    ids=[f"{case[0].__name__[1:]}-{i}" for i, case in enumerate(MUTATIONS)],
 )
-def test_each_safeguard_is_missed(
-    mutation: Callable[[Patch], None], first: int | Scenario, promises: str, monkeypatch: Patch
+def test_the_removal_of_each_safeguard_is_detected(
+    mutation: Callable[[Patch], None],
+    detected_by: int | Scenario,
+    promises: str,
+    monkeypatch: Patch,
 ) -> None:
-    if isinstance(first, Scenario):
-        scenarios = [msgspec.structs.replace(first, seed=seed) for seed in range(40)]
+    if isinstance(detected_by, Scenario):
+        scenarios = [msgspec.structs.replace(detected_by, seed=seed) for seed in range(40)]
     else:
-        scenarios = [draw_scenario(seed) for seed in (first, *range(60))]
+        scenarios = [draw_scenario(seed) for seed in (detected_by, *range(60))]
     mutation(monkeypatch)
     violation = next(
         (violation for scenario in scenarios if (violation := find_violation(scenario))), None
@@ -312,22 +318,22 @@
     assert violation[0] in promises, violation
 
 
-def test_no_story_told_here_breaks_a_promise_by_itself() -> None:
-    for scenario in (LOST, OLD, DEAF, ALL_OUT):
+def test_no_scenario_here_violates_a_promise_without_a_mutation() -> None:
+    for scenario in (LOST_DISK, OUTDATED_DISK, LOST_DISK_AND_MESSAGES, ALL_EVICTED):
         for seed in range(5):
             assert find_violation(msgspec.structs.replace(scenario, seed=seed)) is None
 
 
-@pytest.mark.parametrize("scenario", [LOST, OLD], ids=["lost", "old"])
-def test_a_lost_or_an_old_disk_of_a_voter_takes_nothing_back(scenario: Scenario) -> None:
+@pytest.mark.parametrize("scenario", [LOST_DISK, OUTDATED_DISK], ids=["lost", "old"])
+def test_a_lost_or_outdated_disk_of_a_voter_loses_no_change(scenario: Scenario) -> None:
     world = play(scenario)
     assert world.checker.latest is not None
     assert world.checker.latest.revision >= 3
 
 
-def test_a_failing_story_is_cut_down_to_a_short_one(monkeypatch: Patch) -> None:
+def test_a_failing_scenario_is_shrunk(monkeypatch: Patch) -> None:
     _acts_on_old_until_active(monkeypatch)
-    seed = next(s for s in range(50) if find_violation(draw_scenario(s)))
+    seed = next(seed for seed in range(50) if find_violation(draw_scenario(seed)))
     small, violation = shrink(draw_scenario(seed))
     assert len(small.events) <= 2 < len(draw_scenario(seed).events)
     assert "propose" in format_scenario(small, violation)
