--- a/tests/test_tier_recovery.py
+++ b/tests/test_tier_recovery.py
@@ -1,15 +1,15 @@
-"""What a member that ended left half done, and a member that left and came back, in the model.
-
-*Left and back.* A member's leave goes through the register as a round. It ended before that was
-chosen, and its next incarnation read the register from voters that had not accepted it yet: "g1 is
-IN". The voters' contents came later, they accepted, and the leave was chosen after the read. From
-then on no change waited for g1, which went on by withdrawn rules: "2: g1 did 4 under turn 4,
-0.480 s after serial 3, which forbids it, was in force".
-
-*Chosen, and nobody knows.* A proposer was killed after its Accepts had been sent. A majority of
-the voters accepted (turn 5 on their disks, all six members knew turn 4), and nobody asked them
-again: "4: g2 knows turn 4; 5 was decided". Of the 400 proposers of this test, killed 1 to 120 ms
-after they were asked for a change, 20 left such a turn.
+"""Rounds that a member leaves unfinished when it ends or leaves, in the model. Two faults:
+
+*A leave chosen after the return.* A member's leave is a round of the register. g1 ended before its
+leave was chosen, and its next incarnation read from voters that had not accepted it yet that it was
+still a member. Then the contents reached the voters, they accepted, and the leave was chosen. From
+then on no change waited for g1, which acted by withdrawn rules: promise 2 was violated 0.480 s
+after serial 3, which forbids what g1 did, had become active.
+
+*A chosen state that no running member knows.* A proposer was killed after it had sent its Accepts.
+A majority of the voters accepted (revision 5 on their disks, while all six members knew revision
+4), and no member asked them again, which violates promise 4. Of the 400 proposers of this test,
+killed 1 to 120 ms after they were asked for a change, 20 left such a revision.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
 from sailhitch.tier.register import Acceptor, Vote
 
 S = 1_000_000
-DEATHS = 100  # seeds of scenarios in which a member dies for good
-KILLED = 40  # proposers killed after each kind of change
+DEATH_SEEDS = 100  # scenarios in which a member dies for good
+KILL_SEEDS = 40  # kills of each member during each kind of change
 
-# What is left of seed 100328 when all is cut out that it breaks a promise without.
-LEFT_AND_BACK = Scenario(
+# Seed 100328, reduced to the events without which it violated no promise.
+LEAVE_AND_RETURN = Scenario(
     100_328,
     6,
     3,
@@ -72,22 +72,25 @@
 )
 
 
-def test_a_member_that_left_and_came_back_acts_by_no_withdrawn_rules() -> None:
+def test_a_member_that_left_and_returned_acts_by_no_withdrawn_rules() -> None:
     """Cut the member off right after its return, while another one changes the rules."""
     violations = {}
     for flip in (0, 2, 4, 5):
         extra = Event(19 * S, "part", (0,), 8 * S), Event(int(19.5 * S), "propose", (1,), 0, flip)
-        scenario = msgspec.structs.replace(LEFT_AND_BACK, events=(*LEFT_AND_BACK.events, *extra))
+        scenario = msgspec.structs.replace(
+            LEAVE_AND_RETURN, events=(*LEAVE_AND_RETURN.events, *extra)
+        )
         violations[flip] = find_violation(scenario)
     assert violations == {0: None, 2: None, 4: None, 5: None}
 
 
 @pytest.mark.parametrize("disk", ["as it was", "empty"])
 def test_a_leave_that_reaches_voters_late_is_not_chosen_after_the_return(disk: str) -> None:
-    """Let g4 leave with only g1 receiving its Accept soon; restart it, and cut it off.
+    """Let g4 leave while its Accept reaches only g1 soon; restart g4, and cut it off.
 
-    With an empty disk g4 knows nothing of having left: voters tell it. If it acted by what most
-    of them had accepted, it would do "0 under turn 1, 0.113 s after serial 2, which forbids it".
+    With an empty disk, g4 learns of its leave only from the voters. If it acted by what most of
+    them had accepted, it would act by revision 1, 0.113 s after serial 2, which forbids that act,
+    had become active.
     """
     world = World(1, 5, 3)
     world.start()
@@ -105,7 +108,7 @@
     world.network.cuts = {(a, b) for a in names for b in names if (a == "g4") != (b == "g4")}
     world.kernel.run(world.kernel.now + 2 * S)
     world.processes["g1"].propose(0, 0)
-    world.kernel.run(world.kernel.now + 10 * S)  # the checker looks at each write of g4
+    world.kernel.run(world.kernel.now + 10 * S)  # the checker checks each write of g4
     world.network.cuts = set()
     world.kernel.run(world.kernel.now + 20 * S)
     world.check_end()
@@ -131,7 +134,7 @@
     assert unfinished() == ["g2"]
     persisted = msgspec.msgpack.decode(msgspec.msgpack.encode(acceptor.vote), type=Vote)
     assert Acceptor("v1", ("v1",), persisted).has_unfinished("g2")
-    acceptor.recover(Ballot(4, "v1", 0), None, 0)  # what it had promised was lost
+    acceptor.recover(Ballot(4, "v1", 0), None, 0)  # its earlier promises are lost
     assert unfinished() == ["g1", "g2", "g3"]
 
 
@@ -155,7 +158,7 @@
 
 
 def _delay_accepts(world: World, sender: str, to: tuple[str, ...], delay: int) -> None:
-    """Have a member's Accepts reach these voters so much later, in microseconds."""
+    """Delay a member's Accepts to these voters by so many microseconds."""
     real = world.network.deliver
 
     def deliver(origin: str, name: str, message: object) -> None:
@@ -187,7 +190,7 @@
     process.propose(1, 0)
 
 
-def _pose(process: TierProcess) -> None:
+def _propose_traffic_policy(process: TierProcess) -> None:
     process.propose_traffic_policy(7)
 
 
@@ -199,16 +202,16 @@
     process.withdraw()
 
 
-def _nothing(process: TierProcess) -> None:
-    """Do nothing: the member activates what is pending by itself, or bootstraps the tier."""
+def _do_nothing(process: TierProcess) -> None:
+    """Do nothing: the member activates the pending version by itself."""
 
 
-def _killed_during(seed: int, name: str, change: Callable[[TierProcess], None]) -> str | None:
-    """Kill a member for good soon after a change began; return what promise was broken."""
+def _kill_during(seed: int, name: str, change: Callable[[TierProcess], None]) -> str | None:
+    """Kill a member for good soon after a change began; return the violation, if any."""
     world = World(seed, 5, 3)
     world.start()
     world.kernel.run(4 * S)
-    if change in (_withdraw, _nothing):
+    if change in (_withdraw, _do_nothing):
         # The pending version waits for one other member at first.
         world.processes["g5"].pause()
         world.processes[name].propose(1, 0)
@@ -218,10 +221,10 @@
     change(process)
     delay = int(world.kernel.stream("death").integers(1_000, 120_000))
     world.kernel.after(delay, process.kill)
-    return _broken_at_rest(world)
+    return _violation_after_settling(world)
 
 
-def _broken_at_rest(world: World) -> str | None:
+def _violation_after_settling(world: World) -> str | None:
     try:
         world.kernel.run(world.kernel.now + 20 * S)
         world.check_latest_known()
@@ -230,42 +233,45 @@
     return None
 
 
-CHANGES = {change.__name__: change for change in (_propose, _pose, _leave, _withdraw, _nothing)}
+CHANGES = {
+    change.__name__: change
+    for change in (_propose, _propose_traffic_policy, _leave, _withdraw, _do_nothing)
+}
 
 
 def _play_death(case: tuple[str, str, int]) -> str | None:
     name, change, seed = case
-    violation = _killed_during(seed, name, CHANGES[change])
+    violation = _kill_during(seed, name, CHANGES[change])
     return None if violation is None else f"{name} {change} seed {seed}: {violation}"
 
 
 def test_a_state_chosen_by_a_dead_proposer_is_known_to_all_that_run() -> None:
     """Kill g1, which is a voter, or g4, which is not."""
-    cases = itertools.product(("g1", "g4"), CHANGES, range(KILLED))
+    cases = itertools.product(("g1", "g4"), CHANGES, range(KILL_SEEDS))
     with ProcessPoolExecutor(2) as pool:
         results = list(pool.map(_play_death, cases, chunksize=10))
     assert [violation for violation in results if violation is not None] == []
 
 
-def _founder_killed(seed: int) -> str | None:
+def _kill_bootstrapping_member(seed: int) -> str | None:
     world = World(seed, 5, 3)
     world.start()
     stream = world.kernel.stream("death")
-    founder = world.processes[f"g{int(stream.integers(1, 4))}"]
-    world.kernel.at(int(stream.integers(300_000, 1_500_000)), founder.kill)
-    return _broken_at_rest(world)
+    bootstrapping = world.processes[f"g{int(stream.integers(1, 4))}"]
+    world.kernel.at(int(stream.integers(300_000, 1_500_000)), bootstrapping.kill)
+    return _violation_after_settling(world)
 
 
 def test_a_tier_whose_bootstrapping_member_died_is_known_to_all_or_not_bootstrapped() -> None:
     with ProcessPoolExecutor(2) as pool:
-        results = list(pool.map(_founder_killed, range(KILLED), chunksize=5))
+        results = list(pool.map(_kill_bootstrapping_member, range(KILL_SEEDS), chunksize=5))
     assert [
         (seed, violation) for seed, violation in enumerate(results) if violation is not None
     ] == []
 
 
-def _until_known_dead(seed: int) -> float:
-    """Return for how many seconds a restarted member takes one that died before for alive."""
+def _seconds_until_known_dead(seed: int) -> float:
+    """Return for how many seconds a restarted member takes one that died earlier for alive."""
     world = World(seed, 20, 3)
     world.start()
     world.kernel.run(5 * S)
@@ -284,11 +290,11 @@
 def test_a_member_that_starts_after_a_death_learns_of_it_in_time() -> None:
     """Promise 5: within 30 s.
 
-    Suspicions went out with six datagrams each and never again, so one that started later had to
-    find out by probes of its own: 35 to 53 s for ten seeds at 20 members, and longer with more.
+    Suspicions were sent in six datagrams each and never again, so a member that started later had
+    to detect the death by its own probes: 35 to 53 s for ten seeds at 20 members, longer with more.
     """
     with ProcessPoolExecutor(2) as pool:
-        seconds = list(pool.map(_until_known_dead, range(6)))
+        seconds = list(pool.map(_seconds_until_known_dead, range(6)))
     assert max(seconds) <= 30, seconds
 
 
@@ -298,6 +304,6 @@
 
 def test_the_promises_hold_where_a_member_dies_for_good() -> None:
     with ProcessPoolExecutor(2) as pool:
-        results = list(pool.map(_play, range(DEATHS), chunksize=5))
+        results = list(pool.map(_play, range(DEATH_SEEDS), chunksize=5))
     failed = [seed for seed, violation in results if violation]
     assert not failed, format_scenario(*shrink(draw_scenario_with_death(failed[0])))
