--- a/tests/test_tier_probes.py
+++ b/tests/test_tier_probes.py
@@ -1,7 +1,7 @@
-"""Who is there, and ways round a cut (docs/design/tier.md, promise 5), in the model.
+"""Failure detection and relays (docs/design/tier.md, promise 5), in the model.
 
-`World` breaks the promise itself as soon as one that can be reached is told dead; what is asked
-here besides is that one that has ended is told dead, and by whom, and when.
+`World` itself reports a violation as soon as a reachable member is declared dead. These tests also
+check that a member that has ended is declared dead, by which members, and when.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
 from sailhitch.tier.relay import UNANSWERED, RelayPolicy
 
 S = 1_000_000
-ENDED = 30 * S  # by then all that run tell one that has ended dead (promise 5)
+# Promise 5: by then all running members have declared one dead that has ended.
+DETECTION_LIMIT = 30 * S
 Patch = pytest.MonkeyPatch
 
 
@@ -34,7 +35,7 @@
     return world
 
 
-def _go_on(world: World, time: float) -> None:
+def _advance(world: World, time: float) -> None:
     world.kernel.run(world.kernel.now + int(time * S))
 
 
@@ -44,8 +45,8 @@
     return member
 
 
-def _dead(world: World) -> dict[str, set[str]]:
-    up = [name for name, one in world.processes.items() if one.up]
+def _dead_by_member(world: World) -> dict[str, set[str]]:
+    up = [name for name, process in world.processes.items() if process.up]
     return {name: set(_member(world, name).prober.dead_members()) for name in up}
 
 
@@ -54,35 +55,37 @@
 
 
 @pytest.mark.parametrize(("members", "loss"), [(3, 0.0), (5, 0.1), (25, 0.0), (25, 0.3)])
-def test_one_that_has_ended_is_told_dead_by_all_and_alive_once_it_is_back(
+def test_a_killed_member_is_declared_dead_by_all_and_alive_after_its_restart(
     members: int, loss: float
 ) -> None:
     world = _world(members, loss)
     world.processes["g2"].kill()
-    _go_on(world, ENDED / S)
-    assert all(dead == {"g2"} for dead in _dead(world).values())
+    _advance(world, DETECTION_LIMIT / S)
+    assert all(dead == {"g2"} for dead in _dead_by_member(world).values())
     world.processes["g2"].start()
-    _go_on(world, 10)
-    assert not any(_dead(world).values())
+    _advance(world, 10)
+    assert not any(_dead_by_member(world).values())
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_nobody_that_runs_is_told_dead_at_three_in_ten_lost(seed: int) -> None:
+def test_no_running_member_is_declared_dead_at_a_loss_of_30_percent(seed: int) -> None:
     world = _world(12, 0.3, seed)
-    _go_on(world, 60)
+    _advance(world, 60)
     world.check_end()
 
 
-def _two_that_cannot_reach_each_other() -> None:
+def _two_members_cut_off_from_each_other() -> None:
     world = _world(6)
     _cut(world, ("g2", "g5"))
-    _go_on(world, 40)
-    lives = {name: _member(world, name).membership.own_record.incarnation for name in world.names}
-    assert set(lives.values()) == {1}, "somebody was suspected, and had to refute"
+    _advance(world, 40)
+    incarnations = {
+        name: _member(world, name).membership.own_record.incarnation for name in world.names
+    }
+    assert set(incarnations.values()) == {1}, "a member was suspected, and had to refute it"
 
 
-def _one_that_stood_still() -> None:
-    """Its clock ran on for a minute in which it could hear nobody, with a probe under way."""
+def _a_stalled_member() -> None:
+    """Stall for a minute in which nothing is received, with a probe in flight."""
     prober, others = Prober("g1", random.Random(1), 0), ["a", "b", "c", "d", "e"]
     [(probed, _)] = prober.on_tick(0, others, lambda name: 1)
     prober.on_suspicions([Suspicion("e", 1, ["a"])], lambda name: 1, 0)
@@ -91,25 +94,27 @@
     assert health == dict.fromkeys(others, Health.ALIVE) | {"e": Health.SUSPECT}, probed
 
 
-def _one_that_comes_out_of_a_cut() -> None:
+def _a_member_reconnected_after_a_cut() -> None:
     world = _world(6)
     _cut(world, *(("g6", f"g{i}") for i in range(1, 6)))
-    _go_on(world, 100)  # it knows that it may be the one cut off, and takes its time
+    _advance(world, 100)  # long, as g6's health penalty delays its suspicions
     assert set(_member(world, "g6").prober.dead_members()) == {f"g{i}" for i in range(1, 6)}
     world.network.cuts.clear()
-    _go_on(world, 15)
+    _advance(world, 15)
     world.check_end()
 
 
 CASES = [
-    _two_that_cannot_reach_each_other,
-    _one_that_stood_still,
-    _one_that_comes_out_of_a_cut,
+    _two_members_cut_off_from_each_other,
+    _a_stalled_member,
+    _a_member_reconnected_after_a_cut,
 ]
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_no_member_is_told_dead_for_what_is_not_its_own_end(case: Callable[[], None]) -> None:
+def test_no_running_member_is_declared_dead_after_a_cut_or_a_stall(
+    case: Callable[[], None],
+) -> None:
     case()
 
 
@@ -117,7 +122,7 @@
     patch.setattr(Prober, "_ask_helpers", lambda *_: [])
 
 
-def _does_not_notice_that_it_stood_still(patch: Patch) -> None:
+def _ignores_its_own_stalls(patch: Patch) -> None:
     real = Prober.on_tick
 
     def tick(self: Prober, now: int, *rest: Any) -> Any:
@@ -128,18 +133,18 @@
 
 
 def _does_not_refute(patch: Patch) -> None:
-    patch.setattr(Liveness, "_refute", lambda self, life: None)
+    patch.setattr(Liveness, "_refute", lambda self, incarnation: None)
 
 
 @pytest.mark.parametrize(
     ("mutation", "case"),
     [
         (_asks_no_helpers, CASES[0]),
-        (_does_not_notice_that_it_stood_still, CASES[1]),
+        (_ignores_its_own_stalls, CASES[1]),
         (_does_not_refute, CASES[2]),
     ],
 )
-def test_each_safeguard_of_the_probes_is_missed(
+def test_the_removal_of_each_safeguard_of_the_probes_is_detected(
     mutation: Callable[[Patch], None], case: Callable[[], None], monkeypatch: Patch
 ) -> None:
     mutation(monkeypatch)
@@ -147,58 +152,58 @@
         case()
 
 
-def test_a_member_whose_helpers_say_nothing_is_slower_to_accuse() -> None:
+def test_a_member_whose_helpers_do_not_answer_is_slower_to_suspect() -> None:
     world = _world(6)
     _cut(world, *(("g6", f"g{i}") for i in range(1, 6)))
-    _go_on(world, 10)
+    _advance(world, 10)
     assert _member(world, "g6").prober.health_penalty >= MAX_HEALTH_PENALTY // 2
     assert all(_member(world, f"g{i}").prober.health_penalty <= 2 for i in range(1, 6))
 
 
-def test_a_suspicion_ends_sooner_the_more_have_found_it_by_themselves() -> None:
-    ends = []
+def test_a_suspicion_expires_sooner_the_more_members_confirm_it() -> None:
+    expiries = []
     for confirmers in (["a"], ["a", "b"], ["a", "b", "c"], ["a", "b", "c", "d"]):
         prober = Prober("g1", _member(_world(3), "g1").rng, 0)
         prober._suspect("g9", 1, confirmers, 0)
-        times = range(0, ENDED, S // 5)
-        ends.append(
+        times = range(0, DETECTION_LIMIT, S // 5)
+        expiries.append(
             next(
-                t
-                for t in times
-                if prober.on_tick(t, ["x"] * 9, lambda n: 1) or True
+                now
+                for now in times
+                if prober.on_tick(now, ["x"] * 9, lambda name: 1) or True
                 if prober.health("g9", 1) is Health.DEAD
             )
         )
-    assert ends == sorted(ends, reverse=True)
-    assert ends[0] >= 5 * ends[-1]
+    assert expiries == sorted(expiries, reverse=True)
+    assert expiries[0] >= 5 * expiries[-1]
 
 
-# --- Ways round
+# --- Relays
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_lease_rests_on_others_word_where_no_voter_can_be_reached(seed: int) -> None:
+def test_a_lease_is_renewed_over_relays_where_no_voter_can_be_reached(seed: int) -> None:
     world = World(seed, 6, 3, 3 * S, write_interval=S)
     world.start()
     world.kernel.run(8 * S)
     _cut(world, *(("g6", voter) for voter in world.voters))
     process = world.processes["g6"]
     for _ in range(40):
-        _go_on(world, 0.5)
+        _advance(world, 0.5)
         assert _member(world, "g6").member_status(process.clock()) is MemberStatus.ACTIVE
     process.propose(1, 0)
-    _go_on(world, 4)
+    _advance(world, 4)
     assert world.checker.latest is not None
     assert world.checker.latest.active.proposer == "g6"
 
 
-def test_without_another_way_the_same_lease_is_over(monkeypatch: Patch) -> None:
+def test_without_relays_the_same_lease_expires(monkeypatch: Patch) -> None:
     monkeypatch.setattr(RelayPolicy, "needs_relay", lambda *_: False)
     with pytest.raises(AssertionError):
-        test_a_lease_rests_on_others_word_where_no_voter_can_be_reached(2)
+        test_a_lease_is_renewed_over_relays_where_no_voter_can_be_reached(2)
 
 
-def test_another_way_is_taken_once_the_straight_one_has_given_no_answer() -> None:
+def test_a_relay_is_used_once_direct_requests_get_no_answer() -> None:
     relays = RelayPolicy()
     assert [relays.needs_relay("v") for _ in range(UNANSWERED + 2)] == [False] * UNANSWERED + [
         True
@@ -207,7 +212,7 @@
     assert not relays.needs_relay("v")
 
 
-def test_nothing_goes_through_more_than_one_other() -> None:
+def test_no_message_is_relayed_more_than_once() -> None:
     world = _world(4)
     member = _member(world, "g1")
     member.take_effects()
@@ -220,28 +225,28 @@
 # --- Joining
 
 
-def test_a_newcomer_that_no_file_names_is_a_member_that_changes_wait_for() -> None:
+def test_changes_wait_for_an_admitted_member_that_no_file_names() -> None:
     world = World(3, 5, 3, write_interval=S // 50, late=["g5"])
     world.start()
     world.kernel.run(8 * S)
     newcomer = world.processes["g5"]
     assert _member(world, "g4").admit("g5", "127.0.0.1:9") is not None
     world.processes["g4"]._process_effects()
-    _go_on(world, 2)
+    _advance(world, 2)
     newcomer.start()
-    _go_on(world, 6)
+    _advance(world, 6)
     assert _member(world, "g5").member_status(newcomer.clock()) is MemberStatus.ACTIVE
     newcomer.pause()
     world.processes["g2"].propose(1, 0)
-    _go_on(world, 5)
+    _advance(world, 5)
     assert _member(world, "g1").waiting_for() == ["g5"]
     newcomer.resume()
-    _go_on(world, 12)
+    _advance(world, 12)
     world.check_end()
 
 
-def test_a_broken_promise_about_who_is_there_is_told_with_its_number() -> None:
+def test_a_violation_of_promise_5_is_reported_with_its_number() -> None:
     world = _world(3)
-    _go_on(world, 20)
+    _advance(world, 20)
     with pytest.raises(InvariantViolationError, match="5: g1 takes g2 for dead"):
         world.check_declared_dead("g1", "g2")
