--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -1,4 +1,4 @@
-"""Unit tests of the tier's parts: datagrams, contents, leases, disk, file, exploration."""
+"""Unit tests of the tier: datagrams, contents, leases, disk, operator file, exploration."""
 
 from __future__ import annotations
 
@@ -91,13 +91,13 @@
 def test_no_changed_datagram_is_opened(data: Any) -> None:
     sender, receiver = _pair()
     sealed = bytearray(sender.seal("g2", BlockRequest("a" * 64, 1024)))
-    how = data.draw(st.sampled_from(["flip", "cut", "longer", "other"]))
-    if how == "flip":
-        at = data.draw(st.integers(0, len(sealed) - 1))
-        sealed[at] ^= 1 << data.draw(st.integers(0, 7))
-    elif how == "cut":
+    change = data.draw(st.sampled_from(["flip", "cut", "longer", "other"]))
+    if change == "flip":
+        position = data.draw(st.integers(0, len(sealed) - 1))
+        sealed[position] ^= 1 << data.draw(st.integers(0, 7))
+    elif change == "cut":
         del sealed[data.draw(st.integers(0, len(sealed) - 1)) :]
-    elif how == "longer":
+    elif change == "longer":
         sealed += data.draw(st.binary(min_size=1, max_size=9000))
     else:
         sealed = bytearray(data.draw(st.binary(max_size=9000)))
@@ -152,7 +152,7 @@
 # --- Messages
 
 
-# As the version before the renaming of the types sent them: members of both talk to each other.
+# As sent by the version before the message types were renamed: members of both versions interact.
 RECORDED = {
     "l": "92a16c03",
     "L": (
@@ -221,7 +221,7 @@
     "N": "92a14e05",
     "v": "94a176a26731a2673393a1690500",
 }
-SEALED = "5348010195a267310b01a2673292a16807e8ba4f9c3a385dab428ee72bf306441c"
+RECORDED_DATAGRAM = "5348010195a267310b01a2673292a16807e8ba4f9c3a385dab428ee72bf306441c"
 
 
 def _samples() -> dict[str, Message]:
@@ -263,7 +263,7 @@
 def test_a_sealed_datagram_has_the_bytes_of_the_version_before() -> None:
     sender, receiver = _pair()
     sealed = sender.seal("g2", VoteRecoveryRequest(7))
-    assert sealed == bytes.fromhex(SEALED)
+    assert sealed == bytes.fromhex(RECORDED_DATAGRAM)
     assert receiver.open(sealed) is not None
 
 
@@ -274,99 +274,103 @@
 def test_a_content_is_fetched_completely_despite_loss_and_duplicates(
     content: bytes, seed: int
 ) -> None:
-    source, sink, rng = ContentStore({}), ContentStore({}), random.Random(seed)
-    digest, kept = source.add(content)
-    sink.fetch(digest, "a")
+    source, fetcher, rng = ContentStore({}), ContentStore({}), random.Random(seed)
+    digest, items = source.add(content)
+    fetcher.fetch(digest, "a")
     now = 0
     for _ in range(400):
         now += 100_000
-        for _, request in sink.requests(now, rng, [["a"]]):
+        for _, request in fetcher.requests(now, rng, [["a"]]):
             assert isinstance(request, BlockRequest)
             block = source.answer_block(request, now)
             assert block is not None
             if rng.random() < 0.4:
                 continue
             for _ in range(1 + (rng.random() < 0.2)):
-                sink.take_block(block)
-        if sink.has(digest):
+                fetcher.take_block(block)
+        if fetcher.has(digest):
             break
-    assert sink.packed == {digest: kept[CONTENT_KEY_PREFIX + digest]}
-    assert sink.read(digest) == content
+    assert fetcher.packed == {digest: items[CONTENT_KEY_PREFIX + digest]}
+    assert fetcher.read(digest) == content
 
 
 def test_a_source_of_blocks_is_replaced_whoever_asks_for_the_requests() -> None:
-    """Guards against a fetch that asks one member without end, as each Accept renews its request.
+    """Guards against a fetch that keeps asking one member that lacks the content.
 
-    A repeated Accept has requests sent without the sources that a tick names.
+    Each repeated Accept sends requests without the list of other sources that a tick passes, and
+    so renewed the request to the same member.
     """
-    alive, sink = ContentStore({}), ContentStore({})
+    alive, fetcher = ContentStore({}), ContentStore({})
     digest, _ = alive.add(b"content")
     rng = random.Random(1)
-    sink.fetch(digest, "lacks it")
-    asked = [source for source, _ in sink.requests(0, rng, [["alive"]])]
+    fetcher.fetch(digest, "lacks it")
+    asked = [source for source, _ in fetcher.requests(0, rng, [["alive"]])]
     for now in range(S // 5, 2 * S, S // 5):
-        asked += [source for source, _ in sink.requests(now, rng)]
-        asked += [source for source, _ in sink.requests(now + S // 20, rng, [["alive"]])]
+        asked += [source for source, _ in fetcher.requests(now, rng)]
+        asked += [source for source, _ in fetcher.requests(now + S // 20, rng, [["alive"]])]
     assert asked[0] == "lacks it"
     assert set(asked[1:]) == {"alive"}
 
 
 def test_a_content_is_fetched_though_the_source_of_its_first_block_died() -> None:
-    """Guards against a fetch that waits for the packing of a member that is gone."""
+    """Guards against a fetch that waits for the rest of the packed form of a dead member.
+
+    Members may pack the same content differently, so the blocks of two of them don't fit together.
+    """
     content = random.Random(3).randbytes(4 * BLOCK_SIZE).hex().encode()
-    gone, alive, sink = ContentStore({}), ContentStore({}), ContentStore({})
+    dead, alive, fetcher = ContentStore({}), ContentStore({}), ContentStore({})
     digest, _ = alive.add(content)
-    gone.packed[digest] = zlib.compress(content, 0)
-    assert len(gone.packed[digest]) != len(alive.packed[digest])
+    dead.packed[digest] = zlib.compress(content, 0)
+    assert len(dead.packed[digest]) != len(alive.packed[digest])
     rng = random.Random(1)
-    sink.fetch(digest, "gone")
-    [(_, first)] = sink.requests(0, rng, [["alive"]])
+    fetcher.fetch(digest, "dead")
+    [(_, first)] = fetcher.requests(0, rng, [["alive"]])
     assert isinstance(first, BlockRequest)
-    block = gone.answer_block(first, 0)
+    block = dead.answer_block(first, 0)
     assert block is not None
-    sink.take_block(block)
+    fetcher.take_block(block)
     for now in range(S, 11 * S, S // 10):
-        for source, request in sink.requests(now, rng, [["alive"]]):
+        for source, request in fetcher.requests(now, rng, [["alive"]]):
             assert isinstance(request, BlockRequest)
             answer = alive.answer_block(request, now) if source == "alive" else None
             if answer is not None:
-                sink.take_block(answer)
-    assert sink.has(digest)
-    assert sink.read(digest) == content
+                fetcher.take_block(answer)
+    assert fetcher.has(digest)
+    assert fetcher.read(digest) == content
 
 
 def test_a_content_with_another_digest_is_rejected() -> None:
-    source, sink = ContentStore({}), ContentStore({})
+    source, fetcher = ContentStore({}), ContentStore({})
     digest, _ = source.add(b"x" * 10)
     other = ContentStore({})
-    wrong, kept = other.add(b"another")
-    packed = kept[CONTENT_KEY_PREFIX + wrong]
-    sink.fetch(digest, "a")
-    assert sink.take_block(Block(digest, 0, len(packed), packed)) == NO_ARRIVAL
-    assert sink.corrupt_count == 1
-    assert not sink.has(digest)
-    assert sink.take_block(Block(digest, 0, 1 << 40, b"")) == NO_ARRIVAL
+    wrong, items = other.add(b"another")
+    packed = items[CONTENT_KEY_PREFIX + wrong]
+    fetcher.fetch(digest, "a")
+    assert fetcher.take_block(Block(digest, 0, len(packed), packed)) == NO_ARRIVAL
+    assert fetcher.corrupt_count == 1
+    assert not fetcher.has(digest)
+    assert fetcher.take_block(Block(digest, 0, 1 << 40, b"")) == NO_ARRIVAL
     never_asked_for = Block(wrong, 0, len(packed), packed)
-    assert sink.take_block(never_asked_for) == NO_ARRIVAL
+    assert fetcher.take_block(never_asked_for) == NO_ARRIVAL
     assert source.answer_block(BlockRequest(digest, 7), 0) is None
     assert source.answer_block(BlockRequest(digest, 1 << 40), 0) is None
 
 
 def test_a_state_of_ten_thousand_nodes_is_a_content() -> None:
     nodes = {f"p/n{i}": {"address": f"10.0.{i // 250}.{i % 250}:80"} for i in range(10_000)}
-    source, sink = ContentStore({}), ContentStore({})
-    digest, kept = source.add(repr(nodes).encode())
-    sink.fetch(digest, "a")
+    source, fetcher = ContentStore({}), ContentStore({})
+    digest, items = source.add(repr(nodes).encode())
+    fetcher.fetch(digest, "a")
     now, sent = 0, 0
-    while not sink.has(digest):
+    while not fetcher.has(digest):
         now += 1000
-        for _, request in sink.requests(now, random.Random(1), [["a"]]):
+        for _, request in fetcher.requests(now, random.Random(1), [["a"]]):
             assert isinstance(request, BlockRequest)
             block = source.answer_block(request, now)
             assert block is not None
             sent += 1
-            sink.take_block(block)
-    assert sent == -(-len(kept[CONTENT_KEY_PREFIX + digest]) // BLOCK_SIZE)
+            fetcher.take_block(block)
+    assert sent == -(-len(items[CONTENT_KEY_PREFIX + digest]) // BLOCK_SIZE)
 
 
 # --- Leases
@@ -380,17 +384,17 @@
     st.integers(0, 5 * S),
 )
 def test_a_lease_expires_before_its_voters_report_it(
-    rate: float, other: float, seconds: int, out: int, back: int
+    rate: float, voter_rate: float, seconds: int, request_delay: int, reply_delay: int
 ) -> None:
     length = seconds * S
     lease, grants = Lease(length, 1), GrantTable(length, 0)
     number = lease.request(int(100 * S * rate))
-    grants.record("m", int((100 * S + out) * other))
+    grants.record("m", int((100 * S + request_delay) * voter_rate))
     lease.on_grant("v", number)
-    over = lease.expires_at() / rate  # in true time
-    assert not grants.has_expired("m", int(over * other) - 1000)
+    expiry = lease.expires_at() / rate  # in true time
+    assert not grants.has_expired("m", int(expiry * voter_rate) - 1000)
     assert lease.expires_at() < int((100 * S + length * 1.01) * rate)
-    assert back >= 0
+    assert reply_delay >= 0
 
 
 def test_a_lease_needs_a_majority_and_counts_from_the_request() -> None:
@@ -433,7 +437,7 @@
         Disk(tmp_path).load()
 
 
-# --- The file
+# --- The operator file
 
 
 TIER = {
@@ -442,7 +446,7 @@
     "voters": ["g1"],
     "members": [{"name": "g1", "address": "127.0.0.1:7001"}],
 }
-MORE = {"name": "g2", "address": "127.0.0.1:7002"}
+SECOND_MEMBER = {"name": "g2", "address": "127.0.0.1:7002"}
 
 
 @pytest.mark.parametrize(
@@ -450,9 +454,15 @@
     [
         ({"voters": ["g1", "g3"]}, "tier.voters[1]: no member is called 'g3'"),
         ({"voters": ["g1", "g1", "g1"]}, "tier.voters[1]: 'g1' is there already"),
-        ({"members": [*TIER["members"], MORE], "voters": ["g1", "g2"]}, "tier.voters: 2 of them"),
-        ({"members": [MORE], "voters": ["g2"]}, "tier.members: this gateway, 'g1', is not"),
-        ({"members": [*TIER["members"], {**MORE, "name": "g1"}]}, "tier.members[1].name"),
+        (
+            {"members": [*TIER["members"], SECOND_MEMBER], "voters": ["g1", "g2"]},
+            "tier.voters: 2 of them",
+        ),
+        (
+            {"members": [SECOND_MEMBER], "voters": ["g2"]},
+            "tier.members: this gateway, 'g1', is not",
+        ),
+        ({"members": [*TIER["members"], {**SECOND_MEMBER, "name": "g1"}]}, "tier.members[1].name"),
         ({"lease": "500ms"}, "tier.lease: 500ms is not between 1s and half"),
         ({"lease": "8s"}, "tier.lease: 8s is not between"),
         ({"agree_within": "soon"}, "tier.agree_within: not a duration"),
@@ -500,24 +510,22 @@
     assert ("active", "stale") in result.results
 
 
-class _AcceptsOlder(Acceptor):
+class _ForgetsPromises(Acceptor):
     def accept(self, message: Accept) -> tuple[Accepted, bool]:
         self.vote = type(self.vote)(Ballot(0, "", 0), self.vote.accepted, self.vote.stamp)
         return super().accept(message)
 
 
-class _NotSynced(Explorer):
+class _UnsyncedVotes(Explorer):
     syncs_votes = False
 
 
-class _Older(Explorer):
-    acceptor_type = _AcceptsOlder
+class _ForgottenPromises(Explorer):
+    acceptor_type = _ForgetsPromises
 
 
-@pytest.mark.parametrize(("explorer", "crashes"), [(_Older, 0), (_NotSynced, 1)])
-def test_the_explorer_finds_what_breaks_the_sequence(
-    explorer: type[Explorer], crashes: int
-) -> None:
+@pytest.mark.parametrize(("explorer", "crashes"), [(_ForgottenPromises, 0), (_UnsyncedVotes, 1)])
+def test_the_explorer_detects_a_lost_update(explorer: type[Explorer], crashes: int) -> None:
     with pytest.raises(LostUpdateError):
         explorer().explore(crashes=crashes)
 
@@ -531,16 +539,16 @@
     )
 
 
-def _play(at: Round, voters: dict[str, Acceptor], answering: str) -> None:
-    """Play a round in which only these voters receive and answer."""
+def _run_round(attempt: Round, voters: dict[str, Acceptor], answering: str) -> None:
+    """Run a round in which only these voters receive and answer."""
     for _ in range(2):
-        for name, message in at.unanswered():
+        for name, message in attempt.unanswered():
             if name not in answering:
                 continue
             if isinstance(message, Prepare):
-                at.on_promise(name, voters[name].prepare(message.ballot)[0])
+                attempt.on_promise(name, voters[name].prepare(message.ballot)[0])
             elif isinstance(message, Accept):
-                at.on_accepted(name, voters[name].accept(message)[0])
+                attempt.on_accepted(name, voters[name].accept(message)[0])
 
 
 @pytest.mark.parametrize(("write", "revision"), [(True, 1), (False, 2)])
@@ -550,24 +558,26 @@
     for voter in voters.values():
         voter.mode = VoterMode.VOTING
     first, leave = _register_state(1, "first"), _register_state(2, "leave")
-    _play(
-        Round(Ballot(1, "a", 0), names, lambda now: Transition(first, ProposalResult.ACTIVE)),
+    _run_round(
+        Round(Ballot(1, "a", 0), names, lambda current: Transition(first, ProposalResult.ACTIVE)),
         voters,
         names,
     )
-    # The member that leaves is killed once a single voter has accepted its leave.
-    old = Round(Ballot(2, "e", 0), names, lambda now: Transition(leave, ProposalResult.ACTIVE))
+    # The leaving member is killed once a single voter has accepted its leave.
+    leaving = Round(
+        Ballot(2, "e", 0), names, lambda current: Transition(leave, ProposalResult.ACTIVE)
+    )
     for name in "abc":
-        old.on_promise(name, voters[name].prepare(old.ballot)[0])
-    voters["c"].accept(Accept(old.ballot, leave, {}))
+        leaving.on_promise(name, voters[name].prepare(leaving.ballot)[0])
+    voters["c"].accept(Accept(leaving.ballot, leave, {}))
     reading = Round(Ballot(3, "e", 1), names, read, write)
-    _play(reading, voters, "abd")
+    _run_round(reading, voters, "abd")
     assert reading.chosen is not None
     assert reading.chosen.state == first
-    after = Round(Ballot(4, "b", 0), names, read)
-    _play(after, voters, "cde")
-    assert after.transition is not None
-    assert after.transition.state.revision == revision
+    later = Round(Ballot(4, "b", 0), names, read)
+    _run_round(later, voters, "cde")
+    assert later.transition is not None
+    assert later.transition.state.revision == revision
 
 
 # --- The configuration
@@ -579,10 +589,10 @@
     st.lists(st.tuples(st.integers(0, 2), st.integers(1, 2), st.sets(st.integers(0, 40)))),
 )
 def test_a_lease_has_expired_if_a_majority_of_voters_report_it_at_that_revision(
-    inside: set[int], out: set[int], reports: list[tuple[int, int, set[int]]]
+    members: set[int], evicted: set[int], reports: list[tuple[int, int, set[int]]]
 ) -> None:
     configuration = Configuration(
-        tuple(f"g{i}" for i in inside), tuple(f"g{i}" for i in out - inside)
+        tuple(f"g{i}" for i in members), tuple(f"g{i}" for i in evicted - members)
     )
     index = ConfigurationIndex(configuration)
     expiry_reports = LeaseExpiryReports(2)
@@ -595,7 +605,9 @@
     assert list(index.names) == sorted({*configuration.members, *configuration.evicted})
     for name in index.names:
         for revision in (1, 2):
-            reporting = sum(at == revision and name in names for at, names in latest.values())
+            reporting = sum(
+                reported == revision and name in names for reported, names in latest.values()
+            )
             assert expiry_reports.is_expired(index.positions[name], revision) == (reporting >= 2)
 
 
