--- a/sailhitch/tier/block_fetcher.py
+++ b/sailhitch/tier/block_fetcher.py
@@ -1,6 +1,6 @@
-"""Fetches undivided contents by digest in blocks.
+"""Fetches blobs by digest, in blocks.
 
-These are configurations, traffic policies, and states of earlier versions.
+Blobs are configurations, traffic policies, and states of earlier versions.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 MAX_BLOCKS_IN_FLIGHT: Final = 16  # of one content
 BLOCK_TIMEOUT: Final = 150_000  # us until a block is requested again
-MAX_CONTENT_BYTES: Final = 64 << 20  # the state of ten thousand nodes takes 1.5 MB
+MAX_CONTENT_BYTES: Final = 64 << 20  # the state of 10,000 nodes takes 1.5 MB
 
 
 def digest_of(content: bytes) -> str:
-    """Return the digest of an undivided content."""
+    """Return the digest of a blob."""
     return hashlib.sha256(content).hexdigest()
 
 
 def unpack(packed: bytes) -> bytes:
-    """Return a content from its packed form.
+    """Return the decompressed content.
 
-    Raises ValueError if it is too large or cut short, and zlib.error.
+    Raises ValueError if it is too large or truncated, and zlib.error if it is corrupt.
     """
-    unpacker = zlib.decompressobj()
-    content = unpacker.decompress(packed, MAX_CONTENT_BYTES)
-    if unpacker.unconsumed_tail or not unpacker.eof:
-        raise ValueError("a content that is too large, or cut short")
+    decompressor = zlib.decompressobj()
+    content = decompressor.decompress(packed, MAX_CONTENT_BYTES)
+    if decompressor.unconsumed_tail or not decompressor.eof:
+        raise ValueError("content is too large or truncated")
     return content
 
 
@@ -43,21 +43,21 @@
 
     def __init__(self, source: str) -> None:
         self.source = source
-        self.source_was_replaced = False  # since the first block that counts
-        self.started_at: int | None = None  # when it was first requested
-        self.total: int | None = None
-        self.blocks: dict[int, bytes] = {}
-        self.requested_at: dict[int, int] = {}  # when, by offset
+        self.source_was_replaced = False  # since the last start or restart
+        self.started_at: int | None = None  # time of the first request
+        self.total: int | None = None  # compressed length
+        self.blocks: dict[int, bytes] = {}  # by offset
+        self.requested_at: dict[int, int] = {}  # by offset of a block that has not arrived
 
     def restart(self, total: int) -> None:
-        """Start over with a packed form of another length."""
+        """Start over with another compressed length."""
         self.total = total
         self.blocks.clear()
         self.requested_at.clear()
         self.source_was_replaced = False
 
     def next_offsets(self, now: int) -> Iterable[int]:
-        """Yield the offsets to request; the first block shows how many there are."""
+        """Yield the offsets to request; the first block tells the total length."""
         offsets = (0,) if self.total is None else range(0, self.total, BLOCK_SIZE)
         in_flight = sum(now - time < BLOCK_TIMEOUT for time in self.requested_at.values())
         for offset in offsets:
@@ -73,28 +73,28 @@
         return any(now - time >= BLOCK_TIMEOUT for time in self.requested_at.values())
 
     def join_blocks(self) -> bytes:
-        """Return the packed content."""
+        """Return the compressed content."""
         return b"".join(self.blocks[offset] for offset in sorted(self.blocks))
 
 
 class BlockFetcher:
-    """Contents that are missing, and the requests in flight for them."""
+    """The missing blobs and the requests in flight for them."""
 
     def __init__(self, budget: TokenBucket) -> None:
         self._budget = budget
         self._fetches: dict[str, _ContentFetch] = {}
         self._fallback_sources: Sequence[str] = ()
-        self.corrupt_count = 0  # complete contents that had another digest
+        self.corrupt_count = 0  # complete contents that did not match their digest
 
     def __len__(self) -> int:
         return len(self._fetches)
 
     def oldest(self) -> FetchStatus | None:
-        """Return the fetch that has taken longest, None where nothing was requested yet."""
+        """Return the longest-running fetch; None if nothing has been requested yet."""
         return oldest_fetch(self._fetches)
 
     def add(self, digest: str, source: str) -> None:
-        """Fetch a content from a member that has it, or had it."""
+        """Start to fetch a content from a member that has it, or had it."""
         if digest not in self._fetches:
             self._fetches[digest] = _ContentFetch(source)
 
@@ -133,14 +133,15 @@
         return requests
 
     def take(self, block: Block) -> bytes | None:
-        """Take a block; return the packed content once it is complete and verified."""
+        """Process a block; return the compressed content once it is complete and verified."""
         fetch = self._fetches.get(block.digest)
         if fetch is None or not 0 < block.total <= MAX_CONTENT_BYTES or block.offset % BLOCK_SIZE:
             return None
         if fetch.total is None:
             fetch.total = block.total
         elif fetch.total != block.total and fetch.source_was_replaced:
-            # Members may pack a content differently, and the one that sent the first block is late.
+            # Members may compress a content differently. The blocks so far are from another source,
+            # which has timed out.
             fetch.restart(block.total)
         size = min(BLOCK_SIZE, fetch.total - block.offset)
         if block.total != fetch.total or len(block.data) != size:
--- a/sailhitch/tier/content_exchange.py
+++ b/sailhitch/tier/content_exchange.py
@@ -1,4 +1,4 @@
-"""A member's contents: serves them, fetches them, and retains those still referenced."""
+"""Serves a member's contents to others, fetches missing ones, and removes unreferenced ones."""
 
 from __future__ import annotations
 
@@ -14,17 +14,19 @@
 from .page_sources import IsAlive
 from .voter import content_digests
 
-MAX_AWAITED_CONTENTS: Final = 24  # retained for pending votes, whether they are chosen or not
-# Revisions whose contents stay until the process has applied a later one.
+# Contents retained because a vote waited for them, whether or not their state gets chosen.
+MAX_AWAITED_CONTENTS: Final = 24
+# Revisions whose contents are retained until the process has applied a later one.
 MAX_UNCONFIRMED_REVISIONS: Final = 16
-MAX_CONFIRMED_SOURCES: Final = 16  # members that have confirmed, from which contents are requested
-MAX_OTHER_SOURCES: Final = 4  # members beside them, confirmed or not
+# Members that confirmed the state, from which contents are requested.
+MAX_CONFIRMED_SOURCES: Final = 16
+MAX_OTHER_SOURCES: Final = 4  # additional members, whether or not they confirmed it
 
 ContentMessage = BlockRequest | Block | PageRequest | PageReply
 
 
 class ContentExchange:
-    """Owns the content store and its fetches. Effects go to the member's outbox."""
+    """Owns the content store. Messages and disk writes go to the member's outbox."""
 
     def __init__(
         self,
@@ -37,15 +39,15 @@
         self.store = ContentStore.from_disk(kept, now, is_alive)
         self._outbox = outbox
         self._rng = rng
-        self._job_references: Counter[str] = Counter()  # by digest: the jobs that need it
+        self._job_references: Counter[str] = Counter()  # by digest: how many jobs need it
         self._awaited_by_votes: deque[str] = deque(maxlen=MAX_AWAITED_CONTENTS)  # digests
-        # Digests by revision: of the one that the process applies, and of those requested since.
+        # Digests by revision: the one that the process has applied, and those requested since.
         self._applied_contents: dict[int, tuple[str, ...]] = {}
 
     # --- Retention
 
     def offer(self, content: bytes | Tree) -> str:
-        """Add a content that a job needs; raises ValueError for a tree that lacks pages."""
+        """Add a content that a job needs; raises ValueError for a tree with missing pages."""
         digest, persisted = self.store.add(content)
         if persisted:
             self._outbox.persist(dict(persisted))
@@ -61,15 +63,15 @@
     def retain_for_apply(self, state: RegisterState) -> None:
         """Retain the contents of a state that the process is requested to apply.
 
-        Those that it applies until then stay too: it compares the two, and may be requested to
-        apply others before it has.
+        The contents that it has applied are retained too: it compares the two states, and it may be
+        requested to apply yet another one before it is done.
         """
         self._applied_contents[state.revision] = content_digests(state)
         if len(self._applied_contents) > MAX_UNCONFIRMED_REVISIONS:
             del self._applied_contents[sorted(self._applied_contents)[1]]
 
     def release_before(self, revision: int) -> None:
-        """Release the contents of earlier revisions than the one that the process has applied."""
+        """Release the contents of revisions before the one that the process has applied."""
         for earlier in [applied for applied in self._applied_contents if applied < revision]:
             del self._applied_contents[earlier]
 
@@ -83,9 +85,9 @@
         return digests
 
     def retain_only(self, known: RegisterState, accepted: RegisterState | None) -> None:
-        """Remove contents that no member can request any more.
+        """Remove the contents that no member can request any more.
 
-        `known` is the latest state, and `accepted` the one that this member has voted for.
+        `known` is the latest state, and `accepted` the one that this member's voter accepted.
         """
         removed = self.store.retain_only(self._referenced_digests(known, accepted))
         if removed:
@@ -94,28 +96,28 @@
     # --- Fetching
 
     def fetch(self, state: RegisterState, source: str) -> None:
-        """Fetch the contents of a state; `source` most likely has them."""
+        """Fetch the contents of a state; `source` is the member most likely to have them."""
         for digest in content_digests(state):
             self.store.fetch(digest, source)
 
     def fetch_for_vote(self, state: RegisterState, source: str) -> None:
-        """Fetch the contents of a state that a vote waits for."""
+        """Fetch the contents of a state before this member's voter can accept it."""
         self._awaited_by_votes.extend(content_digests(state))
         self.fetch(state, source)
 
     def fetch_latest(
         self, known: RegisterState, accepted: RegisterState | None, source: str
     ) -> None:
-        """Fetch the contents of a state that has just become known, and no older one's."""
+        """Fetch the contents of a newly known state, and cancel the fetches of older states."""
         self.store.fetch_only(self._referenced_digests(known, accepted))
         self.fetch(known, source)
 
     def has(self, state: RegisterState) -> bool:
-        """Return whether all contents of a state are here."""
+        """Return whether all contents of a state are stored."""
         return self.store.has(*content_digests(state))
 
     def send_requests(self, now: int, sources: Callable[[], list[list[str]]] | None = None) -> None:
-        """Send the requests due now; `sources` returns members that may have what is missing."""
+        """Send the requests due now; `sources` returns members that may have the contents."""
         if self.store.is_fetching:
             others = None if sources is None else sources()
             self._outbox.send_all(self.store.requests(now, self._rng, others))
@@ -127,7 +129,7 @@
     # --- Messages
 
     def on_message(self, sender: str, message: ContentMessage, now: int) -> bool:
-        """Answer a request or take a reply; return whether a fetched content is complete now."""
+        """Answer a request or process a reply; return whether it completed a fetched content."""
         if isinstance(message, BlockRequest):
             block = self.store.answer_block(message, now)
             if block is not None:
@@ -142,7 +144,7 @@
         return False
 
     def _on_arrival(self, arrival: Arrival, now: int) -> bool:
-        # The next requests do not depend on what has arrived, so they need not wait for the disk.
+        # The next requests do not depend on the received data, so they need not wait for the disk.
         self.send_requests(now)
         if arrival.persisted:
             self._outbox.persist(dict(arrival.persisted))
--- a/sailhitch/tier/content_store.py
+++ b/sailhitch/tier/content_store.py
@@ -1,16 +1,17 @@
-"""Stores contents by digest, packed: undivided ones, and trees of pages fetched from other members.
-
-A digest with the prefix `tree:` names the tree whose root page has the digest after it; any other
-is the SHA-256 of an undivided content.
-
-The byte budget: a gateway may spend 22 KB a second for control as the mean of a day. A change of
-one of 150,000 tenants brings up to 16 KB of pages: 1,500 changes a day are 24 MB, or 1.3% of that
-mean. A new member fetches the complete state, about 1.5 MB, within 60 s: 25 KB a second at least.
-`BYTES_PER_SECOND` is 2.6 times that, as datagrams get lost and a source may be busy: 23 s for the
-state. It is 2.9 times the daily mean, and a new member's 1.5 MB are 0.1% of the 1.9 GB that this
-mean makes in a day. Replies have as much: a member serves one new member, or four members with one
-change each, in a second. With `BURST_BYTES` beyond that, a change passes from each member that has
-it to eight others at once.
+"""Stores contents by digest, compressed, and fetches missing ones from other members.
+
+A content is either a blob, stored in one piece, or a tree of pages. A digest with the prefix
+`tree:` is that of a tree, followed by the digest of its root page; any other is the SHA-256 of a
+blob.
+
+The byte budget: a gateway may spend 22 KB/s on control traffic, averaged over a day. A change to
+one of 150,000 tenants transfers up to 16 KB of pages, so 1,500 changes a day are 24 MB, or 1.3% of
+that average. A new member has to fetch the complete state, about 1.5 MB, within 60 s, which takes
+at least 25 KB/s. `BYTES_PER_SECOND` is 2.6 times that, because datagrams get lost and a source may
+be busy: the state takes 23 s. It is 2.9 times the daily average, and a new member's 1.5 MB are 0.1%
+of the 1.9 GB that this average allows in a day. Replies have a budget of the same size: per second,
+a member serves one new member, or four members with one change each. `BURST_BYTES` on top of it
+lets each member that has a change send it to eight others at once.
 """
 
 from __future__ import annotations
@@ -51,20 +52,20 @@
 TREE_PREFIX: Final = "tree:"
 _TREE = re.compile(f"{TREE_PREFIX}([0-9a-f]{{64}})")
 CONTENT_KEY_PREFIX = "content/"
-PAGE_KEY_PREFIX = "page/"  # prefixes of names on disk, before a digest
-BYTES_PER_SECOND: Final = 64 << 10  # of requested blocks, and as much of those sent
-BURST_BYTES: Final = 128 << 10  # beyond that rate at once
-MAX_REPLY_BYTES: Final = 1100  # of blocks; with its envelope and seal within 1,200
-MAX_STORED_PAGE_BYTES: Final = 64 << 20  # packed; beyond it no page is requested
+PAGE_KEY_PREFIX = "page/"  # prefixes of disk item names, before a digest
+BYTES_PER_SECOND: Final = 64 << 10  # of requested blocks, and the same again of sent blocks
+BURST_BYTES: Final = 128 << 10  # may exceed that rate at once
+MAX_REPLY_BYTES: Final = 1100  # of blocks; with its envelope and tag a reply stays within 1,200
+MAX_STORED_PAGE_BYTES: Final = 64 << 20  # compressed; above it no page is requested
 
 
 def tree_digest(root: str) -> str:
-    """Return the digest of the tree whose root page has this one."""
+    """Return the digest of the tree whose root page has the digest `root`."""
     return TREE_PREFIX + root
 
 
 def root_of(digest: str) -> str | None:
-    """Return the digest of a tree's root page; None for an undivided content's digest."""
+    """Return the digest of a tree's root page; None for the digest of a blob."""
     match = _TREE.fullmatch(digest)
     return None if match is None else match[1]
 
@@ -74,17 +75,17 @@
 
 
 class Arrival(NamedTuple):
-    """The effect of a reply."""
+    """The result of processing a reply."""
 
-    persisted: dict[str, bytes]  # what must be on disk before any message depends on it
-    is_complete: bool  # whether a content that was being fetched is complete now
+    persisted: dict[str, bytes]  # disk items to write before any message depends on them
+    is_complete: bool  # whether the reply completed a content that was being fetched
 
 
 NO_ARRIVAL: Final = Arrival({}, False)
 
 
 class ContentStore:
-    """The contents that are here and those being fetched. Times in microseconds."""
+    """The stored contents and those being fetched. Times are in microseconds."""
 
     def __init__(
         self,
@@ -93,9 +94,9 @@
         now: int = 0,
         is_alive: IsAlive = assume_alive,
     ) -> None:
-        """Create a store of these packed contents and pages, by digest.
+        """Create a store of these compressed blobs and pages, by digest.
 
-        Pages are requested last of members that `is_alive` declares dead.
+        Members for which `is_alive` returns False are the last to be asked for pages.
         """
         self.packed = dict(contents)
         self._pages = PageStore(pages or {})
@@ -109,19 +110,19 @@
     def from_disk(
         cls, kept: Mapping[str, bytes], now: int, is_alive: IsAlive = assume_alive
     ) -> ContentStore:
-        """Return the store with the contents on a disk; other names are ignored."""
+        """Return a store with the contents among these disk items; other items are ignored."""
         contents = _strip_prefix(kept, CONTENT_KEY_PREFIX)
         return cls(contents, _strip_prefix(kept, PAGE_KEY_PREFIX), now, is_alive)
 
     @property
     def corrupt_count(self) -> int:
-        """Contents and pages that arrived and had another digest."""
+        """Number of contents and pages received whose data did not match their digest."""
         return self._block_fetcher.corrupt_count + self._page_fetcher.corrupt_count
 
-    # --- Contents that are here
+    # --- Stored contents
 
     def has(self, *digests: str) -> bool:
-        """Return whether all of these are here, trees with all of their pages."""
+        """Return whether all of these are stored, trees with all of their pages."""
         return all(self._has_content(digest) for digest in digests)
 
     def _has_content(self, digest: str) -> bool:
@@ -129,18 +130,21 @@
         return digest in self.packed if root is None else self._pages.is_complete(root)
 
     def read(self, digest: str) -> bytes:
-        """Return an undivided content; raises KeyError."""
+        """Return a blob; raises KeyError."""
         return unpack(self.packed[digest])
 
     def page(self, digest: str) -> bytes:
-        """Return a raw page by its plain digest, as `pages.PageSource`; raises KeyError."""
+        """Return an uncompressed page by its own digest (implements `pages.PageSource`).
+
+        Raises KeyError if the page is not stored.
+        """
         return self._pages.page(digest)
 
     def add(self, content: bytes | Tree) -> tuple[str, dict[str, bytes]]:
-        """Add a content; return its digest, and what must be on disk for it.
+        """Add a content; return its digest and the disk items to write for it.
 
-        An updated tree has only its new pages. Raises ValueError where others are not here, or a
-        page is malformed; nothing is added then.
+        An updated tree contains only its new pages. Raises ValueError if any of its other pages is
+        not stored, or if a page is malformed; nothing is added in that case.
         """
         if isinstance(content, Tree):
             return tree_digest(content.root), self._add_tree(content)
@@ -160,24 +164,27 @@
         return persisted
 
     def _children_of_new(self, tree: Tree) -> dict[str, tuple[str, ...]]:
-        """Return the pages of a tree that are not here, with their children; raises ValueError."""
+        """Return the digests of a tree's pages that are not stored, each with its children.
+
+        Raises ValueError if the tree does not contain one of them.
+        """
         children: dict[str, tuple[str, ...]] = {}
-        waiting = [tree.root]
-        while waiting:
-            digest = waiting.pop()
+        stack = [tree.root]
+        while stack:
+            digest = stack.pop()
             if digest in children or self._pages.is_complete(digest):
                 continue
             if digest in self._pages:
-                waiting += self._pages.children(digest)
+                stack += self._pages.children(digest)
                 continue
             if digest not in tree.pages:
-                raise ValueError(f"tree {tree.root}: its page {digest} is neither new nor here")
+                raise ValueError(f"tree {tree.root}: page {digest} is neither new nor stored")
             children[digest] = child_digests(tree.pages[digest])
-            waiting += children[digest]
+            stack += children[digest]
         return children
 
     def retain_only(self, digests: Collection[str]) -> list[str]:
-        """Remove all other contents, and fetch no others; return the removed names on disk."""
+        """Remove all other contents and cancel their fetches; return the disk items to delete."""
         retained = set(digests)
         removed = [digest for digest in self.packed if digest not in retained]
         for digest in removed:
@@ -191,11 +198,11 @@
 
     @property
     def is_fetching(self) -> bool:
-        """Whether a content that is not here is being fetched."""
+        """Whether any content is being fetched."""
         return bool(len(self._block_fetcher) or len(self._page_fetcher))
 
     def oldest_fetch(self) -> FetchStatus | None:
-        """Return the fetch that has taken longest, None where nothing was requested yet."""
+        """Return the longest-running fetch; None if nothing has been requested yet."""
         statuses = [self._block_fetcher.oldest(), self._page_fetcher.oldest()]
         started = [status for status in statuses if status is not None]
         if not started:
@@ -204,7 +211,7 @@
         return oldest._replace(fetch_count=sum(status.fetch_count for status in started))
 
     def fetch(self, digest: str, source: str) -> None:
-        """Fetch a content; `source` most likely has it."""
+        """Start to fetch a content; `source` is the member most likely to have it."""
         root = root_of(digest)
         if root is None:
             if digest not in self.packed:
@@ -216,26 +223,28 @@
         if root not in self._wanted_roots:
             self._page_fetcher.prefer(source)
             self._wanted_roots.add(root)
-            self._page_fetcher.add(self._pages.lacking(root))
+            self._page_fetcher.add(self._pages.missing_pages(root))
 
     def add_source(self, name: str) -> None:
-        """Prefer a member that is known to have the contents being fetched."""
+        """Prefer a member that is known to have the trees being fetched."""
         self._page_fetcher.add_source(name)
 
     def fetch_only(self, digests: Collection[str]) -> None:
-        """Cancel the fetches of all others; their pages that arrived stay until `keep_only`."""
+        """Cancel all other fetches; their pages received so far stay until `retain_only`."""
         self._block_fetcher.retain_only(digests)
         self._wanted_roots &= _tree_roots(digests)
-        lacking = {page for root in self._wanted_roots for page in self._pages.lacking(root)}
-        self._page_fetcher.retain_only(lacking)
+        missing_pages = {
+            page for root in self._wanted_roots for page in self._pages.missing_pages(root)
+        }
+        self._page_fetcher.retain_only(missing_pages)
 
     def requests(
         self, now: int, rng: random.Random, others: Sequence[Sequence[str]] | None = None
     ) -> list[tuple[str, BlockRequest | PageRequest]]:
         """Return the requests to send now, each with its addressee.
 
-        `others` are members that may have what is missing, the most likely rank first; None: those
-        of the call before.
+        `others` are groups of members that may have the missing contents, the most likely group
+        first. None keeps those of the previous call.
         """
         if others is not None:
             self._page_fetcher.set_fallback_sources(others)
@@ -247,7 +256,7 @@
         return requests
 
     def take_block(self, block: Block) -> Arrival:
-        """Take a block of an undivided content."""
+        """Process a received block of a blob."""
         packed = self._block_fetcher.take(block)
         if packed is None:
             return NO_ARRIVAL
@@ -255,12 +264,12 @@
         return Arrival({CONTENT_KEY_PREFIX + block.digest: packed}, True)
 
     def take_pages(self, sender: str, reply: PageReply, now: int) -> Arrival:
-        """Take blocks of pages."""
+        """Process received blocks of pages."""
         persisted = {}
         for page in self._page_fetcher.take(sender, reply, now):
             self._pages.insert(page.digest, page.packed, page.children)
             for child in page.children:
-                self._page_fetcher.add(self._pages.lacking(child))
+                self._page_fetcher.add(self._pages.missing_pages(child))
             persisted[PAGE_KEY_PREFIX + page.digest] = page.packed
         complete = {root for root in self._wanted_roots if self._pages.is_complete(root)}
         self._wanted_roots -= complete
@@ -269,7 +278,7 @@
     # --- Replies to others' requests
 
     def answer_block(self, request: BlockRequest, now: int) -> Block | None:
-        """Return a block of an undivided content that is here, if the budget has room."""
+        """Return a block of a stored blob, if the reply budget allows it."""
         packed = self.packed.get(request.digest)
         offset = request.offset
         if packed is None or not 0 <= offset < len(packed) or offset % BLOCK_SIZE:
@@ -280,9 +289,9 @@
         return Block(request.digest, offset, len(packed), data)
 
     def answer_pages(self, request: PageRequest, now: int) -> list[PageReply]:
-        """Return blocks of pages that are here, several small ones in a reply.
+        """Return the requested blocks of pages, several small ones in a reply.
 
-        Pages are refused that are not here, or for which the budget has no room.
+        Pages that are not stored, or that the reply budget does not allow, are refused.
         """
         blocks = []
         refused = []
@@ -296,7 +305,7 @@
         return [*replies, PageReply([], refused)] if refused else replies
 
     def _blocks(self, packed: bytes, page_range: PageRange, now: int) -> Iterator[PageBlock]:
-        """Yield the requested blocks as far as they exist and the budget has room."""
+        """Yield the requested blocks that exist, as far as the reply budget allows."""
         start = page_range.offset
         total = len(packed)
         if start < 0 or start % BLOCK_SIZE:
@@ -310,7 +319,7 @@
 
 
 def _group_by_datagram(blocks: Iterable[PageBlock]) -> Iterator[list[PageBlock]]:
-    """Yield blocks in groups that fit into a datagram each."""
+    """Yield the blocks in groups, each of which fits into a datagram."""
     group: list[PageBlock] = []
     size = 0
     for block in blocks:
@@ -326,7 +335,7 @@
 
 
 def _strip_prefix(kept: Mapping[str, bytes], prefix: str) -> dict[str, bytes]:
-    """Return the values whose names on disk have a prefix, by the rest of the name."""
+    """Return the disk items whose names have a prefix, by the rest of the name."""
     return {
         name.removeprefix(prefix): value for name, value in kept.items() if name.startswith(prefix)
     }
--- a/sailhitch/tier/fetch_status.py
+++ b/sailhitch/tier/fetch_status.py
@@ -1,4 +1,4 @@
-"""What a member is fetching and for how long, for operators."""
+"""Reports to operators what a member is fetching and for how long."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class FetchStatus(NamedTuple):
-    """The fetch of a content or a page that has taken longest."""
+    """The longest-running fetch of a content or a page."""
 
     digest: str
-    source: str  # the member that it was requested of last
-    started_at: int  # us, when it was first requested
-    fetch_count: int  # of all contents and pages that are being fetched
+    source: str  # the member that it was last requested from
+    started_at: int  # time of the first request in us
+    fetch_count: int  # number of all contents and pages being fetched
 
 
 class Fetch(Protocol):
@@ -21,15 +21,15 @@
 
     @property
     def source(self) -> str:
-        """Return the member that it was requested of last."""
+        """Return the member that it was last requested from."""
 
     @property
     def started_at(self) -> int | None:
-        """Return when (us) it was first requested; None if it was not yet."""
+        """Return the time of the first request in us; None if there was none yet."""
 
 
 def oldest_fetch(fetches: Mapping[str, Fetch]) -> FetchStatus | None:
-    """Return the fetch, by digest, that has taken longest; None where nothing was requested yet."""
+    """Return the longest-running of these fetches; None if nothing has been requested yet."""
     statuses = [
         FetchStatus(digest, fetch.source, fetch.started_at, len(fetches))
         for digest, fetch in fetches.items()
--- a/sailhitch/tier/page_fetch.py
+++ b/sailhitch/tier/page_fetch.py
@@ -1,4 +1,4 @@
-"""One page that is being fetched in blocks from one source at a time."""
+"""The state of one page's fetch, in blocks and from one source at a time."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from ..pages import MAX_PAGE_BYTES
 from .messages import PageBlock
 
-BLOCK_SIZE: Final = 1024  # bytes; a block and its seal fit any path's datagrams
-INITIAL_BLOCKS: Final = 4  # requested before a page's length is known; most pages are no longer
-MAX_BLOCKS_PER_RANGE: Final = 16  # of a page, in flight at a time
-# zlib adds five bytes to each stored block of 16 KB and eleven to the whole.
+BLOCK_SIZE: Final = 1024  # bytes; a block with its envelope and tag fits any path's MTU
+INITIAL_BLOCKS: Final = 4  # requested before a page's length is known; most pages are not longer
+MAX_BLOCKS_PER_RANGE: Final = 16  # also the maximum in flight per page
+# For incompressible data, zlib adds 5 bytes per stored block of 16 KB, and 11 bytes in total.
 MAX_PACKED_PAGE_BYTES: Final = MAX_PAGE_BYTES + MAX_PAGE_BYTES // 1000 + 64
 
 
 class PageFetch:
-    """The blocks of a page received so far, and the sources that were tried before."""
+    """The blocks of a page received so far, and the sources tried before."""
 
     def __init__(self, timeout: int) -> None:
         self.tried_sources: set[str] = set()
-        self.late_sources: set[str] = set()  # of those tried, whose reply may still come
-        self.started_at: int | None = None  # when the page was first requested
+        self.late_sources: set[str] = set()  # of the tried ones, those whose reply may still come
+        self.started_at: int | None = None  # time of the first request
         self.timeouts: Counter[str] = Counter()  # by source, since the last `forget_sources`
         self.begin("", timeout)
 
     def begin(self, source: str, timeout: int) -> None:
-        """Start over with a source; `timeout` is for its replies, in microseconds."""
+        """Start over with a source; `timeout` is that of its replies in microseconds."""
         self.source = source
         self.timeout = timeout
         self.total: int | None = None
@@ -36,7 +36,7 @@
         self.unanswered_requests = 0  # in a row
 
     def forget_sources(self) -> None:
-        """Forget which sources were tried, before all of them are tried again."""
+        """Forget which sources were tried, so that all of them are tried again."""
         self.tried_sources.clear()
         self.late_sources.clear()
         self.timeouts.clear()
@@ -46,7 +46,7 @@
         return any(now - time >= self.timeout for time in self.requested_at.values())
 
     def next_ranges(self, now: int) -> Iterator[tuple[int, int]]:
-        """Yield runs of blocks that were not requested or are overdue, as offset and count."""
+        """Yield ranges of blocks that are not yet requested or are overdue, as offset and count."""
         if self.total is None:
             if now - self.requested_at.get(0, -self.timeout) >= self.timeout:
                 yield 0, INITIAL_BLOCKS
@@ -81,7 +81,7 @@
         return len(block.data) == min(BLOCK_SIZE, block.total - block.offset)
 
     def set_total(self, total: int) -> int:
-        """Set the page's length; return how many requested blocks lie beyond it."""
+        """Set the compressed length; return how many requested blocks lie beyond it."""
         self.total = total
         beyond = [offset for offset in self.requested_at if offset >= total]
         for offset in beyond:
@@ -93,5 +93,5 @@
         return self.total is not None and len(self.blocks) * BLOCK_SIZE >= self.total
 
     def join_blocks(self) -> bytes:
-        """Return the packed page."""
+        """Return the compressed page."""
         return b"".join(self.blocks[offset] for offset in sorted(self.blocks))
--- a/sailhitch/tier/page_fetcher.py
+++ b/sailhitch/tier/page_fetcher.py
@@ -1,7 +1,7 @@
-"""Fetches pages by digest: many at a time, from several sources, each verified on arrival.
+"""Fetches pages by digest: many concurrently, from several sources, each verified on arrival.
 
-A page comes from one source at a time, as two sources may pack it differently. A source that does
-not answer, refuses, or sends something else than the page is replaced by another one.
+A page is fetched from one source at a time, because two sources may compress it differently. A
+source that does not answer, refuses, or sends data other than the page is replaced by another one.
 """
 
 from __future__ import annotations
@@ -27,19 +27,20 @@
     "PageFetcher",
 ]
 
-BLOCK_HEADER: Final = 48  # bytes that a block takes beside its data
+BLOCK_HEADER: Final = 48  # bytes that a block takes in addition to its data
 MAX_RANGES_PER_REQUEST: Final = 16
 MAX_PAGES_IN_FLIGHT: Final = 64
-MAX_UNANSWERED_REQUESTS: Final = 2  # in a row, after which the source of a partial page is replaced
-# Of one page at a preferred source, before the page is requested of all other sources.
+# Consecutive unanswered requests after which the source of a partially received page is replaced.
+MAX_UNANSWERED_REQUESTS: Final = 2
+# Time-outs of one page at a preferred source before only other sources are asked for the page.
 MAX_TIMEOUTS_PER_SOURCE: Final = 8
 RETRY_DELAY: Final = 400_000  # us after all sources were tried
 REFUSALS_BEFORE_DELAY: Final = 4
-REFUSAL_DELAY: Final = RETRY_DELAY // 4  # us; pages spread among the members meanwhile
+REFUSAL_DELAY: Final = RETRY_DELAY // 4  # us, in which the page may reach more members
 
 
 class FetchedPage(NamedTuple):
-    """A page that was verified."""
+    """A complete and verified page."""
 
     digest: str
     packed: bytes
@@ -47,38 +48,38 @@
 
 
 class PageFetcher:
-    """Pages that are missing, and the requests in flight for them."""
+    """The missing pages and the requests in flight for them."""
 
     def __init__(self, budget: TokenBucket, is_alive: IsAlive = assume_alive) -> None:
         self._budget = budget
         self._queued: dict[str, PageFetch] = {}  # to be started, in this order
-        self._delayed: dict[str, tuple[int, PageFetch]] = {}  # with the time until when
+        self._delayed: dict[str, tuple[int, PageFetch]] = {}  # with the time when to queue it
         self._in_flight: dict[str, PageFetch] = {}
         self._sources = PageSources(is_alive)
-        self.corrupt_count = 0  # replies that were not of the requested page
+        self.corrupt_count = 0  # replies with data other than the requested page
 
     def __len__(self) -> int:
         return len(self._queued) + len(self._delayed) + len(self._in_flight)
 
     def oldest(self) -> FetchStatus | None:
-        """Return the fetch that has taken longest, None where nothing was requested yet."""
+        """Return the longest-running fetch; None if nothing has been requested yet."""
         delayed = {digest: fetch for digest, (_, fetch) in self._delayed.items()}
         return oldest_fetch({**self._queued, **delayed, **self._in_flight})
 
     def prefer(self, name: str) -> None:
-        """Prefer the member that announced a new tree; older sources may not have it."""
+        """Prefer only the member that announced a new tree; earlier sources may not have it."""
         self._sources.prefer_only(name)
 
     def add_source(self, name: str) -> None:
-        """Prefer a member, beside others, that announced a tree or sent a page of one."""
+        """Also prefer a member that announced a tree or sent a page of one."""
         self._sources.prefer(name)
 
     def set_fallback_sources(self, ranks: Sequence[Sequence[str]]) -> None:
-        """Set the members to ask after those that announced a tree, the most likely rank first."""
+        """Set the members to ask after the preferred ones: groups, the most likely first."""
         self._sources.set_fallback(ranks)
 
     def add(self, digests: Iterable[str]) -> None:
-        """Fetch these pages too."""
+        """Queue these pages, unless they are being fetched already."""
         for digest in digests:
             if digest not in self._in_flight and digest not in self._delayed:
                 self._queued.setdefault(digest, PageFetch(MAX_TIMEOUT))
@@ -101,18 +102,18 @@
         """Return the requests to send now, each with its addressee."""
         ranges: dict[str, list[PageRange]] = {}
         for digest, fetch in list(self._in_flight.items()):
-            self._continue(digest, fetch, now, ranges)
+            self._continue_fetch(digest, fetch, now, ranges)
         due = [digest for digest, (until, _) in self._delayed.items() if now >= until]
         for digest in due:
             self._queued[digest] = self._delayed.pop(digest)[1]
-        self._start_queued(now, rng, ranges)
+        self._start_fetches(now, rng, ranges)
         return [
             (source, PageRequest(requested[start : start + MAX_RANGES_PER_REQUEST]))
             for source, requested in ranges.items()
             for start in range(0, len(requested), MAX_RANGES_PER_REQUEST)
         ]
 
-    def _continue(
+    def _continue_fetch(
         self, digest: str, fetch: PageFetch, now: int, ranges: dict[str, list[PageRange]]
     ) -> None:
         """Request the next blocks of a page, or replace a source that does not answer."""
@@ -123,7 +124,7 @@
         elif self._request_blocks(digest, fetch, now, ranges) and timed_out:
             fetch.unanswered_requests += 1
 
-    def _start_queued(
+    def _start_fetches(
         self, now: int, rng: random.Random, ranges: dict[str, list[PageRange]]
     ) -> None:
         while self._queued and len(self._in_flight) < MAX_PAGES_IN_FLIGHT:
@@ -145,7 +146,7 @@
     def _request_blocks(
         self, digest: str, fetch: PageFetch, now: int, ranges: dict[str, list[PageRange]]
     ) -> bool:
-        """Add a page's next ranges; return whether the budget had room for all of them."""
+        """Add a page's next ranges; return whether the budget allowed all of them."""
         raw_digest = bytes.fromhex(digest)
         for offset, count in fetch.next_ranges(now):
             if not self._budget.take(count * BLOCK_SIZE, now):
@@ -158,7 +159,7 @@
     # --- Replies
 
     def take(self, sender: str, reply: PageReply, now: int) -> list[FetchedPage]:
-        """Take a reply; return the pages that are complete by it."""
+        """Process a reply; return the pages that it completed."""
         self._sources.on_reply(sender)
         for raw_digest in reply.refused:
             fetch = self._in_flight.get(raw_digest.hex())
@@ -180,7 +181,7 @@
         if fetch.source != sender:
             if sender not in fetch.late_sources or fetch.blocks:
                 return None
-            # It was late, and is the first to answer all the same.
+            # The sender timed out, but nothing has arrived from its replacement yet.
             fetch.late_sources.discard(sender)
             fetch.late_sources.add(fetch.source)
             fetch.begin(sender, self._sources.timeout_of(sender))
@@ -199,7 +200,7 @@
         return self._finish(digest, fetch) if fetch.is_complete() else None
 
     def _finish(self, digest: str, fetch: PageFetch) -> FetchedPage | None:
-        """Return a page whose blocks have all arrived, if it has the right digest."""
+        """Return a page whose blocks have all arrived, if it matches its digest."""
         packed = fetch.join_blocks()
         try:
             raw = decompress(packed, MAX_PAGE_BYTES)
@@ -219,17 +220,18 @@
         self._requeue(digest, fetch)
 
     def _on_refusal(self, digest: str, fetch: PageFetch, now: int) -> None:
-        """Replace a source that does not have the page yet, or has no room for it now."""
+        """Replace a source that does not have the page yet, or whose reply budget is used up."""
         self._requeue(digest, fetch)
         if len(fetch.tried_sources) % REFUSALS_BEFORE_DELAY == 0:
             del self._queued[digest]
             self._delayed[digest] = now + REFUSAL_DELAY, fetch
 
     def _on_timeout(self, digest: str, fetch: PageFetch, now: int) -> None:
-        """Replace a source that did not answer in time; its reply may still come.
+        """Replace a source that did not answer in time; its reply may still arrive.
 
-        A preferred source most likely has the page, so a lost datagram does not rule it out. But it
-        counts as tried after a few time-outs: the others are tried again only once all were.
+        A preferred source most likely has the page, so one lost datagram does not rule it out.
+        After a few time-outs it counts as tried, too: no source is tried again before all of them
+        count as tried.
         """
         source = fetch.source
         self._sources.on_timeout(source, now)
@@ -241,7 +243,7 @@
             fetch.tried_sources.discard(source)
 
     def _requeue(self, digest: str, fetch: PageFetch) -> None:
-        """Have a page fetched from another source."""
+        """Queue a page in order to fetch it from another source."""
         del self._in_flight[digest]
         fetch.tried_sources.add(fetch.source)
         self._queued[digest] = fetch
--- a/sailhitch/tier/page_sources.py
+++ b/sailhitch/tier/page_sources.py
@@ -1,4 +1,4 @@
-"""The members that pages are fetched from: which to ask next, and how long to wait for it."""
+"""Selects the members from which pages are fetched, and the time-outs of requests to them."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from collections.abc import Callable, Collection, Sequence
 from typing import Final, NamedTuple
 
-# Of a request: so many round trips of its source; the maximum where none is known.
+# A request's time-out in round trips of its source; without a measured one, `MAX_TIMEOUT` applies.
 TIMEOUT_ROUND_TRIPS: Final = 3
 MIN_TIMEOUT: Final = 90_000  # us
 MAX_TIMEOUT: Final = 250_000  # us
-# A source that did not answer is asked after the others for this time. It doubles with each
-# time-out in a row: one datagram may be lost, several mean that the source is down.
+# How long a source that did not answer is only asked after all others. It doubles with each
+# consecutive time-out: one datagram may get lost, but several mean that the source is down.
 MIN_BACKOFF: Final = 200_000  # us
 MAX_BACKOFF: Final = 6_400_000  # us
 MAX_PREFERRED_SOURCES: Final = 16
 
 IsAlive = Callable[[str], bool]
-"""Returns whether a member is not declared dead."""
+"""Returns False for a member that is declared dead."""
 
 
 def assume_alive(name: str) -> bool:
-    """Return True, where nothing tells which members are dead."""
+    """Return True; used where it is not known which members are dead."""
     return True
 
 
@@ -31,17 +31,17 @@
 
 
 class PageSources:
-    """Sources by how likely they have a page; times in microseconds."""
+    """Sources, ranked by how likely they have a page. Times are in microseconds."""
 
     def __init__(self, is_alive: IsAlive = assume_alive) -> None:
         self._is_alive = is_alive
-        self._preferred: dict[str, None] = {}  # the one that proved itself last is the last
+        self._preferred: dict[str, None] = {}  # in order of the latest announcement or page sent
         self._fallback_ranks: Sequence[Sequence[str]] = ()
         self._backoffs: dict[str, _Backoff] = {}
         self._round_trips: dict[str, int] = {}  # smoothed as in RFC 6298
 
     def prefer_only(self, name: str) -> None:
-        """Prefer the member that announced a new tree; older sources may not have it."""
+        """Prefer only the member that announced a new tree; earlier sources may not have it."""
         self._preferred = {name: None}
 
     def prefer(self, name: str) -> None:
@@ -52,20 +52,21 @@
             del self._preferred[next(iter(self._preferred))]
 
     def may_repeat(self, name: str) -> bool:
-        """Return whether a source that has timed out is worth another request of the same page.
+        """Return whether to request the same page again from a source that has timed out.
 
-        It is where it has announced a tree or sent a page lately, and is not declared dead.
+        This is so if it has recently announced a tree or sent a page, and is not declared dead.
         """
         return name in self._preferred and self._is_alive(name)
 
     def set_fallback(self, ranks: Sequence[Sequence[str]]) -> None:
-        """Set the members to ask after the preferred ones, the most likely rank first."""
+        """Set the members to ask after the preferred ones: groups, the most likely first."""
         self._fallback_ranks = ranks
 
     def select(self, tried: Collection[str], now: int, rng: random.Random) -> str | None:
-        """Return an untried source of the first rank that has one.
+        """Return a random untried source of the first group that has one.
 
-        Those in backoff come after the others, and those declared dead come last.
+        Sources in backoff come after all others, and preferred ones that are declared dead come
+        last.
         """
         alive = [name for name in self._preferred if self._is_alive(name)]
         dead = [name for name in self._preferred if name not in alive and name not in tried]
@@ -77,7 +78,7 @@
         for names in (*available, *untried, dead):
             if names:
                 source = rng.choice(names)
-                self._extend_backoff(source, now)  # one page shows whether it is back
+                self._extend_backoff(source, now)  # one request is enough to probe the source
                 return source
         return None
 
@@ -94,11 +95,11 @@
         self._backoffs.pop(source, None)
 
     def on_timeout(self, source: str, now: int) -> None:
-        """Begin a source's backoff, unless it is in one."""
+        """Begin a source's backoff, unless it has one."""
         self._backoffs.setdefault(source, _Backoff(now + MIN_BACKOFF, MIN_BACKOFF))
 
     def on_corrupt(self, source: str) -> None:
-        """Prefer a source no longer that sent something else than the page."""
+        """Stop preferring a source that sent data other than the page."""
         self._preferred.pop(source, None)
 
     def record_round_trip(self, source: str, round_trip: int) -> None:
--- a/sailhitch/tier/page_store.py
+++ b/sailhitch/tier/page_store.py
@@ -1,9 +1,9 @@
-"""Packed pages of trees, with their reference counts and whether their trees are complete.
+"""Compressed pages of trees, with their reference counts and whether they are complete.
 
-Pages are counted by their references (parents that are here, and pinned roots), as pages of several
-trees are the same; digests can't form a cycle. A page is complete once all its descendants are
-here. Both are updated page by page: no page is decoded twice, and the cost of a change depends on
-the pages that are added or removed, not on those that stay.
+Trees share pages, so pages are reference-counted; stored parents and pinned roots count as
+references, and digests can't form a cycle. A page is complete once all its descendants are stored.
+Both are updated page by page: no page is decoded twice, and the cost of a change depends on the
+pages that are added or removed, not on those that stay.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 
 class PageStore:
-    """Pages by digest; a `pages.PageSource`."""
+    """Pages by digest; implements `pages.PageSource`."""
 
     def __init__(self, packed: Mapping[str, bytes]) -> None:
         self._packed: dict[str, bytes] = {}
         self._children: dict[str, tuple[str, ...]] = {}
-        self._references: dict[str, int] = {}  # of pages that are here or lacking
-        self._unreferenced: set[str] = set()  # pages that are here
-        self._pinned: set[str] = set()
+        self._references: dict[str, int] = {}  # counts, of stored and of missing pages
+        self._unreferenced: set[str] = set()  # stored pages without references
+        self._pinned: set[str] = set()  # roots
         self._complete: set[str] = set()
-        self._incomplete_children: dict[str, int] = {}  # by page: how many
-        self._waiting_parents: dict[str, set[str]] = {}  # by child that is not complete
-        self.size = 0  # bytes of all packed pages
-        self._unreadable: list[str] = []
+        self._incomplete_children: dict[str, int] = {}  # counts, by parent
+        self._waiting_parents: dict[str, set[str]] = {}  # by incomplete child
+        self.size = 0  # bytes of all compressed pages
+        self._unreadable: list[str] = []  # not stored, but to be deleted from disk
         for digest, page in packed.items():
             try:
                 self.insert(digest, page, child_digests(decompress(page, MAX_PAGE_BYTES)))
@@ -37,30 +37,30 @@
         return digest in self._packed
 
     def is_complete(self, digest: str) -> bool:
-        """Return whether a page and all its descendants are here."""
+        """Return whether a page and all its descendants are stored."""
         return digest in self._complete
 
     def page(self, digest: str) -> bytes:
-        """Return a raw page; raises KeyError."""
+        """Return an uncompressed page; raises KeyError."""
         return decompress(self._packed[digest], MAX_PAGE_BYTES)
 
     def children(self, digest: str) -> tuple[str, ...]:
-        """Return the digests that a page contains; raises KeyError."""
+        """Return the digests of a page's children; raises KeyError."""
         return self._children[digest]
 
     def packed(self, digest: str) -> bytes | None:
-        """Return a page in its packed form, where it is here."""
+        """Return a compressed page; None if it is not stored."""
         return self._packed.get(digest)
 
-    def lacking(self, root: str) -> Iterator[str]:
-        """Yield the missing pages below `root` whose parents are here, or the root itself.
+    def missing_pages(self, root: str) -> Iterator[str]:
+        """Yield the missing pages below `root` whose parents are stored, or the root itself.
 
-        The cost is that of the pages that are here and not complete.
+        The cost is proportional to the number of stored pages that are not complete.
         """
-        waiting = [root]
+        stack = [root]
         seen = {root}
-        while waiting:
-            digest = waiting.pop()
+        while stack:
+            digest = stack.pop()
             if digest in self._complete:
                 continue
             if digest not in self._packed:
@@ -69,12 +69,12 @@
             for child in self._children[digest]:
                 if child not in seen:
                     seen.add(child)
-                    waiting.append(child)
+                    stack.append(child)
 
     # --- Adding pages
 
     def insert(self, digest: str, packed: bytes, children: tuple[str, ...]) -> None:
-        """Add a verified page; `children` are the digests that it contains."""
+        """Add a verified page; `children` are the digests of its children."""
         if digest in self._packed:
             return
         self._packed[digest] = packed
@@ -93,27 +93,27 @@
             self._waiting_parents.setdefault(child, set()).add(digest)
 
     def _set_complete(self, digest: str) -> None:
-        """Mark a page as complete, and each ancestor that becomes so by it."""
-        complete = [digest]
-        while complete:
-            page = complete.pop()
+        """Mark a page as complete, and each ancestor that thereby becomes complete."""
+        newly_complete = [digest]
+        while newly_complete:
+            page = newly_complete.pop()
             self._complete.add(page)
             for parent in self._waiting_parents.pop(page, ()):
                 self._incomplete_children[parent] -= 1
                 if not self._incomplete_children[parent]:
                     del self._incomplete_children[parent]
-                    complete.append(parent)
+                    newly_complete.append(parent)
 
     # --- Removing pages
 
     def pin(self, root: str) -> None:
-        """Retain a tree, whether its pages are here or not yet."""
+        """Retain a tree, including its pages that are not stored yet."""
         if root not in self._pinned:
             self._pinned.add(root)
             self._add_reference(root)
 
     def retain_only(self, roots: Collection[str]) -> list[str]:
-        """Remove all pages that none of these trees reaches; return their digests."""
+        """Remove all pages that belong to none of these trees; return their digests."""
         for root in roots:
             self.pin(root)
         for root in self._pinned.difference(roots):
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -1,4 +1,4 @@
-"""Trees in the content store: how they are fetched, resumed and let go of, and within a budget."""
+"""Trees in the content store: fetching, resuming, removal, and the byte budget."""
 
 from __future__ import annotations
 
@@ -58,25 +58,25 @@
 from sailhitch.tier.wire import MAX_DATAGRAM_BYTES, Keys, Wire
 
 S = 1_000_000
-STEP = 10_000  # us between two rounds of questions
+STEP = 10_000  # us between two calls of `requests`
 Source = Callable[[PageRequest, int], list[PageReply]]
 Entries = dict[Key, bytes]
 
 
-def some_entries(count: int, size: int = 100, seed: int = 1) -> Entries:
-    """Entries of random values, which don't pack."""
+def random_entries(count: int, size: int = 100, seed: int = 1) -> Entries:
+    """Entries with random values, which can't be compressed."""
     rng = random.Random(seed)
     return {Key(f"group{i % 7}", f"name{i}"): rng.randbytes(size) for i in range(count)}
 
 
-def holding(*trees: Tree) -> ContentStore:
+def store_of(*trees: Tree) -> ContentStore:
     store = ContentStore({})
     for tree in trees:
         store.add(tree)
     return store
 
 
-def honest(store: ContentStore) -> Source:
+def answering(store: ContentStore) -> Source:
     return store.answer_pages
 
 
@@ -84,8 +84,8 @@
     return []
 
 
-class Play:
-    """A store that fetches from sources, and what was said meanwhile."""
+class FetchSimulation:
+    """Simulates a store that fetches from sources, and records requests and replies."""
 
     def __init__(
         self, sources: Mapping[str, Source], sink: ContentStore | None = None, seed: int = 1
@@ -93,46 +93,46 @@
         self.sources, self.sink = dict(sources), sink or ContentStore({})
         self.rng = random.Random(seed)
         self.now = 0
-        self.asked: list[tuple[int, str, PageRange]] = []
-        self.kept: list[dict[str, bytes]] = []  # what came to be on disk, step by step
-        self.received = 0  # bytes of sealed answers
-        self.came: list[tuple[int, int]] = []  # bytes of blocks, and when
-        self.loss = self.doubled = 0.0
+        self.requested: list[tuple[int, str, PageRange]] = []
+        self.written: list[dict[str, bytes]] = []  # disk items written, by reply
+        self.received_bytes = 0  # bytes of the replies' datagrams
+        self.received_sizes: list[tuple[int, int]] = []  # time and bytes of blocks, by reply
+        self.loss = self.duplicated = 0.0
         self._wires: dict[str, Wire] = {}
 
-    def want(self, digest: str, source: str) -> None:
+    def start_fetch(self, digest: str, source: str) -> None:
         self.sink.fetch(digest, source)
 
-    def run(self, digest: str, until: int = 60 * S, most_kept: int | None = None) -> bool:
-        """Go on until the tree is here, or until a time; whether it is."""
+    def run(self, digest: str, until: int = 60 * S, max_written: int | None = None) -> bool:
+        """Run until the tree is complete, or a limit is reached; return whether it is complete."""
         names = sorted(self.sources)
         while not self.sink.has(digest) and self.now < until:
-            if most_kept is not None and sum(map(len, self.kept)) >= most_kept:
+            if max_written is not None and sum(map(len, self.written)) >= max_written:
                 break
             self.now += STEP
             for to, request in self.sink.requests(self.now, self.rng, [names]):
                 assert isinstance(request, PageRequest)
-                self.asked += [(self.now, to, wanted) for wanted in request.ranges]
+                self.requested += [(self.now, to, wanted) for wanted in request.ranges]
                 if self.rng.random() >= self.loss:
                     self._answer(to, request)
         return self.sink.has(digest)
 
     def _answer(self, to: str, request: PageRequest) -> None:
         for reply in self.sources[to](request, self.now):
-            self.received += len(self._seal(to, reply))
-            self.came.append((self.now, sum(len(block.data) for block in reply.blocks)))
-            copies = 1 + (self.rng.random() < self.doubled)
+            self.received_bytes += len(self._seal(to, reply))
+            self.received_sizes.append((self.now, sum(len(block.data) for block in reply.blocks)))
+            copies = 1 + (self.rng.random() < self.duplicated)
             for _ in range(copies if self.rng.random() >= self.loss else 0):
                 arrival = self.sink.take_pages(to, reply, self.now)
                 if arrival.persisted:
-                    self.kept.append(arrival.persisted)
+                    self.written.append(arrival.persisted)
 
     def _seal(self, sender: str, message: Message) -> bytes:
         wire = self._wires.setdefault(sender, Wire(Keys(1, {1: b"k" * 32}), sender, 1 << 47))
         return wire.seal("a-gateway-of-a-region-17", message)
 
     def disk(self) -> dict[str, bytes]:
-        return {name: value for kept in self.kept for name, value in kept.items()}
+        return {name: value for written in self.written for name, value in written.items()}
 
 
 def entries_of(store: ContentStore, digest: str) -> Entries:
@@ -144,7 +144,7 @@
 # --- Digests
 
 
-def test_a_trees_digest_is_told_from_that_of_a_whole_content() -> None:
+def test_digests_of_trees_and_blobs_are_distinguished() -> None:
     root = "ab" * 32
     assert root_of(tree_digest(root)) == root
     assert root_of(root) is None
@@ -157,73 +157,75 @@
 
 @settings(max_examples=30)
 @given(st.integers(0, 300), st.integers(0, 1 << 30), st.floats(0, 0.4), st.floats(0, 0.5))
-def test_a_tree_is_fetched_whole_through_loss_and_doubling(
-    count: int, seed: int, loss: float, doubled: float
+def test_a_tree_is_fetched_completely_despite_loss_and_duplication(
+    count: int, seed: int, loss: float, duplicated: float
 ) -> None:
-    entries = some_entries(count, seed=seed)
+    entries = random_entries(count, seed=seed)
     tree = build(entries, 500)
-    play = Play({name: honest(holding(tree)) for name in ("a", "b", "c")}, seed=seed)
-    play.loss, play.doubled = loss, doubled
+    simulation = FetchSimulation(
+        {name: answering(store_of(tree)) for name in ("a", "b", "c")}, seed=seed
+    )
+    simulation.loss, simulation.duplicated = loss, duplicated
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert play.run(digest)
-    assert entries_of(play.sink, digest) == entries
-    assert play.disk() == {
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest)
+    assert entries_of(simulation.sink, digest) == entries
+    assert simulation.disk() == {
         PAGE_KEY_PREFIX + page: compress(raw) for page, raw in tree.pages.items()
     }
-    assert play.sink.corrupt_count == 0
+    assert simulation.sink.corrupt_count == 0
 
 
 def test_many_pages_are_fetched_at_a_time_and_from_several_sources() -> None:
-    tree = build(some_entries(400), 500)
-    play = Play({name: honest(holding(tree)) for name in "abcd"})
+    tree = build(random_entries(400), 500)
+    simulation = FetchSimulation({name: answering(store_of(tree)) for name in "abcd"})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
+    simulation.start_fetch(digest, "a")
     for source in "bcd":
-        play.sink.add_source(source)
-    assert play.run(digest, 2 * S)
-    by_source = [sum(to == name for _, to, _ in play.asked) for name in "abcd"]
+        simulation.sink.add_source(source)
+    assert simulation.run(digest, 2 * S)
+    by_source = [sum(to == name for _, to, _ in simulation.requested) for name in "abcd"]
     assert min(by_source) > len(tree.pages) / 8, by_source
-    # A round of questions and answers for each level, and not one for each page.
-    assert play.now <= 20 * STEP < len(tree.pages) * STEP / 10
+    # The number of round trips depends on the depth of the tree and not on its number of pages.
+    assert simulation.now <= 20 * STEP < len(tree.pages) * STEP / 10
 
 
-def test_pages_that_are_here_are_not_fetched_again() -> None:
-    entries = some_entries(8000)
+def test_stored_pages_are_not_fetched_again() -> None:
+    entries = random_entries(8000)
     old = build(entries)
-    new = update(holding(old), old.root, {Key("group3", "name3"): b"changed"})
-    play = Play({"a": honest(holding(old, new))}, sink=holding(old))
+    new = update(store_of(old), old.root, {Key("group3", "name3"): b"changed"})
+    simulation = FetchSimulation({"a": answering(store_of(old, new))}, sink=store_of(old))
     digest = tree_digest(new.root)
-    play.want(digest, "a")
-    assert play.run(digest)
-    assert {wanted.digest.hex() for _, _, wanted in play.asked} == {*new.pages}
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest)
+    assert {wanted.digest.hex() for _, _, wanted in simulation.requested} == {*new.pages}
     assert len(new.pages) < len(old.pages) / 10
 
 
-def test_one_weight_in_thousands_of_entries_brings_few_pages_and_bytes() -> None:
+def test_changing_one_of_thousands_of_entries_fetches_few_pages_and_bytes() -> None:
     entries = {
         Key(f"nodes/service{i % 280}", f"n{i}"): b'{"address":"10.0.0.1:80","weight":%d}' % i
         for i in range(16_000)
     }
     old = build(entries)
-    new = update(holding(old), old.root, {Key("nodes/service7", "n7"): b'{"weight":1}'})
-    play = Play({"a": honest(holding(old, new))}, sink=holding(old))
+    new = update(store_of(old), old.root, {Key("nodes/service7", "n7"): b'{"weight":1}'})
+    simulation = FetchSimulation({"a": answering(store_of(old, new))}, sink=store_of(old))
     digest = tree_digest(new.root)
-    play.want(digest, "a")
-    assert play.run(digest)
-    assert len(play.disk()) == len(new.pages) <= 6
-    assert play.received < 16 * 1024
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest)
+    assert len(simulation.disk()) == len(new.pages) <= 6
+    assert simulation.received_bytes < 16 * 1024
 
 
 def test_several_small_pages_share_a_datagram_and_none_is_large() -> None:
-    tree = build(some_entries(300, size=20), 60)
-    store = holding(tree)
+    tree = build(random_entries(300, size=20), 60)
+    store = store_of(tree)
     small = [bytes.fromhex(digest) for digest in tree.pages][: 2 * MAX_RANGES_PER_REQUEST]
     replies = store.answer_pages(PageRequest([PageRange(one, 0, 4) for one in small]), 0)
     blocks = [block for reply in replies for block in reply.blocks]
-    assert len(blocks) == MAX_RANGES_PER_REQUEST  # more than that is not looked at
+    assert len(blocks) == MAX_RANGES_PER_REQUEST  # further ranges are ignored
     assert len(replies) <= -(-len(blocks) * 150 // MAX_REPLY_BYTES)
-    large = holding(build({Key("g", "n"): random.Random(1).randbytes(100_000)}))
+    large = store_of(build({Key("g", "n"): random.Random(1).randbytes(100_000)}))
     [root] = [*build({Key("g", "n"): random.Random(1).randbytes(100_000)}).pages]
     replies += large.answer_pages(PageRequest([PageRange(bytes.fromhex(root), 0, 16)]), 0)
     wire = Wire(Keys(1, {1: b"k" * 32}), "a-gateway-of-a-region-16", 1 << 47)
@@ -233,10 +235,10 @@
     assert len(wire.seal("a-gateway-of-a-region-17", widest)) < 1200 < MAX_DATAGRAM_BYTES
 
 
-# --- What goes wrong
+# --- Faulty sources
 
 
-def _changed(change: Callable[[PageBlock], PageBlock]) -> Callable[[ContentStore], Source]:
+def _altering_blocks(change: Callable[[PageBlock], PageBlock]) -> Callable[[ContentStore], Source]:
     def make(store: ContentStore) -> Source:
         def answer(request: PageRequest, now: int) -> list[PageReply]:
             replies = store.answer_pages(request, now)
@@ -247,8 +249,8 @@
     return make
 
 
-def _whole(make: Callable[[bytes, bytes], bytes]) -> Callable[[ContentStore], Source]:
-    """Sends another packed page, whole and in one piece, made of its digest and packed form."""
+def _altering_pages(make: Callable[[bytes, bytes], bytes]) -> Callable[[ContentStore], Source]:
+    """Sources that send what `make` returns for the digest and the compressed form of a page."""
 
     def build(store: ContentStore) -> Source:
         def answer(request: PageRequest, now: int) -> list[PageReply]:
@@ -272,38 +274,40 @@
     return data[:-1] + bytes((data[-1] ^ 1,))
 
 
-OTHER = build(some_entries(3, seed=9))
-BOMB = zlib.compress(b"L" + b"\0" * (64 << 20), 9)  # 64 KB that unpack to 64 MB
-SPOILT: dict[str, Callable[[ContentStore], Source]] = {
-    "spoilt": _changed(lambda one: one._replace(data=_flipped(one.data))),
-    "block cut short": _changed(lambda one: one._replace(data=one.data[:-1])),
-    "page cut short": _whole(lambda digest, packed: packed[:-5]),
-    "other page": _whole(lambda digest, packed: compress(OTHER.pages[OTHER.root])),
-    "more after its end": _whole(lambda digest, packed: packed + b"x"),
-    "said to be larger than the bound": _changed(lambda one: one._replace(total=1 << 40)),
-    "unpacks to more than the bound": _whole(lambda digest, packed: BOMB),
-    "raw and larger than the bound": _whole(
+OTHER_TREE = build(random_entries(3, seed=9))
+BOMB = zlib.compress(b"L" + b"\0" * (64 << 20), 9)  # 64 KB that decompress to 64 MB
+CORRUPT_SOURCES: dict[str, Callable[[ContentStore], Source]] = {
+    "flipped bit": _altering_blocks(lambda one: one._replace(data=_flipped(one.data))),
+    "truncated block": _altering_blocks(lambda one: one._replace(data=one.data[:-1])),
+    "truncated page": _altering_pages(lambda digest, packed: packed[:-5]),
+    "other page": _altering_pages(
+        lambda digest, packed: compress(OTHER_TREE.pages[OTHER_TREE.root])
+    ),
+    "data after its end": _altering_pages(lambda digest, packed: packed + b"x"),
+    "total above the limit": _altering_blocks(lambda one: one._replace(total=1 << 40)),
+    "decompresses to more than the limit": _altering_pages(lambda digest, packed: BOMB),
+    "uncompressed size above the limit": _altering_pages(
         lambda digest, packed: compress(b"L" * (MAX_PAGE_BYTES + 1))
     ),
-    "empty": _changed(lambda one: one._replace(data=b"", total=0)),
-    "out of step": _changed(lambda one: one._replace(offset=one.offset + 1)),
-    "below its beginning": _changed(lambda one: one._replace(offset=-BLOCK_SIZE)),
+    "empty": _altering_blocks(lambda one: one._replace(data=b"", total=0)),
+    "unaligned offset": _altering_blocks(lambda one: one._replace(offset=one.offset + 1)),
+    "negative offset": _altering_blocks(lambda one: one._replace(offset=-BLOCK_SIZE)),
 }
 
 
-@pytest.mark.parametrize("how", SPOILT)
-def test_a_wrong_page_is_counted_thrown_away_and_asked_for_elsewhere(how: str) -> None:
-    entries = some_entries(100)
+@pytest.mark.parametrize("fault", CORRUPT_SOURCES)
+def test_a_corrupt_page_is_counted_discarded_and_requested_elsewhere(fault: str) -> None:
+    entries = random_entries(100)
     tree = build(entries, 500)
-    wrong = SPOILT[how](holding(tree))
+    wrong = CORRUPT_SOURCES[fault](store_of(tree))
     digest = tree_digest(tree.root)
-    alone = Play({"a": wrong})
-    alone.want(digest, "a")
+    alone = FetchSimulation({"a": wrong})
+    alone.start_fetch(digest, "a")
     assert not alone.run(digest, 5 * S)
     assert alone.disk() == {}
     assert alone.sink.corrupt_count > 0
-    both = Play({"a": wrong, "b": honest(holding(tree))})
-    both.want(digest, "a")
+    both = FetchSimulation({"a": wrong, "b": answering(store_of(tree))})
+    both.start_fetch(digest, "a")
     assert both.run(digest)
     assert both.sink.corrupt_count > 0
     assert entries_of(both.sink, digest) == entries
@@ -312,18 +316,20 @@
     }
 
 
-def test_a_malformed_page_of_the_right_digest_is_not_taken() -> None:
+def test_a_malformed_page_with_the_right_digest_is_discarded() -> None:
     raw = b"B\0\0\x80\1" + b"\0" * 44  # a branch with one child
     digest = tree_digest(page_digest(raw))
-    play = Play({"a": _whole(lambda name, packed: compress(raw))(holding(OTHER))})
-    play.sources["a"] = lambda request, now: [
+    simulation = FetchSimulation(
+        {"a": _altering_pages(lambda name, packed: compress(raw))(store_of(OTHER_TREE))}
+    )
+    simulation.sources["a"] = lambda request, now: [
         PageReply([PageBlock(r.digest, 0, len(compress(raw)), compress(raw))], [])
         for r in request.ranges
     ]
-    play.want(digest, "a")
-    assert not play.run(digest, 3 * S)
-    assert play.sink.corrupt_count > 0
-    assert play.disk() == {}
+    simulation.start_fetch(digest, "a")
+    assert not simulation.run(digest, 3 * S)
+    assert simulation.sink.corrupt_count > 0
+    assert simulation.disk() == {}
 
 
 def _refusing(request: PageRequest, now: int) -> list[PageReply]:
@@ -331,44 +337,46 @@
 
 
 @pytest.mark.parametrize("source", [silent, _refusing], ids=["silent", "refusing"])
-def test_a_source_that_sends_nothing_gives_way(source: Source) -> None:
-    tree = build(some_entries(100), 500)
-    play = Play({"a": source, "b": honest(holding(tree))})
+def test_a_source_that_sends_nothing_is_replaced(source: Source) -> None:
+    tree = build(random_entries(100), 500)
+    simulation = FetchSimulation({"a": source, "b": answering(store_of(tree))})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert play.run(digest, 5 * S)
-    assert play.sink.corrupt_count == 0
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest, 5 * S)
+    assert simulation.sink.corrupt_count == 0
 
 
 def test_a_source_that_has_the_pages_later_is_asked_again() -> None:
-    tree = build(some_entries(100), 500)
+    tree = build(random_entries(100), 500)
     late = ContentStore({})
-    play = Play({"a": honest(late)})
+    simulation = FetchSimulation({"a": answering(late)})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert not play.run(digest, 3 * S)
+    simulation.start_fetch(digest, "a")
+    assert not simulation.run(digest, 3 * S)
     late.add(tree)
-    assert play.run(digest, 5 * S)
+    assert simulation.run(digest, 5 * S)
 
 
-def test_a_source_that_dies_half_way_gives_way_and_nothing_is_fetched_twice() -> None:
-    tree = build(some_entries(600), 500)
-    play = Play({"a": honest(holding(tree)), "b": honest(holding(tree))})
+def test_a_source_that_dies_midway_is_replaced_and_nothing_is_fetched_twice() -> None:
+    tree = build(random_entries(600), 500)
+    simulation = FetchSimulation({"a": answering(store_of(tree)), "b": answering(store_of(tree))})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert not play.run(digest, most_kept=len(tree.pages) // 2)
-    here, before = {*play.disk()}, len(play.asked)
-    assert here
-    play.sources["a"] = silent
-    assert play.run(digest)
-    after = {PAGE_KEY_PREFIX + wanted.digest.hex() for _, _, wanted in play.asked[before:]}
-    assert not after & here
-    assert {*play.disk()} == {PAGE_KEY_PREFIX + page for page in tree.pages}
-
-
-def test_an_answer_from_whom_was_not_asked_is_not_taken() -> None:
-    tree = build(some_entries(3))
-    store, sink = holding(tree), ContentStore({})
+    simulation.start_fetch(digest, "a")
+    assert not simulation.run(digest, max_written=len(tree.pages) // 2)
+    stored, before = {*simulation.disk()}, len(simulation.requested)
+    assert stored
+    simulation.sources["a"] = silent
+    assert simulation.run(digest)
+    after = {
+        PAGE_KEY_PREFIX + wanted.digest.hex() for _, _, wanted in simulation.requested[before:]
+    }
+    assert not after & stored
+    assert {*simulation.disk()} == {PAGE_KEY_PREFIX + page for page in tree.pages}
+
+
+def test_a_reply_from_another_member_than_the_source_is_ignored() -> None:
+    tree = build(random_entries(3))
+    store, sink = store_of(tree), ContentStore({})
     sink.fetch(tree_digest(tree.root), "a")
     [(_, request)] = sink.requests(1, random.Random(1), [["a"]])
     assert isinstance(request, PageRequest)
@@ -378,9 +386,9 @@
     assert sink.take_pages("a", reply, 1).is_complete
 
 
-def test_an_answer_that_is_late_is_taken_where_no_other_has_come() -> None:
-    tree = build(some_entries(3))
-    store, sink, digest = holding(tree), ContentStore({}), tree_digest(tree.root)
+def test_a_late_reply_is_used_if_no_other_has_arrived() -> None:
+    tree = build(random_entries(3))
+    store, sink, digest = store_of(tree), ContentStore({}), tree_digest(tree.root)
     rng = random.Random(1)
     sink.fetch(digest, "a")
     [(first, request)] = sink.requests(1, rng, [["b"]])
@@ -391,58 +399,58 @@
     assert sink.take_pages("a", reply, 2 + MAX_TIMEOUT).is_complete
 
 
-def test_a_source_that_stays_silent_is_asked_ever_less() -> None:
-    tree = build(some_entries(2000), 500)
-    play = Play({"a": silent, "b": honest(holding(tree))})
+def test_a_silent_source_is_asked_less_and_less() -> None:
+    tree = build(random_entries(2000), 500)
+    simulation = FetchSimulation({"a": silent, "b": answering(store_of(tree))})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert play.run(digest)
-    asked = [at for at, to, _ in play.asked if to == "a"]
-    assert len({*asked}) < 10
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest)
+    requested = [at for at, to, _ in simulation.requested if to == "a"]
+    assert len({*requested}) < 10
 
 
 def test_a_source_that_was_silent_once_is_asked_again_though_a_preferred_one_is_dead() -> None:
-    """Guards against a fetch that asks a dead preferred source without end, and no other."""
-    tree = build(some_entries(20), 500)
+    """Guards against a fetch that keeps asking a dead preferred source, and no other one."""
+    tree = build(random_entries(20), 500)
     digest = tree_digest(tree.root)
-    play = Play({"dead": silent, "b": silent, "c": silent})
-    play.want(digest, "dead")
-    assert not play.run(digest, 3 * S)
-    play.sources["b"] = honest(holding(tree))
-    assert play.run(digest, 20 * S)
-
-
-def test_the_fetch_that_takes_longest_is_told_with_its_source() -> None:
-    """Guards against a fetch that never ends and that no operator can see."""
-    tree = build(some_entries(3))
-    play = Play({"a": silent})
-    assert play.sink.oldest_fetch() is None
-    play.want(tree_digest(tree.root), "a")
-    assert not play.run(tree_digest(tree.root), 3 * S)
-    assert play.sink.oldest_fetch() == FetchStatus(tree.root, "a", STEP, 1)
-    play.sources["a"] = honest(holding(tree))
-    assert play.run(tree_digest(tree.root))
-    assert play.sink.oldest_fetch() is None
-    play.want("ab" * 32, "a")  # an undivided content
-    assert len(play.sink.requests(play.now, play.rng, [["b"]])) == 1
-    play.sink.requests(play.now + S, play.rng, [["b"]])
-    assert play.sink.oldest_fetch() == FetchStatus("ab" * 32, "b", play.now, 1)
+    simulation = FetchSimulation({"dead": silent, "b": silent, "c": silent})
+    simulation.start_fetch(digest, "dead")
+    assert not simulation.run(digest, 3 * S)
+    simulation.sources["b"] = answering(store_of(tree))
+    assert simulation.run(digest, 20 * S)
+
+
+def test_the_longest_running_fetch_is_reported_with_its_source() -> None:
+    """Guards against a fetch that never ends without operators seeing it."""
+    tree = build(random_entries(3))
+    simulation = FetchSimulation({"a": silent})
+    assert simulation.sink.oldest_fetch() is None
+    simulation.start_fetch(tree_digest(tree.root), "a")
+    assert not simulation.run(tree_digest(tree.root), 3 * S)
+    assert simulation.sink.oldest_fetch() == FetchStatus(tree.root, "a", STEP, 1)
+    simulation.sources["a"] = answering(store_of(tree))
+    assert simulation.run(tree_digest(tree.root))
+    assert simulation.sink.oldest_fetch() is None
+    simulation.start_fetch("ab" * 32, "a")  # a blob
+    assert len(simulation.sink.requests(simulation.now, simulation.rng, [["b"]])) == 1
+    simulation.sink.requests(simulation.now + S, simulation.rng, [["b"]])
+    assert simulation.sink.oldest_fetch() == FetchStatus("ab" * 32, "b", simulation.now, 1)
 
 
 def test_a_source_that_is_declared_dead_is_asked_last_and_once() -> None:
-    """Guards against time-outs for each page at a proposer that is known to have died."""
-    digest = tree_digest(build(some_entries(3)).root)
+    """Guards against a time-out per page at a proposer that is known to be dead."""
+    digest = tree_digest(build(random_entries(3)).root)
     sink = ContentStore({}, is_alive=lambda name: name != "dead")
     rng = random.Random(1)
     sink.fetch(digest, "dead")
-    asked = []
+    requested = []
     for i in range(5):
-        asked += [to for to, _ in sink.requests(1 + i * MAX_TIMEOUT, rng, [["b"], ["c"]])]
-    assert asked == ["b", "c", "dead"]
+        requested += [to for to, _ in sink.requests(1 + i * MAX_TIMEOUT, rng, [["b"], ["c"]])]
+    assert requested == ["b", "c", "dead"]
 
 
 def _with_prefix(digits: str, count: int) -> list[str]:
-    """Names, chosen by trying, whose places in the tree begin alike."""
+    """Names found by brute force whose positions in the tree share a prefix."""
     names: list[str] = []
     i = 0
     while len(names) < count:
@@ -465,28 +473,28 @@
 def test_a_tree_of_chosen_names_is_fetched_as_any_other(names: list[str]) -> None:
     tree = build({Key("g", name): b"v" * 40 for name in names}, 50)
     assert all(len(child_digests(raw)) <= 4 for raw in tree.pages.values())
-    play = Play({"a": honest(holding(tree)), "b": honest(holding(tree))})
+    simulation = FetchSimulation({"a": answering(store_of(tree)), "b": answering(store_of(tree))})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert play.run(digest)
-    assert {*play.disk()} == {PAGE_KEY_PREFIX + page for page in tree.pages}
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest)
+    assert {*simulation.disk()} == {PAGE_KEY_PREFIX + page for page in tree.pages}
 
 
-def test_a_page_of_the_largest_size_is_fetched_and_found_by_its_blocks() -> None:
+def test_a_page_of_the_maximum_size_is_fetched_in_blocks() -> None:
     value = random.Random(1).randbytes(MAX_PAGE_BYTES - 20)
     tree = build({Key("g", "n"): value})
-    play = Play({"a": honest(holding(tree))})
+    simulation = FetchSimulation({"a": answering(store_of(tree))})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert play.run(digest)
-    assert entries_of(play.sink, digest) == {Key("g", "n"): value}
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest)
+    assert entries_of(simulation.sink, digest) == {Key("g", "n"): value}
 
 
-# --- What is whole
+# --- Complete trees
 
 
-def test_a_tree_with_a_leaf_lacking_is_not_here() -> None:
-    tree = build(some_entries(100), 500)
+def test_a_tree_with_a_missing_leaf_is_incomplete() -> None:
+    tree = build(random_entries(100), 500)
     leaves = [page for page, raw in tree.pages.items() if not child_digests(raw)]
     for leaf in (leaves[0], leaves[-1]):
         pages = {page: compress(raw) for page, raw in tree.pages.items() if page != leaf}
@@ -494,236 +502,246 @@
         assert not store.has(tree_digest(tree.root))
         with pytest.raises(KeyError):
             entries_of(store, tree_digest(tree.root))
-        play = Play({"a": honest(holding(tree))}, sink=store)
-        play.want(tree_digest(tree.root), "a")
-        assert play.run(tree_digest(tree.root))
-        assert {*play.disk()} == {PAGE_KEY_PREFIX + leaf}
+        simulation = FetchSimulation({"a": answering(store_of(tree))}, sink=store)
+        simulation.start_fetch(tree_digest(tree.root), "a")
+        assert simulation.run(tree_digest(tree.root))
+        assert {*simulation.disk()} == {PAGE_KEY_PREFIX + leaf}
 
 
 def test_an_updated_tree_needs_the_pages_that_it_shares() -> None:
-    old = build(some_entries(500), 500)
-    new = update(holding(old), old.root, {Key("group1", "name1"): b"changed"}, 500)
+    old = build(random_entries(500), 500)
+    new = update(store_of(old), old.root, {Key("group1", "name1"): b"changed"}, 500)
     empty = ContentStore({})
-    with pytest.raises(ValueError, match=f"tree {new.root}: its page .* is neither new nor here"):
+    with pytest.raises(ValueError, match=f"tree {new.root}: page .* is neither new nor stored"):
         empty.add(new)
-    assert empty.retain_only([]) == []  # nothing was put in
-    store = holding(old)
-    digest, kept = store.add(new)
-    assert kept == {PAGE_KEY_PREFIX + page: compress(raw) for page, raw in new.pages.items()}
+    assert empty.retain_only([]) == []  # nothing was added
+    store = store_of(old)
+    digest, written = store.add(new)
+    assert written == {PAGE_KEY_PREFIX + page: compress(raw) for page, raw in new.pages.items()}
     assert store.has(digest)
     assert entries_of(store, digest)[Key("group1", "name1")] == b"changed"
 
 
 def test_adding_a_tree_that_is_being_fetched_ends_the_fetch() -> None:
-    tree = build(some_entries(300), 500)
-    play = Play({"a": honest(holding(tree))})
+    tree = build(random_entries(300), 500)
+    simulation = FetchSimulation({"a": answering(store_of(tree))})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    play.run(digest, most_kept=5)
-    _, kept = play.sink.add(tree)
-    assert {*kept} == {PAGE_KEY_PREFIX + page for page in tree.pages} - {*play.disk()}
-    assert play.sink.has(digest)
-    assert not play.sink.is_fetching
+    simulation.start_fetch(digest, "a")
+    simulation.run(digest, max_written=5)
+    _, written = simulation.sink.add(tree)
+    assert {*written} == {PAGE_KEY_PREFIX + page for page in tree.pages} - {*simulation.disk()}
+    assert simulation.sink.has(digest)
+    assert not simulation.sink.is_fetching
 
 
-# --- What goes, and what stays
+# --- Removal and retention
 
 
-def _reached(pages: Mapping[str, bytes], roots: set[str]) -> set[str]:
-    reached: set[str] = set()
+def _reachable(pages: Mapping[str, bytes], roots: set[str]) -> set[str]:
+    reachable: set[str] = set()
     waiting = list(roots)
     while waiting:
         page = waiting.pop()
-        if page in pages and page not in reached:
-            reached.add(page)
+        if page in pages and page not in reachable:
+            reachable.add(page)
             waiting += child_digests(pages[page])
-    return reached
+    return reachable
 
 
 @settings(max_examples=60)
 @given(st.data())
-def test_after_any_history_what_is_here_and_whole_is_what_a_walk_finds(data: Any) -> None:
+def test_after_any_history_the_page_store_agrees_with_a_walk(data: Any) -> None:
     keys = [Key(f"g{i % 3}", f"n{i}") for i in range(12)]
-    versions, everything = [build(dict.fromkeys(keys, b"0" * 30), 80)], dict[str, bytes]()
-    everything.update(versions[0].pages)
-    source = holding(versions[0])
+    versions, all_pages = [build(dict.fromkeys(keys, b"0" * 30), 80)], dict[str, bytes]()
+    all_pages.update(versions[0].pages)
+    source = store_of(versions[0])
     for i in range(data.draw(st.integers(1, 5))):
         changed = data.draw(st.sets(st.sampled_from(keys), min_size=1, max_size=3))
         wanted = {key: data.draw(st.sampled_from([b"1" * 30, b"%d" % i, None])) for key in changed}
         tree = update(source, versions[-1].root, wanted, 80)
         source.add(tree)
         versions.append(tree)
-        everything.update(tree.pages)
+        all_pages.update(tree.pages)
     roots = [tree.root for tree in versions]
-    store, here = PageStore({}), set[str]()
+    store, stored = PageStore({}), set[str]()
     for _ in range(data.draw(st.integers(1, 25))):
         if data.draw(st.booleans()):
-            page = data.draw(st.sampled_from(sorted(everything)))
-            store.insert(page, compress(everything[page]), child_digests(everything[page]))
-            here.add(page)
+            page = data.draw(st.sampled_from(sorted(all_pages)))
+            store.insert(page, compress(all_pages[page]), child_digests(all_pages[page]))
+            stored.add(page)
         else:
-            kept = data.draw(st.sets(st.sampled_from(roots)))
-            reached = _reached({page: everything[page] for page in here}, kept)
-            assert {*store.retain_only(kept)} == here - reached
-            here = reached
-        pages = {page: everything[page] for page in here}
-        assert {page for page in everything if page in store} == here
+            retained_roots = data.draw(st.sets(st.sampled_from(roots)))
+            reachable = _reachable({page: all_pages[page] for page in stored}, retained_roots)
+            assert {*store.retain_only(retained_roots)} == stored - reachable
+            stored = reachable
+        pages = {page: all_pages[page] for page in stored}
+        assert {page for page in all_pages if page in store} == stored
         assert store.size == sum(len(compress(raw)) for raw in pages.values())
-        for page in everything:
-            is_complete = _reached(everything, {page}) <= here
+        for page in all_pages:
+            is_complete = _reachable(all_pages, {page}) <= stored
             assert store.is_complete(page) == is_complete
-            lacking = {*store.lacking(page)}
-            assert lacking == set() if is_complete else lacking and not lacking & here
+            missing_pages = {*store.missing_pages(page)}
+            assert (
+                missing_pages == set()
+                if is_complete
+                else missing_pages and not missing_pages & stored
+            )
 
 
 def test_pages_shared_with_a_version_that_stays_are_retained() -> None:
-    entries = some_entries(500)
+    entries = random_entries(500)
     one = build(entries, 500)
-    store = holding(one)
+    store = store_of(one)
     two = update(store, one.root, {Key("group1", "name1"): b"changed"}, 500)
     store.add(two)
     digests = tree_digest(one.root), tree_digest(two.root)
     assert store.retain_only(digests) == []
-    gone = store.retain_only([digests[1]])
-    assert {*gone} == {
-        PAGE_KEY_PREFIX + page for page in one.pages if page not in _all_of(store, two.root)
+    removed_items = store.retain_only([digests[1]])
+    assert {*removed_items} == {
+        PAGE_KEY_PREFIX + page for page in one.pages if page not in _pages_of(store, two.root)
     }
-    assert 0 < len(gone) < len(one.pages) / 10
+    assert 0 < len(removed_items) < len(one.pages) / 10
     assert not store.has(digests[0])
     assert entries_of(store, digests[1]) == entries | {Key("group1", "name1"): b"changed"}
-    rest = {PAGE_KEY_PREFIX + page for page in {**one.pages, **two.pages}} - {*gone}
+    rest = {PAGE_KEY_PREFIX + page for page in {**one.pages, **two.pages}} - {*removed_items}
     assert {*store.retain_only([])} == rest
 
 
-def _all_of(store: ContentStore, root: str) -> set[str]:
-    reached, waiting = set[str](), [root]
+def _pages_of(store: ContentStore, root: str) -> set[str]:
+    reachable, waiting = set[str](), [root]
     while waiting:
         page = waiting.pop()
-        reached.add(page)
+        reachable.add(page)
         waiting += child_digests(store.page(page))
-    return reached
+    return reachable
 
 
-def test_letting_go_of_one_of_two_versions_costs_what_goes(monkeypatch: pytest.MonkeyPatch) -> None:
-    one = build(some_entries(3000), 500)
-    store = holding(one)
+def test_the_cost_of_removing_a_version_depends_on_the_removed_pages(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    one = build(random_entries(3000), 500)
+    store = store_of(one)
     store.retain_only([tree_digest(one.root)])
     two = update(store, one.root, {Key("group1", "name1"): b"changed"}, 500)
     store.add(two)
-    removed, referred = list[str](), list[str]()
-    remove, refer = PageStore._remove, PageStore._add_reference
+    removed, added_references = list[str](), list[str]()
+    remove, add_reference = PageStore._remove, PageStore._add_reference
 
     def counted_remove(self: PageStore, digest: str) -> None:
         removed.append(digest)
         remove(self, digest)
 
-    def counted_refer(self: PageStore, digest: str) -> None:
-        referred.append(digest)
-        refer(self, digest)
+    def counted_add_reference(self: PageStore, digest: str) -> None:
+        added_references.append(digest)
+        add_reference(self, digest)
 
     monkeypatch.setattr(PageStore, "_remove", counted_remove)
-    monkeypatch.setattr(PageStore, "_add_reference", counted_refer)
+    monkeypatch.setattr(PageStore, "_add_reference", counted_add_reference)
     monkeypatch.setattr("sailhitch.tier.page_store.decompress", None)  # no page is decoded
     store.retain_only([tree_digest(two.root)])
     assert len(removed) == len(two.pages)
-    assert len(referred) == 1
+    assert len(added_references) == 1
 
 
-def test_a_version_withdrawn_while_its_pages_come_leaves_nothing() -> None:
-    one = build(some_entries(300), 500)
-    two = build(some_entries(300, seed=2), 500)
-    play = Play({"a": honest(holding(one, two))}, sink=holding(one))
+def test_a_version_withdrawn_during_its_fetch_leaves_no_pages() -> None:
+    one = build(random_entries(300), 500)
+    two = build(random_entries(300, seed=2), 500)
+    simulation = FetchSimulation({"a": answering(store_of(one, two))}, sink=store_of(one))
     digest = tree_digest(two.root)
-    play.want(digest, "a")
-    assert not play.run(digest, most_kept=4)
-    assert play.sink.is_fetching
-    came = {*play.disk()}
-    assert came
-    assert {*play.sink.retain_only([tree_digest(one.root)])} == came
-    assert not play.sink.is_fetching
-    before = len(play.asked)
-    assert not play.run(digest, play.now + 2 * S)
-    assert len(play.asked) == before
-    assert play.sink.has(tree_digest(one.root))
-
-
-def test_pages_of_a_fetch_serve_the_next_version_though_it_is_not_wanted_any_more() -> None:
-    """A newcomer's state changes while it comes: what it has of the old one is not lost."""
+    simulation.start_fetch(digest, "a")
+    assert not simulation.run(digest, max_written=4)
+    assert simulation.sink.is_fetching
+    received_items = {*simulation.disk()}
+    assert received_items
+    assert {*simulation.sink.retain_only([tree_digest(one.root)])} == received_items
+    assert not simulation.sink.is_fetching
+    before = len(simulation.requested)
+    assert not simulation.run(digest, simulation.now + 2 * S)
+    assert len(simulation.requested) == before
+    assert simulation.sink.has(tree_digest(one.root))
+
+
+def test_pages_of_a_cancelled_fetch_are_reused_for_the_next_version() -> None:
+    """The state changes while a new member fetches it: pages of the old state are reused."""
     source = ContentStore({})
-    one = build(some_entries(600), 500)
+    one = build(random_entries(600), 500)
     source.add(one)
     two = update(source, one.root, {Key("group1", "name1"): b"changed"}, 500)
     source.add(two)
-    play = Play({"a": honest(source)})
-    play.want(tree_digest(one.root), "a")
-    play.run(tree_digest(one.root), most_kept=len(one.pages) * 3 // 4)
-    here = {*play.disk()}
-    play.want(tree_digest(two.root), "a")
-    play.sink.fetch_only([tree_digest(two.root)])
-    before = len(play.asked)
-    assert play.run(tree_digest(two.root))
-    asked = {PAGE_KEY_PREFIX + wanted.digest.hex() for _, _, wanted in play.asked[before:]}
-    assert not asked & here
-    wanted = {PAGE_KEY_PREFIX + page for page in _all_of(play.sink, two.root)}
-    assert {*play.sink.retain_only([tree_digest(two.root)])} == {*play.disk()} - wanted
+    simulation = FetchSimulation({"a": answering(source)})
+    simulation.start_fetch(tree_digest(one.root), "a")
+    simulation.run(tree_digest(one.root), max_written=len(one.pages) * 3 // 4)
+    stored = {*simulation.disk()}
+    simulation.start_fetch(tree_digest(two.root), "a")
+    simulation.sink.fetch_only([tree_digest(two.root)])
+    before = len(simulation.requested)
+    assert simulation.run(tree_digest(two.root))
+    requested = {
+        PAGE_KEY_PREFIX + wanted.digest.hex() for _, _, wanted in simulation.requested[before:]
+    }
+    assert not requested & stored
+    wanted = {PAGE_KEY_PREFIX + page for page in _pages_of(simulation.sink, two.root)}
+    assert {*simulation.sink.retain_only([tree_digest(two.root)])} == {*simulation.disk()} - wanted
 
 
-# --- The disk
+# --- Disk
 
 
-def test_whatever_was_kept_when_it_was_killed_the_rest_is_fetched_and_no_more() -> None:
-    entries = some_entries(150)
+def test_after_a_kill_only_the_missing_pages_are_fetched() -> None:
+    entries = random_entries(150)
     tree = build(entries, 500)
     digest = tree_digest(tree.root)
-    first = Play({"a": honest(holding(tree))})
-    first.want(digest, "a")
+    first = FetchSimulation({"a": answering(store_of(tree))})
+    first.start_fetch(digest, "a")
     assert first.run(digest)
-    assert len(first.kept) > 5
-    for steps in range(len(first.kept) + 1):
-        disk = {name: value for kept in first.kept[:steps] for name, value in kept.items()}
-        again = Play({"a": honest(holding(tree))}, sink=ContentStore.from_disk(disk, 0))
-        assert again.sink.has(digest) == (steps == len(first.kept))
-        again.want(digest, "a")
+    assert len(first.written) > 5
+    for steps in range(len(first.written) + 1):
+        disk = {name: value for written in first.written[:steps] for name, value in written.items()}
+        again = FetchSimulation(
+            {"a": answering(store_of(tree))}, sink=ContentStore.from_disk(disk, 0)
+        )
+        assert again.sink.has(digest) == (steps == len(first.written))
+        again.start_fetch(digest, "a")
         assert again.run(digest)
         assert {*again.disk()} == {PAGE_KEY_PREFIX + page for page in tree.pages} - {*disk}
         assert entries_of(again.sink, digest) == entries
         assert again.sink.retain_only([digest]) == []
 
 
-def test_pages_on_an_old_disk_that_nothing_wants_are_let_go_of() -> None:
-    one = build(some_entries(100), 500)
-    withdrawn = build(some_entries(100, seed=2), 500)
+def test_unreferenced_pages_on_an_old_disk_are_removed() -> None:
+    one = build(random_entries(100), 500)
+    withdrawn = build(random_entries(100, seed=2), 500)
     disk = {
         PAGE_KEY_PREFIX + page: compress(raw)
         for page, raw in {**one.pages, **withdrawn.pages}.items()
     }
-    del disk[PAGE_KEY_PREFIX + withdrawn.root]  # not even its root came to be there
+    del disk[PAGE_KEY_PREFIX + withdrawn.root]  # its root was never received
     store = ContentStore.from_disk({**disk, "known": b"", "vote": b""}, 0)
-    gone = store.retain_only([tree_digest(one.root)])
-    assert {*gone} == {PAGE_KEY_PREFIX + page for page in withdrawn.pages} - {
+    removed_items = store.retain_only([tree_digest(one.root)])
+    assert {*removed_items} == {PAGE_KEY_PREFIX + page for page in withdrawn.pages} - {
         PAGE_KEY_PREFIX + withdrawn.root
     }
     assert store.has(tree_digest(one.root))
 
 
 def test_a_page_on_disk_that_cannot_be_read_is_fetched_anew() -> None:
-    tree = build(some_entries(100), 500)
+    tree = build(random_entries(100), 500)
     disk = {PAGE_KEY_PREFIX + page: compress(raw) for page, raw in tree.pages.items()}
     disk[PAGE_KEY_PREFIX + tree.root] = disk[PAGE_KEY_PREFIX + tree.root][:-3]
     store = ContentStore.from_disk(disk, 0)
     digest = tree_digest(tree.root)
     assert not store.has(digest)
-    play = Play({"a": honest(holding(tree))}, sink=store)
-    play.want(digest, "a")
-    assert play.run(digest)
-    assert {*play.disk()} == {PAGE_KEY_PREFIX + tree.root}
+    simulation = FetchSimulation({"a": answering(store_of(tree))}, sink=store)
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest)
+    assert {*simulation.disk()} == {PAGE_KEY_PREFIX + tree.root}
 
 
 # --- Members
 
 
-def _stood(**options: Any) -> World:
-    """A tier in the model that has found itself."""
+def _started_world(**options: Any) -> World:
+    """A simulated tier after its start-up."""
     world = World(1, 5, 3, **options)
     world.start()
     world.kernel.run(4 * S)
@@ -731,7 +749,7 @@
     return world
 
 
-def _rested(world: World, seconds: int = 20) -> RegisterState:
+def _settle(world: World, seconds: int = 20) -> RegisterState:
     world.kernel.run(world.kernel.now + seconds * S)
     world.check_end()
     assert world.checker.latest is not None
@@ -744,21 +762,21 @@
     return member
 
 
-def _pages_on(process: TierProcess) -> set[str]:
+def _page_items_on(process: TierProcess) -> set[str]:
     return {name for name in process.disk.synced if name.startswith(PAGE_KEY_PREFIX)}
 
 
-def _of_versions(world: World, *versions: Version) -> set[str]:
-    """Names on disk of all pages of these versions."""
-    everything: dict[str, bytes] = {}
+def _items_of_versions(world: World, *versions: Version) -> set[str]:
+    """Names of the disk items of all pages of these versions."""
+    all_pages: dict[str, bytes] = {}
     for allow in world.acts_by_digest.values():
-        everything.update(world.contents.tree(allow, 0).pages)
+        all_pages.update(world.contents.tree(allow, 0).pages)
     roots = {root for version in versions if (root := root_of(version.digest)) is not None}
-    return {PAGE_KEY_PREFIX + page for page in _reached(everything, roots)}
+    return {PAGE_KEY_PREFIX + page for page in _reachable(all_pages, roots)}
 
 
-def _count(world: World, to: str) -> list[Message]:
-    """What is sent to a member from here on."""
+def _record_messages(world: World, to: str) -> list[Message]:
+    """Record the messages sent to a member from now on."""
     sent: list[Message] = []
     send = world.network.send
 
@@ -771,8 +789,8 @@
     return sent
 
 
-def _drop(world: World, to: str) -> Callable[[], None]:
-    """No page comes to a member from here on, until the answer is called."""
+def _drop_pages(world: World, to: str) -> Callable[[], None]:
+    """Drop the pages sent to a member until the returned function is called."""
     send = world.network.send
 
     def dropped(sender: str, addressee: str, message: Any) -> None:
@@ -784,12 +802,12 @@
 
 
 def test_a_member_that_lacks_the_contents_is_behind_and_not_outside() -> None:
-    """Guards against a status that takes a member out that the configuration has."""
-    world = _stood()
+    """Guards against a status that shows a configured member as outside of the tier."""
+    world = _started_world()
     process = world.processes["g5"]
     world.processes["g5"].kill()
-    process.disk.write(dict.fromkeys(_pages_on(process)))
-    heal = _drop(world, "g5")
+    process.disk.write(dict.fromkeys(_page_items_on(process)))
+    stop_dropping = _drop_pages(world, "g5")
     process.start()
     world.kernel.run(world.kernel.now + 3 * S)
     member = _member(world, "g5")
@@ -797,13 +815,13 @@
     assert not member.is_caught_up()
     assert (status["standing"], status["why"]) == ("behind", MemberStatus.BEHIND.reason)
     assert {row["inside"] for row in status["members"]} == {None}
-    heal()
-    _rested(world)
+    stop_dropping()
+    _settle(world)
     assert member.status(process.clock())["standing"] == "in"
 
 
 def test_a_voter_that_lacks_a_leaf_does_not_accept() -> None:
-    tree = build(some_entries(50), 500)
+    tree = build(random_entries(50), 500)
     leaf = next(page for page, raw in tree.pages.items() if not child_digests(raw))
     pages = {page: compress(raw) for page, raw in tree.pages.items() if page != leaf}
     store, out, ballot = ContentStore({}, pages), list[Effect](), Ballot(1, "g1", 7)
@@ -815,47 +833,47 @@
     out.clear()
     assert voter.accept(accept) is None
     assert out == []
-    play = Play({"a": honest(holding(tree))}, sink=store)
-    play.want(version.digest, "a")
-    assert play.run(version.digest)
+    simulation = FetchSimulation({"a": answering(store_of(tree))}, sink=store)
+    simulation.start_fetch(version.digest, "a")
+    assert simulation.run(version.digest)
     assert voter.accept(accept) is not None
     assert [isinstance(effect, Persist) for effect in out] == [True]
 
 
-def test_a_voter_answers_once_the_pages_are_here_without_being_asked_again() -> None:
-    world = _stood()
-    asked: Counter[tuple[str, Ballot]] = Counter()
+def test_a_voter_answers_once_it_has_the_pages_without_being_asked_again() -> None:
+    world = _started_world()
+    requested: Counter[tuple[str, Ballot]] = Counter()
     send = world.network.send
 
     def counted(sender: str, to: str, message: Message) -> None:
         if isinstance(message, Accept):
-            asked[to, message.ballot] += 1
+            requested[to, message.ballot] += 1
         send(sender, to, message)
 
     world.network.send = counted  # type: ignore[method-assign]
     world.processes["g4"].propose(1, 0)
-    register_state = _rested(world)
+    register_state = _settle(world)
     assert (register_state.active.serial, register_state.active.proposer) == (2, "g4")
-    assert {*asked.values()} == {1}
+    assert {*requested.values()} == {1}
 
 
 def test_a_member_does_not_propose_a_tree_of_which_it_lacks_pages() -> None:
-    world = _stood()
+    world = _started_world()
     member = _member(world, "g1")
-    old = build(some_entries(50), 500)
-    new = update(holding(old), old.root, {Key("group1", "name1"): b"changed"}, 500)
+    old = build(random_entries(50), 500)
+    new = update(store_of(old), old.root, {Key("group1", "name1"): b"changed"}, 500)
     jobs = len(member.proposer.jobs)
-    with pytest.raises(ValueError, match="neither new nor here"):
+    with pytest.raises(ValueError, match="neither new nor stored"):
         member.propose(new, 1, False, "test", 0)
     assert len(member.proposer.jobs) == jobs
-    assert _rested(world).active.serial == 1
+    assert _settle(world).active.serial == 1
 
 
 @pytest.mark.parametrize("restarted", [True, False])
 def test_on_a_full_disk_no_page_is_kept_and_nothing_is_confirmed(restarted: bool) -> None:
-    world = _stood()
+    world = _started_world()
     full = world.processes["g4"]
-    before = _pages_on(full)
+    before = _page_items_on(full)
     full.disk.full = True
     world.processes["g1"].propose(1, 0)
     world.kernel.run(world.kernel.now + 10 * S)
@@ -863,24 +881,24 @@
     assert latest is not None
     assert latest.pending is not None
     assert full.disk_is_failing
-    assert _pages_on(full) == before
+    assert _page_items_on(full) == before
     assert _member(world, "g1").waiting_for() == ["g4"]
     if restarted:
         full.kill()
     full.disk.full = False
     if restarted:
         full.start()
-    register_state = _rested(world)
+    register_state = _settle(world)
     assert (register_state.active.serial, register_state.pending) == (2, None)
     assert not full.disk_is_failing
     assert _member(world, "g1").waiting_for() == []
-    assert _pages_on(full) == _of_versions(world, register_state.active)
+    assert _page_items_on(full) == _items_of_versions(world, register_state.active)
 
 
 @pytest.mark.parametrize("steps", range(1, 12))
-def test_one_killed_after_any_page_that_it_kept_resumes_and_completes(steps: int) -> None:
-    world = _stood()
-    process, kept = world.processes["g5"], list[set[str]]()
+def test_a_member_killed_after_any_page_resumes_its_fetch(steps: int) -> None:
+    world = _started_world()
+    process, synced_pages = world.processes["g5"], list[set[str]]()
     process.kill()
     process.disk.erase()
     real = process.on_synced
@@ -893,34 +911,36 @@
             if name.startswith(PAGE_KEY_PREFIX) and value
         }
         if pages:
-            kept.append(pages)
-            if process.incarnation == 2 and len(kept) == steps:
+            synced_pages.append(pages)
+            if process.incarnation == 2 and len(synced_pages) == steps:
                 process.kill()
 
     process.on_synced = on_synced  # type: ignore[method-assign]
     process.start()
     world.kernel.run(world.kernel.now + 5 * S)
     assert world.checker.latest is not None
-    wanted = _of_versions(world, world.checker.latest.active)
-    if process.up:  # it was done sooner
-        assert len(kept) < steps
-        assert _pages_on(process) == wanted
+    wanted = _items_of_versions(world, world.checker.latest.active)
+    if process.up:  # it had all pages before it could be killed
+        assert len(synced_pages) < steps
+        assert _page_items_on(process) == wanted
         return
-    here = _pages_on(process)
-    assert here == set().union(*kept)
-    assert here < wanted if steps < 4 else here <= wanted
-    kept.clear()
+    stored = _page_items_on(process)
+    assert stored == set().union(*synced_pages)
+    assert stored < wanted if steps < 4 else stored <= wanted
+    synced_pages.clear()
     process.start()
-    _rested(world)
-    assert _pages_on(process) == wanted
-    assert set().union(*kept) == wanted - here  # and none of them twice
-    assert sum(map(len, kept)) == len(wanted - here)
-
-
-def test_a_version_withdrawn_while_its_pages_come_to_a_member_leaves_it_as_it_was() -> None:
-    world = _stood()
-    before = _pages_on(world.processes["g5"])
-    heal = _drop(world, "g5")
+    _settle(world)
+    assert _page_items_on(process) == wanted
+    assert (
+        set().union(*synced_pages) == wanted - stored
+    )  # together with the sum below: each page once
+    assert sum(map(len, synced_pages)) == len(wanted - stored)
+
+
+def test_a_version_withdrawn_during_a_members_fetch_leaves_no_pages() -> None:
+    world = _started_world()
+    before = _page_items_on(world.processes["g5"])
+    stop_dropping = _drop_pages(world, "g5")
     world.processes["g1"].propose(1, 0)
     world.kernel.run(world.kernel.now + 3 * S)
     member = _member(world, "g5")
@@ -932,38 +952,38 @@
     world.kernel.run(world.kernel.now + 3 * S)
     assert member.is_caught_up()
     assert not member.contents.is_fetching
-    heal()
-    register_state = _rested(world)
+    stop_dropping()
+    register_state = _settle(world)
     assert (register_state.active.serial, register_state.pending) == (1, None)
-    assert _pages_on(world.processes["g5"]) == before
-    assert _pages_on(world.processes["g4"]) == before
-    for voter in world.voters:  # they keep for a while what they were asked to accept
-        assert _pages_on(world.processes[voter]) >= before
+    assert _page_items_on(world.processes["g5"]) == before
+    assert _page_items_on(world.processes["g4"]) == before
+    for voter in world.voters:  # voters retain for a while what they were asked to accept
+        assert _page_items_on(world.processes[voter]) >= before
 
 
-def test_pages_of_a_withdrawn_version_on_an_old_disk_are_let_go_of() -> None:
-    world = _stood()
-    heal = _drop(world, "g4")
-    old = world.processes["g5"]
+def test_pages_of_a_withdrawn_version_on_an_old_disk_are_removed() -> None:
+    world = _started_world()
+    stop_dropping = _drop_pages(world, "g4")
+    restored = world.processes["g5"]
     world.processes["g1"].propose(1, 0)
     world.kernel.run(world.kernel.now + 3 * S)
     assert world.checker.latest is not None
     assert world.checker.latest.pending is not None
-    withdrawn = _of_versions(world, world.checker.latest.pending)
-    old.disk.take_snapshot()
-    old.kill()
+    withdrawn = _items_of_versions(world, world.checker.latest.pending)
+    restored.disk.take_snapshot()
+    restored.kill()
     world.processes["g2"].withdraw()
-    heal()
+    stop_dropping()
     world.kernel.run(world.kernel.now + 3 * S)
-    old.disk.synced = dict(old.disk.snapshots[-1])
-    assert withdrawn <= _pages_on(old)
-    old.start()
-    register_state = _rested(world)
-    assert _pages_on(old) == _of_versions(world, register_state.active)
+    restored.disk.synced = dict(restored.disk.snapshots[-1])
+    assert withdrawn <= _page_items_on(restored)
+    restored.start()
+    register_state = _settle(world)
+    assert _page_items_on(restored) == _items_of_versions(world, register_state.active)
 
 
-def test_a_disk_of_the_version_before_is_read_as_it_is() -> None:
-    """A member of a tier of its own, with a state and a roster as whole contents."""
+def test_a_disk_of_the_previous_release_is_readable() -> None:
+    """A disk whose state and configuration are blobs, of a member that is alone in its tier."""
     state, configuration = b'{"nodes":{}}', Configuration(("g1",), ()).encode()
     digest, configuration_digest = sha256(state).hexdigest(), sha256(configuration).hexdigest()
     version = Version(4, 3, digest, "g1", "ann", 5, "g1-63-0")
@@ -989,8 +1009,8 @@
     assert member.applying is not None
     assert member.applying.active == version
     assert member.contents.read(digest) == state
-    # The next version is a tree; the whole content goes once the process applies that.
-    tree = build(some_entries(20), 500)
+    # The next version is a tree; the blob is removed once the process has applied that.
+    tree = build(random_entries(20), 500)
     member.propose(tree, 4, False, "ann", 6)
     for now in range(S, 2 * S, S // 10):
         member.on_tick(now)
@@ -1010,30 +1030,30 @@
     }
 
 
-LARGE = Contents(some_entries(6000, size=250), 4096)
+LARGE_STATE = Contents(random_entries(6000, size=250), 4096)
 
 
-def test_a_change_brings_a_member_few_pages_of_a_large_state() -> None:
-    world = World(1, 5, 3, contents=LARGE, write_interval=S)
+def test_a_change_of_a_large_state_sends_few_pages_to_a_member() -> None:
+    world = World(1, 5, 3, contents=LARGE_STATE, write_interval=S)
     world.start()
-    world.kernel.run(60 * S)  # all have it by then
+    world.kernel.run(60 * S)  # all members have the state by then
     world.check_end()
-    before = {name: _pages_on(process) for name, process in world.processes.items()}
-    sent = _count(world, "g5")
+    before = {name: _page_items_on(process) for name, process in world.processes.items()}
+    sent = _record_messages(world, "g5")
     world.processes["g4"].propose(1, 0)
-    register_state = _rested(world)
+    register_state = _settle(world)
     assert register_state.active.serial == 2
     replies = [message for message in sent if isinstance(message, PageReply)]
     wire = Wire(Keys(1, {1: b"k" * 32}), "a-gateway-of-a-region-16", 1 << 47)
     size = sum(len(wire.seal("a-gateway-of-a-region-17", reply)) for reply in replies)
     assert 0 < size < 16 * 1024
-    new = _pages_on(world.processes["g5"]) - before["g5"]
+    new = _page_items_on(world.processes["g5"]) - before["g5"]
     assert 0 < len(new) <= 8
     assert len(before["g5"]) > 400
 
 
-def test_a_newcomer_has_a_large_state_within_a_minute_while_gossip_goes_on() -> None:
-    world = World(1, 5, 3, contents=LARGE, write_interval=S, late=["g5"])
+def test_a_new_member_fetches_a_large_state_within_a_minute_despite_gossip() -> None:
+    world = World(1, 5, 3, contents=LARGE_STATE, write_interval=S, late=["g5"])
     world.start()
     world.kernel.run(60 * S)
     assert world.checker.latest is not None
@@ -1043,45 +1063,49 @@
     while not (newcomer.applied_versions is not None and _member(world, "g5").is_caught_up()):
         world.kernel.run(world.kernel.now + S)
         assert world.kernel.now - began < 60 * S
-    size = sum(len(newcomer.disk.synced[name]) for name in _pages_on(newcomer))
+    size = sum(len(newcomer.disk.synced[name]) for name in _page_items_on(newcomer))
     assert size > 1.5e6
     world.kernel.run(world.kernel.now + 5 * S)
     assert _member(world, "g5").member_status(newcomer.clock()) is MemberStatus.ACTIVE
 
 
-# --- The budget
+# --- Byte budget
 
 
-def test_what_is_asked_for_and_what_is_answered_keeps_to_the_budget() -> None:
-    tree = build(some_entries(600, size=2000), 4000)
-    stores = {name: holding(tree) for name in "ab"}
-    play = Play({name: honest(store) for name, store in stores.items()})
+def test_requests_and_replies_stay_within_the_budget() -> None:
+    tree = build(random_entries(600, size=2000), 4000)
+    stores = {name: store_of(tree) for name in "ab"}
+    simulation = FetchSimulation({name: answering(store) for name, store in stores.items()})
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert play.run(digest)
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest)
     size = sum(len(compress(raw)) for raw in tree.pages.values())
     assert size > 1 << 20
-    assert (size - BURST_BYTES) / BYTES_PER_SECOND < play.now / S < 1.6 * size / BYTES_PER_SECOND
-    for begin in range(0, play.now, S // 4):
+    assert (
+        (size - BURST_BYTES) / BYTES_PER_SECOND < simulation.now / S < 1.6 * size / BYTES_PER_SECOND
+    )
+    for begin in range(0, simulation.now, S // 4):
         for length in (1, 5):
-            came = sum(size for at, size in play.came if begin <= at < begin + length * S)
-            assert came <= BURST_BYTES + BYTES_PER_SECOND * length
+            received = sum(
+                size for at, size in simulation.received_sizes if begin <= at < begin + length * S
+            )
+            assert received <= BURST_BYTES + BYTES_PER_SECOND * length
     greedy = [PageRange(bytes.fromhex(page), 0, 16) for page in tree.pages][:16]
     sent = sum(
         len(block.data)
         for i in range(1000)
-        for reply in stores["a"].answer_pages(PageRequest(greedy), play.now + i * 10_000)
+        for reply in stores["a"].answer_pages(PageRequest(greedy), simulation.now + i * 10_000)
         for block in reply.blocks
     )
     assert sent <= BURST_BYTES + 10 * BYTES_PER_SECOND
 
 
-def test_the_whole_of_a_million_and_a_half_bytes_comes_within_a_minute() -> None:
-    tree = build(some_entries(6000, size=250))
+def test_one_and_a_half_megabytes_are_fetched_within_a_minute() -> None:
+    tree = build(random_entries(6000, size=250))
     size = sum(len(compress(raw)) for raw in tree.pages.values())
     assert size > 1.5e6
-    play = Play({name: honest(holding(tree)) for name in "abcde"})
-    play.loss = 0.05
+    simulation = FetchSimulation({name: answering(store_of(tree)) for name in "abcde"})
+    simulation.loss = 0.05
     digest = tree_digest(tree.root)
-    play.want(digest, "a")
-    assert play.run(digest, 60 * S)
+    simulation.start_fetch(digest, "a")
+    assert simulation.run(digest, 60 * S)
