--- a/sailhitch/tier/disk.py
+++ b/sailhitch/tier/disk.py
@@ -1,9 +1,9 @@
 """A member's durable storage: small values by name, synced before any message depends on them.
 
-SQLite of the standard library, one table, a transaction for each `Persist`, `synchronous=FULL` on a
-rollback journal. LMDB is as safe and faster to read, which nothing here needs; SQLite detects a
-torn page by its journal and needs no size in advance. Each value has its digest beside it, so that
-corruption is detected at the start.
+It uses SQLite from the standard library: one table, a transaction for each `Persist`, and
+`synchronous=FULL` with a rollback journal. LMDB is as safe and reads faster, which is not needed
+here; SQLite detects a torn page by its journal and needs no size in advance. The digest of each
+value is stored next to it, so that corruption is detected at startup.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 
 class DiskError(Exception):
-    """The file can't be read or written; the text says why and what to do."""
+    """The file can't be read or written; the message says why and what to do."""
 
 
 class Disk:
-    """The file of one process, which locks it against others."""
+    """The database file of one process, locked against other processes."""
 
     def __init__(self, folder: Path) -> None:
         """Open or create the file; raises DiskError."""
         self.path = folder / FILE_NAME
         try:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-            # A thread of the driver's own writes; no two write at a time.
+            # The driver writes from a thread of its own, and never from two threads at a time.
             self._db = sqlite3.connect(self.path, timeout=0, check_same_thread=False)
             self._db.execute("PRAGMA locking_mode=EXCLUSIVE")
             self._db.execute("PRAGMA journal_mode=DELETE")
@@ -52,13 +52,13 @@
         for name, value, digest in rows:
             if hashlib.sha256(value).digest() != digest:
                 raise DiskError(
-                    f"{self.path}: damaged: {name!r} is not what was written; move the file away, "
-                    "and this member comes back as one whose disk was lost"
+                    f"{self.path}: damaged: {name!r} does not match its digest; move the file "
+                    "away, and this member rejoins as one that lost its disk"
                 )
         return {name: bytes(value) for name, value, _ in rows}
 
     def write(self, items: dict[str, bytes | None]) -> None:
-        """Write values, or delete those that are None, all or none; raises DiskError."""
+        """Write all values in one transaction, deleting those that are None; raises DiskError."""
         try:
             with self._db:
                 for name, value in items.items():
@@ -80,10 +80,10 @@
 def _describe_error(path: Path, error: sqlite3.Error) -> str:
     text = str(error)
     if "locked" in text:
-        return f"{path}: another gateway holds it; end that one, or give this one its own state_dir"
+        return f"{path}: another gateway holds it; stop it, or give this one its own state_dir"
     if "not a database" in text or "malformed" in text:
         return (
-            f"{path}: damaged ({text}); move the file away, and this member comes back as one "
-            "whose disk was lost"
+            f"{path}: damaged ({text}); move the file away, and this member rejoins as one that "
+            "lost its disk"
         )
     return f"{path}: {text}"
--- a/sailhitch/tier/messages.py
+++ b/sailhitch/tier/messages.py
@@ -1,7 +1,7 @@
-"""The values that members agree on, and the messages that they send: values, no behaviour.
+"""The values that members agree on and the messages that they exchange, without behaviour.
 
-Times are microseconds of the process's own steady clock; no two processes' times are ever compared.
-A digest is the SHA-256 of a content in hex.
+Unless said otherwise, times are microseconds of the process's monotonic clock, and times of two
+processes are never compared. A digest is the SHA-256 of a content in hex.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Ballot(NamedTuple):
-    """A round's number. `boot` is random for each process, so no two rounds share a ballot."""
+    """Identifies a round. `boot` is random per process, so no two rounds share a ballot."""
 
     number: int
     proposer: str
@@ -23,55 +23,56 @@
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
-    """A proposed version: its serial, that of the version it was made from, and its content."""
+    """A proposed version and the digest of its content."""
 
     serial: int
-    base: int
+    base: int  # the serial of the version that it was made from
     digest: str
     proposer: str  # the member that proposed it
-    operator: str  # the operator who asked, for people
-    proposed_at: int  # time of day in microseconds, for people: nothing is decided by it
-    change_id: str  # unique to this proposal; its proposer recognizes it by this
+    operator: str  # who requested it; for display only
+    proposed_at: int  # wall-clock time in microseconds; for display only
+    change_id: str  # unique to this proposal, so that its proposer recognizes it
 
 
 class RegisterState(msgspec.Struct, frozen=True, array_like=True):
     """The register's value."""
 
-    revision: int  # the number of changes of the register up to this one
+    revision: int  # incremented by each change of the register
     last_serial: int  # the highest serial ever assigned
-    # A member that has confirmed this revision, or a later one, acts within the active version.
+    # A member that has confirmed this or a later revision applies nothing that contradicts the
+    # active version.
     required_revision: int
     active: Version
     pending: Version | None
-    configuration_digest: str  # of the members that a change waits for, as JSON
-    # It has serials of its own, and never waits for confirmations.
+    configuration_digest: str  # of the configuration as JSON: the members that a change waits for
+    # Has serials of its own, and never waits for confirmations.
     traffic_policy: Version | None = None
 
 
 class ChosenState(msgspec.Struct, frozen=True, array_like=True):
-    """A state that a majority of voters has accepted under this ballot."""
+    """A state and the ballot under which a majority of voters accepted it."""
 
     ballot: Ballot
     state: RegisterState
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A member's record of itself; others pass it on unchanged."""
+    """A member's record of itself; others forward it unchanged."""
 
     name: str
-    incarnation: int  # above all others ever known of this name
+    incarnation: int  # above all earlier ones of this name
     boot: int
-    heartbeat: int  # a count within this incarnation
+    heartbeat: int  # counts up within this incarnation
     confirmed_revision: int  # the revision that it applies, or an earlier one
-    fault: str  # why it can't apply the state that it knows; empty: it can, or will
-    metadata: bytes = b""  # for the process that runs it; opaque to the tier
+    fault: str  # why it can't apply the latest state that it knows; empty if it can
+    metadata: bytes = b""  # of the process that runs the member; opaque to the tier
 
 
 # --- Messages
 
 
 class ReadRequest(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """Asks a voter what it has accepted, without a ballot: nothing is promised."""
+    """Asks a voter what it has accepted; carries no ballot and requests no promise."""
 
     number: int
 
@@ -80,17 +81,17 @@
     """A voter's answer to a `ReadRequest`."""
 
     number: int
-    accepted: ChosenState | None  # by this voter, which may be the only one
+    accepted: ChosenState | None  # by this voter, not necessarily by a majority
 
 
 class UnfinishedRound(msgspec.Struct, frozen=True, array_like=True, tag="u"):
-    """A voter's answer to a `ReadRequest` when a round of the reader may still be chosen.
+    """A voter's answer to a `ReadRequest` while a round of the reader may still be chosen.
 
-    The voter has promised such a round, and has accepted none since.
+    The voter has promised a ballot of the reader's, and has accepted nothing since.
     """
 
     number: int
-    accepted: ChosenState | None  # by this voter, which may be the only one
+    accepted: ChosenState | None  # by this voter, not necessarily by a majority
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="p"):
@@ -102,20 +103,22 @@
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag="P"):
     """A voter's answer to `Prepare`.
 
-    Where `ok`, it accepts nothing below the ballot any more. Otherwise `promised` is above it.
+    If `ok`, the voter will accept no lower ballot any more. Otherwise `promised` is a higher ballot
+    that it has promised already.
     """
 
     ballot: Ballot
     ok: bool
     promised: Ballot
-    accepted: ChosenState | None  # by this voter, which may be the only one
+    accepted: ChosenState | None  # by this voter, not necessarily by a majority
     stamp: int
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Asks a voter that has promised to accept a state: the second phase of a round.
+    """Asks a voter to accept a state: the second phase of a round.
 
-    It carries the stamp of each promise that the round rests on.
+    `stamps` holds, by voter, the stamp of each promise that the proposer has received for the
+    round.
     """
 
     ballot: Ballot
@@ -124,17 +127,17 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag="A"):
-    """A voter's answer to `Accept`; where not `ok`, `promised` is above the ballot."""
+    """A voter's answer to `Accept`; if not `ok`, `promised` is above the ballot."""
 
     ballot: Ballot
     ok: bool
     promised: Ballot
     stamp: int
-    known_promises: list[str]  # the voters whose promises the `Accept` told it of
+    known_promises: list[str]  # the voters whose promises were listed in the `Accept`
 
 
 class VoteRecoveryRequest(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Asks another voter, after a start, what it knows of the sender's earlier votes."""
+    """Asks another voter, after a restart, what it knows of the sender's earlier votes."""
 
     nonce: int
 
@@ -143,11 +146,11 @@
     """A voter's answer to a `VoteRecoveryRequest`."""
 
     nonce: int
-    stamps: dict[str, int]  # by voter: the latest stamp known of its votes
+    stamps: dict[str, int]  # by voter: the latest known stamp of its votes
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
-    """An incarnation of a member that does not answer, and the members whose probes found so."""
+    """An incarnation of a member that does not answer probes, and the members that report it."""
 
     name: str
     incarnation: int
@@ -155,12 +158,12 @@
 
 
 class GossipMessage(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """A gossip message. Each is of use on its own, in any order."""
+    """A gossip message. Messages are independent of each other and of their order."""
 
     chosen: ChosenState | None
     records: list[MemberRecord]
     stamps: dict[str, int]
-    # A voter's report: a revision, and a bit for each name of its configuration in order.
+    # Sent by voters: a revision, and a bit for each name of its configuration, in their order.
     expired_leases: tuple[int, bytes] | None
     suspicions: list[Suspicion] = []
 
@@ -180,14 +183,14 @@
 
 
 class BlockRequest(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """Asks for the block of a content in its packed form that begins at an offset."""
+    """Asks for the block of a compressed content that begins at an offset."""
 
     digest: str
     offset: int
 
 
 class Block(msgspec.Struct, frozen=True, array_like=True, tag="C"):
-    """A part of a content in its packed form, which has `total` bytes."""
+    """A part of a content whose compressed form has `total` bytes."""
 
     digest: str
     offset: int
@@ -196,7 +199,7 @@
 
 
 class PageRange(NamedTuple):
-    """Blocks of a page in its packed form, from an offset on. `digest` has 32 bytes."""
+    """A number of blocks of a compressed page, from an offset on. `digest` has 32 bytes."""
 
     digest: bytes
     offset: int
@@ -210,7 +213,7 @@
 
 
 class PageBlock(NamedTuple):
-    """A part of a page in its packed form, which has `total` bytes."""
+    """A part of a page whose compressed form has `total` bytes."""
 
     digest: bytes
     offset: int
@@ -226,7 +229,7 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="i"):
-    """A probe. `suspected_incarnation` is one of the receiver's that is suspected, or 0."""
+    """A probe. `suspected_incarnation` is the receiver's incarnation if it is suspected, or 0."""
 
     number: int
     suspected_incarnation: int
@@ -239,7 +242,7 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag="N"):
-    """A helper's answer to a relayed `Ping`: the target has not answered it either, so far."""
+    """A helper's answer to a relayed `Ping`: the target has not answered the helper so far."""
 
     number: int
 
@@ -268,7 +271,7 @@
 
 
 class Relayed(msgspec.Struct, frozen=True, array_like=True, tag="v"):
-    """A message that is sent through one other member, as the direct path may be cut."""
+    """A message that is sent through another member, because the direct path may be cut."""
 
     origin: str
     to: str
