--- a/sailhitch/tier/outbox.py
+++ b/sailhitch/tier/outbox.py
@@ -1,4 +1,7 @@
-"""A member's effects, in order; replies also go over the relay that a request came by."""
+"""Collects a member's effects in order, and also relays messages where a direct path may be cut.
+
+A reply to a relayed request goes back over the same relay as well.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 class Outbox:
-    """The effects of a member. Messages to itself wait for `take_local_message`."""
+    """The effects of a member. Messages to itself are queued for `take_local_message`."""
 
     def __init__(self, name: str, gossip: Gossip, prober: Prober, rng: random.Random) -> None:
         self._name = name
@@ -38,28 +41,29 @@
         self._rng = rng
         self.effects: list[Effect] = []
         self.relays = RelayPolicy()
-        self._local: deque[Message] = deque()
-        self._replying: tuple[str, str] | None = None  # the requester, and its relay
-        self._relay_of: dict[str, str] = {}  # of members last heard from over a relay, not directly
+        self._local_messages: deque[Message] = deque()
+        self._reply_route: tuple[str, str] | None = None  # the requester and its relay
+        # By member whose latest message came over a relay: that relay.
+        self._relay_by_member: dict[str, str] = {}
 
     @property
     def is_relayed(self) -> bool:
-        """Return whether the message that is processed now came over a relay."""
-        return self._replying is not None
+        """Return whether the message being processed came over a relay."""
+        return self._reply_route is not None
 
     @contextmanager
     def replying_over(self, origin: str, relay: str) -> Iterator[None]:
-        """Within this context, send messages to `origin` over `relay` too."""
-        self._replying = origin, relay
-        self._relay_of[origin] = relay
+        """Within this context, also send messages for `origin` over `relay`."""
+        self._reply_route = origin, relay
+        self._relay_by_member[origin] = relay
         try:
             yield
         finally:
-            self._replying = None
+            self._reply_route = None
 
     def on_direct_message(self, name: str) -> None:
         """Forget the relay of a member that has sent a message directly."""
-        self._relay_of.pop(name, None)
+        self._relay_by_member.pop(name, None)
 
     def take_effects(self) -> list[Effect]:
         """Return all effects since the last call."""
@@ -69,7 +73,7 @@
 
     def take_local_message(self) -> Message | None:
         """Return the next message of this member to itself."""
-        return self._local.popleft() if self._local else None
+        return self._local_messages.popleft() if self._local_messages else None
 
     def persist(self, items: dict[str, bytes | None]) -> None:
         """Write these items to disk before any later effect; an item of None may be deleted."""
@@ -80,26 +84,26 @@
         self.effects.append(LogEvent(event, fields))
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message; over a relay too, where the direct path may be cut."""
+        """Send a message, and also relay it if the direct path may be cut."""
         if to == self._name:
-            self._local.append(message)
+            self._local_messages.append(message)
             return
         self.effects.append(Send(to, message))
         if isinstance(message, Relayed):
             return
-        if self._replying is not None and to == self._replying[0]:
-            self._send_over(self._replying[1], to, message)
-        elif isinstance(message, CONTENT_REQUESTS) and to in self._relay_of:
-            self._send_over(self._relay_of[to], to, message)
+        if self._reply_route is not None and to == self._reply_route[0]:
+            self._send_via(self._reply_route[1], to, message)
+        elif isinstance(message, CONTENT_REQUESTS) and to in self._relay_by_member:
+            self._send_via(self._relay_by_member[to], to, message)
         elif self._needs_relay(to, message):
-            helper = self._draw_helper(to)
+            helper = self._choose_helper(to)
             if helper is not None:
-                self._send_over(helper, to, message)
+                self._send_via(helper, to, message)
 
-    def _draw_helper(self, to: str) -> str | None:
-        """Return a member to relay a request to a voter; None where `MAX_DRAWS` find none.
+    def _choose_helper(self, to: str) -> str | None:
+        """Return a random member to relay a request to a voter; None if none is found.
 
-        A voter that does not answer this member is no help, as it would not get the request.
+        A voter that does not answer this member is not drawn: it would not get the request either.
         """
         for _ in range(MAX_DRAWS):
             name = self._rng.choice(self._gossip.others)
@@ -111,10 +115,10 @@
         is_request = isinstance(message, VOTER_REQUESTS) and self._prober.is_alive(to)
         return is_request and self.relays.needs_relay(to)
 
-    def _send_over(self, relay: str, to: str, message: Any) -> None:
+    def _send_via(self, relay: str, to: str, message: Any) -> None:
         self.effects.append(Send(relay, Relayed(self._name, to, message)))
 
     def send_all(self, messages: Iterable[tuple[str, Any]]) -> None:
-        """Send each to its addressee."""
+        """Send each message to its addressee."""
         for to, message in messages:
             self.send(to, message)
--- a/sailhitch/tier/voter_messages.py
+++ b/sailhitch/tier/voter_messages.py
@@ -1,4 +1,4 @@
-"""The messages to and from voters: requests that this member's voter answers, and replies to it."""
+"""Handles requests to this member's voter, and the replies of other voters."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class VoterMessages:
-    """Passes requests to the voter and replies to the proposer, and keeps the voters' stamps."""
+    """Dispatches requests and replies to the voter and the proposer, and records voters' stamps."""
 
     def __init__(self, parts: MemberParts, register: RegisterView, send_gossip: SendGossip) -> None:
         self._name = parts.config.name
@@ -44,11 +44,11 @@
         self._persisted_stamps = parts.persisted_stamps
         self._register = register
         self._send_gossip = send_gossip
-        # The sender and the request whose contents are being fetched.
-        self._unanswered: tuple[str, Accept] | None = None
+        # The sender and the request that is answered once the contents of its state are fetched.
+        self._deferred_accept: tuple[str, Accept] | None = None
 
     def on_request(self, sender: str, request: VoterRequest, now: int) -> None:
-        """Answer a request, if this member is a voter and can."""
+        """Answer a request, if this member is a voter and is able to."""
         if self._voter is None:
             return
         answer: Message | None = None
@@ -67,18 +67,18 @@
             self._outbox.send(sender, answer)
 
     def _accept(self, sender: str, request: Accept, now: int) -> Accepted | None:
-        """Return the answer; None while contents are fetched, or where the voter does not vote."""
+        """Return the answer; None while contents are fetched, or if the voter does not vote."""
         assert self._voter is not None
         self._proposer.observe_ballot(request.ballot)
         answer = self._voter.accept(request)
         if answer is None and self._voter.is_voting:
-            self._unanswered = sender, request
+            self._deferred_accept = sender, request
             self._exchange.fetch_for_vote(request.state, sender)
             self._exchange.send_requests(now)
         return answer
 
     def _grant_lease(self, sender: str, request: LeaseRequest, now: int) -> LeaseGrant | None:
-        """Return the answer; one that is refused a lease is first sent what it may lack."""
+        """Return the answer; a refused sender is first sent gossip with what it may have missed."""
         assert self._voter is not None
         chosen = self._register.chosen
         if not self._register.has_read_register or chosen is None:
@@ -109,31 +109,31 @@
             self._lease.on_grant(sender, message.number)
 
     def on_content_complete(self, now: int) -> None:
-        """Continue the recovery or the vote that waited for contents."""
+        """Continue the recovery or the vote that waited for the contents."""
         if self._voter is None:
             return
         self._voter.complete_recovery()
-        if self._unanswered is not None:
-            sender, request = self._unanswered
-            self._unanswered = None
+        if self._deferred_accept is not None:
+            sender, request = self._deferred_accept
+            self._deferred_accept = None
             self.on_request(sender, request, now)
 
     # --- Stamps
 
     def observe_stamps(self, stamps: dict[str, int]) -> None:
-        """Record the stamps that another member knows of the voters' votes."""
+        """Record the stamps of the voters' votes that another member has reported."""
         for voter, stamp in stamps.items():
             if stamp > self._stamps.get(voter, 0) or voter == self._name:
                 self.observe_stamp(voter, stamp)
 
     def observe_stamp(self, voter: str, stamp: int) -> None:
-        """Record a stamp of a voter; one of this member's own may show that it has lost votes."""
+        """Record a voter's stamp; one of this member's own may show that its votes were lost."""
         self._stamps[voter] = max(stamp, self._stamps.get(voter, 0))
         if self._voter is not None and voter == self._name:
             self._voter.observe_stamp(stamp)
 
     def persist_stamps(self) -> None:
-        """Persist the stamps of a voter if they have changed."""
+        """Persist the known stamps if this member is a voter and they have changed."""
         if self._voter is not None and self._stamps != self._persisted_stamps:
             self._persisted_stamps = dict(self._stamps)
             self._outbox.persist({STAMPS_KEY: msgspec.msgpack.encode(self._stamps)})
