--- a/sailhitch/pages/__init__.py
+++ b/sailhitch/pages/__init__.py
@@ -1,15 +1,15 @@
-"""A Merkle tree of small pages: the same entries have the same root, whatever led to them.
+"""A Merkle tree of small pages, whose root depends only on the entries and not on their history.
 
     interface    keys, changes, trees, and the limits of a page
-    paths        where a key lies
-    page         the encoding of one page, and its strict decoder
-    nodes        pages with their places in a tree, and how they are read
-    tree         building and updating
-    difference   what differs between two trees
-    compression  pages as they are stored and sent
+    paths        the position of a key in the tree
+    page         the encoding of a page, and its strict decoder
+    nodes        pages with their positions in a tree, and reading them
+    tree         building and updating trees
+    difference   the difference of two trees
+    compression  the compressed form in which pages are stored and sent
 
-It does no input or output of its own, and imports nothing of the program. docs/design/pages.md
-has the reasons.
+The package does no I/O, and imports nothing from the rest of the program. For the design, see
+docs/design/pages.md.
 """
 
 from .compression import compress, decompress
--- a/sailhitch/pages/compression.py
+++ b/sailhitch/pages/compression.py
@@ -1,4 +1,4 @@
-"""Pages as they are stored and sent: compressed by zlib, and unpacked within a bound."""
+"""Compresses pages with zlib for storage and transfer, and decompresses them up to a size limit."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 from .interface import PageError
 
-_LEVEL = 6
+_COMPRESSION_LEVEL = 6
 
 
 def compress(raw: bytes) -> bytes:
-    """Return the packed form of a page."""
-    return zlib.compress(raw, _LEVEL)
+    """Return the compressed form of a page."""
+    return zlib.compress(raw, _COMPRESSION_LEVEL)
 
 
-def decompress(packed: bytes, most: int) -> bytes:
-    """Return the page that was packed so, of at most `most` bytes; raises PageError."""
-    if most < 0:
-        raise ValueError(f"most {most}: at least 0")
-    unpacker = zlib.decompressobj()
+def decompress(compressed: bytes, max_size: int) -> bytes:
+    """Return the decompressed page; raises PageError if it is corrupt or too large."""
+    if max_size < 0:
+        raise ValueError(f"max_size {max_size}: must not be negative")
+    decompressor = zlib.decompressobj()
     try:
-        # One byte more than may be there, as a bound of 0 would stand for none.
-        raw = unpacker.decompress(packed, most + 1)
+        # One byte above the limit, because zlib takes a limit of 0 for no limit.
+        raw = decompressor.decompress(compressed, max_size + 1)
     except zlib.error as error:
-        raise PageError(f"packed page: {error}") from error
-    if len(raw) > most:
-        raise PageError(f"packed page: more than {most} bytes when unpacked")
-    if not unpacker.eof:
-        raise PageError("packed page: ends too early")
-    if unpacker.unused_data:
-        raise PageError(f"packed page: {len(unpacker.unused_data)} bytes after its end")
+        raise PageError(f"compressed page: {error}") from error
+    if len(raw) > max_size:
+        raise PageError(f"compressed page: more than {max_size} bytes when decompressed")
+    if not decompressor.eof:
+        raise PageError("compressed page: ends too early")
+    if decompressor.unused_data:
+        raise PageError(f"compressed page: {len(decompressor.unused_data)} bytes after its end")
     return raw
--- a/sailhitch/pages/nodes.py
+++ b/sailhitch/pages/nodes.py
@@ -1,7 +1,7 @@
-"""Nodes of a tree in memory, and how they are read from pages.
+"""The nodes of a tree in memory, and reading them from pages.
 
-A page alone does not say where it lies; a node does. Reading a child checks what its parent says:
-the place, the number of entries and their size.
+Unlike a page, a node knows its position in the tree. Reading a child verifies what its parent says
+about it: the position, the number of entries and their size.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from dataclasses import dataclass
 
 from .interface import Key, PageError, PageSource
-from .page import Branch, Leaf, Reference, verified
+from .page import Branch, Leaf, Reference, decode_verified
 from .paths import PATH_DIGITS
 
 
 @dataclass(frozen=True, slots=True)
 class Subtree:
-    """A subtree that is in a source and not read; all its paths begin with its place."""
+    """A subtree that has not been read from its source; all its paths begin with `position`."""
 
-    place: str
+    position: str
     reference: Reference
 
     @property
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BranchNode:
-    """A branch with the whole prefix of the paths below it, and the totals of its children."""
+    """A branch with the full common prefix of the paths below it, and its children's totals."""
 
     prefix: str
     children: Mapping[str, Node]
@@ -53,14 +53,14 @@
 
 
 def read_root(source: PageSource, root: str) -> Leaf | BranchNode:
-    """Return the root's node; raises PageError, and KeyError if the source does not have it."""
-    return _place(verified(source.page(root), root), "", root)
+    """Return the root's node; raises PageError, or KeyError if the source does not have it."""
+    return _make_node(decode_verified(source.page(root), root), "", root)
 
 
 def read_subtree(source: PageSource, subtree: Subtree) -> Leaf | BranchNode:
-    """Return the subtree's first node; raises PageError, and KeyError for a missing page."""
+    """Return the top node of a subtree; raises PageError, or KeyError for a missing page."""
     digest = subtree.reference.digest
-    node = _place(verified(source.page(digest), digest), subtree.place, digest)
+    node = _make_node(decode_verified(source.page(digest), digest), subtree.position, digest)
     if (node.count, node.size) != (subtree.count, subtree.size):
         raise PageError(
             f"page {digest}: {node.count} entries of {node.size} bytes, "
@@ -69,11 +69,11 @@
     return node
 
 
-def _place(page: Leaf | Branch, place: str, digest: str) -> Leaf | BranchNode:
+def _make_node(page: Leaf | Branch, position: str, digest: str) -> Leaf | BranchNode:
     if isinstance(page, Leaf):
-        _check_place(page, place, digest)
+        _check_position(page, position, digest)
         return page
-    prefix = place + page.skip
+    prefix = position + page.skip
     if len(prefix) >= PATH_DIGITS:
         raise PageError(f"page {digest}: branch at digit {len(prefix)}, of {PATH_DIGITS} in a path")
     children = {
@@ -82,21 +82,21 @@
     return make_branch(prefix, children)
 
 
-def _check_place(leaf: Leaf, place: str, digest: str) -> None:
-    """Check a leaf's place; as entries are in order, all have its prefix if the ends have it."""
+def _check_position(leaf: Leaf, position: str, digest: str) -> None:
+    """Check a leaf's position; entries are sorted, so the first and the last one suffice."""
     for entry in (*leaf.entries[:1], *leaf.entries[-1:]):
-        if not entry.path.startswith(place):
-            raise PageError(f"page {digest}: entry {entry.key!r} does not belong at {place!r}")
+        if not entry.path.startswith(position):
+            raise PageError(f"page {digest}: entry {entry.key!r} does not belong at {position!r}")
 
 
 def read_entries(source: PageSource, root: str) -> Iterator[tuple[Key, bytes]]:
-    """All entries in the order of their paths; raises PageError, and KeyError for a page's lack."""
-    waiting: list[Node] = [read_root(source, root)]
-    while waiting:
-        node = waiting.pop()
+    """Yield all entries sorted by path; raises PageError, or KeyError for a missing page."""
+    stack: list[Node] = [read_root(source, root)]
+    while stack:
+        node = stack.pop()
         if isinstance(node, Subtree):
             node = read_subtree(source, node)
         if isinstance(node, Leaf):
             yield from ((entry.key, entry.value) for entry in node.entries)
         else:
-            waiting.extend(reversed(list(node.children.values())))
+            stack.extend(reversed(list(node.children.values())))
--- a/sailhitch/pages/page.py
+++ b/sailhitch/pages/page.py
@@ -1,11 +1,11 @@
-"""The encoding of one page: a leaf of entries, or a branch of up to four children.
+"""The encoding of a page: a leaf of entries, or a branch with up to four children.
 
 Integers are big-endian. Each page has exactly one encoding, and the decoder accepts no other.
 
 - Leaf: `L`, then for each entry, in the order of paths: the lengths of group, name and value
   (2, 2 and 4 bytes), the group, the name, the value.
-- Branch: `B`, the number of digits that it skips (1 byte), these digits (four to a byte, the first
-  in the highest bits, zeros in what is left of the last byte), a bit for each child (1 byte, the
+- Branch: `B`, the number of digits that it skips (1 byte), these digits (four per byte, the first
+  one in the highest bits, the last byte padded with zeros), a bit for each child (1 byte, the
   lowest bit for digit 0, the upper four bits zero), then for each child, in the order of digits:
   digest (32 bytes), number of entries (4 bytes) and encoded size of the entries (8 bytes) of its
   subtree.
@@ -33,14 +33,14 @@
 _BRANCH = b"B"
 _LENGTHS = struct.Struct(">HHI")
 _CHILD = struct.Struct(">32sIQ")
-_SKIP_AT = 2  # after the kind and the number of skipped digits
+_SKIP_OFFSET = 2  # offset of the skipped digits, after the kind and their number
 MAX_ENTRY_BYTES = MAX_PAGE_BYTES - len(_LEAF)
 _MAX_COUNT = (1 << 32) - 1
 _MAX_SIZE = (1 << 64) - 1
 
 
 class Entry(NamedTuple):
-    """An entry with its path, and as it stands in a leaf."""
+    """An entry with its path and its encoding in a leaf."""
 
     path: str
     key: Key
@@ -48,7 +48,7 @@
 
     @property
     def value(self) -> bytes:
-        """The encoded value."""
+        """The entry's value, a part of `encoded`."""
         return self.encoded[len(self.encoded) - _LENGTHS.unpack_from(self.encoded)[2] :]
 
 
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reference:
-    """What a branch holds of a child: its digest, and the totals of the entries below it."""
+    """A branch's reference to a child: its digest, and the totals of the entries below it."""
 
     digest: str
     count: int
@@ -80,19 +80,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Branch:
-    """The digits that all paths below share from the page's place on, and children by digit."""
+    """Children by digit; `skip` is the common prefix of their paths after the page's position."""
 
     skip: str
     children: Mapping[str, Reference]
 
 
 def page_digest(raw: bytes) -> str:
-    """Return the name of a page: its SHA-256 in hexadecimal digits."""
+    """Return a page's digest: its SHA-256 in hex."""
     return sha256(raw).hexdigest()
 
 
 def make_entry(key: Key, value: bytes) -> Entry:
-    """Return the entry for a key and its value; raises ValueError if either is too long."""
+    """Return the entry of a key and its value; raises ValueError if either is too long."""
     group = _encode_name("group", key.group)
     name = _encode_name("name", key.name)
     encoded = b"".join((_LENGTHS.pack(len(group), len(name), len(value)), group, name, value))
@@ -104,7 +104,7 @@
 
 
 def check_key(key: Key) -> None:
-    """Raise ValueError if the key can't be that of an entry."""
+    """Raise ValueError if the key is not a valid one."""
     _encode_name("group", key.group)
     _encode_name("name", key.name)
 
@@ -122,16 +122,16 @@
 
 
 def encode_leaf(entries: Iterable[Entry]) -> bytes:
-    """Return the raw page of entries that are in the order of their paths."""
+    """Return the page of these entries, which are sorted by path."""
     return _LEAF + b"".join(entry.encoded for entry in entries)
 
 
 def encode_branch(branch: Branch) -> bytes:
-    """Return the raw page of a branch."""
+    """Return the page of a branch."""
     skip = branch.skip
     digits = sorted(branch.children)
-    present = sum(1 << DIGITS.index(digit) for digit in digits)
-    parts = [_BRANCH, bytes((len(skip),)), pack_digits(skip), bytes((present,))]
+    child_bits = sum(1 << DIGITS.index(digit) for digit in digits)
+    parts = [_BRANCH, bytes((len(skip),)), pack_digits(skip), bytes((child_bits,))]
     for digit in digits:
         child = branch.children[digit]
         parts.append(_CHILD.pack(bytes.fromhex(child.digest), child.count, child.size))
@@ -139,7 +139,7 @@
 
 
 def decode(raw: bytes) -> Leaf | Branch:
-    """Return the page that is encoded so; raises PageError if none is."""
+    """Return the decoded page; raises PageError if it is malformed."""
     if len(raw) > MAX_PAGE_BYTES:
         raise PageError(f"page: {len(raw)} bytes, at most {MAX_PAGE_BYTES}")
     kind = raw[:1]
@@ -152,32 +152,34 @@
 
 def _decode_leaf(raw: bytes) -> Leaf:
     entries: list[Entry] = []
-    at = len(_LEAF)
+    offset = len(_LEAF)
     previous = ""
-    while at < len(raw):
-        entry = _decode_entry(raw, at)
+    while offset < len(raw):
+        entry = _decode_entry(raw, offset)
         if entry.path <= previous:
-            raise PageError(f"leaf, byte {at}: entry {entry.key!r} is not after the one before it")
+            raise PageError(
+                f"leaf, byte {offset}: entry {entry.key!r} is not after the one before it"
+            )
         previous = entry.path
         entries.append(entry)
-        at += len(entry.encoded)
+        offset += len(entry.encoded)
     return Leaf(tuple(entries))
 
 
-def _decode_entry(raw: bytes, at: int) -> Entry:
-    start = at + _LENGTHS.size
+def _decode_entry(raw: bytes, offset: int) -> Entry:
+    start = offset + _LENGTHS.size
     if start > len(raw):
-        raise PageError(f"leaf, byte {at}: ends within the lengths of an entry")
-    group_length, name_length, value_length = _LENGTHS.unpack_from(raw, at)
+        raise PageError(f"leaf, byte {offset}: ends within the lengths of an entry")
+    group_length, name_length, value_length = _LENGTHS.unpack_from(raw, offset)
     name_start = start + group_length
     value_start = name_start + name_length
     end = value_start + value_length
     if end > len(raw):
-        raise PageError(f"leaf, byte {at}: ends within an entry of {end - at} bytes")
+        raise PageError(f"leaf, byte {offset}: ends within an entry of {end - offset} bytes")
     group = _decode_name("group", raw, start, name_start)
     name = _decode_name("name", raw, name_start, value_start)
     key = Key(group, name)
-    return Entry(key_path(key), key, raw[at:end])
+    return Entry(key_path(key), key, raw[offset:end])
 
 
 def _decode_name(field: str, raw: bytes, start: int, end: int) -> str:
@@ -192,31 +194,31 @@
 
 
 def _decode_branch(raw: bytes) -> Branch:
-    skip, at = _decode_skip(raw)
-    if at == len(raw):
+    skip, offset = _decode_skip(raw)
+    if offset == len(raw):
         raise PageError("branch: ends before its children")
-    present = raw[at]
-    at += 1
-    if present >> len(DIGITS):
-        raise PageError(f"branch: child bits {present:#04x}, at most {len(DIGITS)} children")
-    digits = [digit for bit, digit in enumerate(DIGITS) if present >> bit & 1]
+    child_bits = raw[offset]
+    offset += 1
+    if child_bits >> len(DIGITS):
+        raise PageError(f"branch: child bits {child_bits:#04x}, at most {len(DIGITS)} children")
+    digits = [digit for bit, digit in enumerate(DIGITS) if child_bits >> bit & 1]
     if len(digits) < 2:
         raise PageError(f"branch: {len(digits)} children, at least 2")
-    expected = at + len(digits) * _CHILD.size
+    expected = offset + len(digits) * _CHILD.size
     if len(raw) != expected:
         raise PageError(f"branch: {len(raw)} bytes, its {len(digits)} children take {expected}")
     children = {
-        digit: _decode_child(raw, at + index * _CHILD.size, digit)
+        digit: _decode_child(raw, offset + index * _CHILD.size, digit)
         for index, digit in enumerate(digits)
     }
     if len({child.digest for child in children.values()}) < len(children):
-        raise PageError("branch: has a child twice")
+        raise PageError("branch: two children have the same digest")
     _check_totals(children)
     return Branch(skip, children)
 
 
 def _check_totals(children: Mapping[str, Reference]) -> None:
-    """Check that the totals fit into the page of a branch above."""
+    """Check that the totals fit into the fields of a parent branch's page."""
     count = sum(child.count for child in children.values())
     if count > _MAX_COUNT:
         raise PageError(f"branch: {count} entries, at most {_MAX_COUNT}")
@@ -226,22 +228,22 @@
 
 
 def _decode_skip(raw: bytes) -> tuple[str, int]:
-    if len(raw) < _SKIP_AT:
+    if len(raw) < _SKIP_OFFSET:
         raise PageError("branch: ends before the number of skipped digits")
     length = raw[1]
     if length >= PATH_DIGITS:
         raise PageError(f"branch: skips {length} digits, at most {PATH_DIGITS - 1}")
-    end = _SKIP_AT + -(-length // DIGITS_PER_BYTE)
+    end = _SKIP_OFFSET + -(-length // DIGITS_PER_BYTE)
     if end > len(raw):
         raise PageError("branch: ends within the skipped digits")
-    digits = unpack_digits(raw[_SKIP_AT:end])
+    digits = unpack_digits(raw[_SKIP_OFFSET:end])
     if digits[length:].strip("0"):
-        raise PageError("branch: the skipped digits are not followed by zero digits")
+        raise PageError("branch: the skipped digits are not padded with zeros")
     return digits[:length], end
 
 
-def _decode_child(raw: bytes, at: int, digit: str) -> Reference:
-    digest, count, size = _CHILD.unpack_from(raw, at)
+def _decode_child(raw: bytes, offset: int, digit: str) -> Reference:
+    digest, count, size = _CHILD.unpack_from(raw, offset)
     if not count:
         raise PageError(f"branch: child {digit} has no entries")
     if size < count * _LENGTHS.size:
@@ -252,7 +254,7 @@
 def child_digests(raw: bytes) -> tuple[str, ...]:
     """Return the digests of a branch's children, () for a leaf; raises PageError.
 
-    A leaf's entries are not looked at: `verify` does that.
+    A leaf's entries are not checked; `verify` does that.
     """
     if raw[:1] == _LEAF and len(raw) <= MAX_PAGE_BYTES:
         return ()
@@ -262,15 +264,15 @@
     return tuple(child.digest for child in page.children.values())
 
 
-def verified(raw: bytes, digest: str) -> Leaf | Branch:
-    """Return the page with this digest; raises PageError if it is malformed or another."""
+def decode_verified(raw: bytes, digest: str) -> Leaf | Branch:
+    """Return the decoded page; raises PageError if it is malformed or has another digest."""
     page = decode(raw)
     actual = page_digest(raw)
     if actual != digest:
-        raise PageError(f"page {digest}: its content has the digest {actual}")
+        raise PageError(f"page {digest}: actual digest is {actual}")
     return page
 
 
 def verify(raw: bytes, digest: str) -> None:
-    """Raise PageError if the page is malformed, too large, or not the one with this digest."""
-    verified(raw, digest)
+    """Raise PageError if the page is malformed, is too large, or has another digest."""
+    decode_verified(raw, digest)
--- a/sailhitch/pages/paths.py
+++ b/sailhitch/pages/paths.py
@@ -1,4 +1,4 @@
-"""Where a key lies in the tree: its path, a string of 128 digits of base 4."""
+"""Paths: a key's position in the tree as a string of 128 base-4 digits."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 
 
 def key_path(key: Key) -> str:
-    """8 bytes of the group's hash, then 24 bytes of the hash of the group and the name."""
+    """Return 8 bytes of the group's hash and 24 bytes of the hash of group and name, as digits."""
     name_hash = sha256(f"{key.group}\0{key.name}".encode()).digest()
     return _group_digits(key.group) + unpack_digits(name_hash[:_NAME_BYTES])
 
 
 def pack_digits(digits: str) -> bytes:
-    """Four digits to a byte, the first in the highest bits; zeros fill the last byte."""
+    """Pack four digits into a byte, the first in the highest bits; zeros pad the last byte."""
     length = -(-len(digits) // DIGITS_PER_BYTE)
     filled = digits.ljust(length * DIGITS_PER_BYTE, "0")
     return int(filled or "0", len(DIGITS)).to_bytes(length, "big")
 
 
 def unpack_digits(packed: bytes) -> str:
-    """Return the digits of all bytes, four for each."""
+    """Return the digits of all bytes, four per byte."""
     return "".join([_BYTE_DIGITS[byte] for byte in packed])
 
 
 def common_prefix(first: str, second: str) -> str:
-    """Return the longest string that both begin with."""
+    """Return the longest common prefix."""
     for index, (left, right) in enumerate(zip(first, second, strict=False)):
         if left != right:
             return first[:index]
--- a/tests/page_sources.py
+++ b/tests/page_sources.py
@@ -1,4 +1,4 @@
-"""A source of pages for tests: a dictionary that remembers which pages were read."""
+"""A page source for tests: a dictionary that records which pages were read."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Pages:
-    """Pages by digest, and the digests of those that were asked for."""
+    """Pages by digest, and the digests of those requested."""
 
     def __init__(self, pages: Mapping[str, bytes]) -> None:
         self.pages = dict(pages)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -257,7 +257,7 @@
     ("statement", "said"),
     [
         ("UPDATE pages SET packed = substr(packed, 1, length(packed) / 2)", "ends too early"),
-        ("UPDATE pages SET packed = x'00'", "packed page"),
+        ("UPDATE pages SET packed = x'00'", "compressed page"),
         ("DELETE FROM pages", "its page .* is not in"),
     ],
 )
