--- a/sailhitch/tier/block_fetcher.py
+++ b/sailhitch/tier/block_fetcher.py
@@ -26,13 +26,13 @@
     return hashlib.sha256(content).hexdigest()
 
 
-def unpack(packed: bytes) -> bytes:
+def decompress_content(compressed: bytes) -> bytes:
     """Return the decompressed content.
 
     Raises ValueError if it is too large or truncated, and zlib.error if it is corrupt.
     """
     decompressor = zlib.decompressobj()
-    content = decompressor.decompress(packed, MAX_CONTENT_BYTES)
+    content = decompressor.decompress(compressed, MAX_CONTENT_BYTES)
     if decompressor.unconsumed_tail or not decompressor.eof:
         raise ValueError("content is too large or truncated")
     return content
@@ -150,17 +150,17 @@
         fetch.requested_at.pop(block.offset, None)
         if len(fetch.blocks) * BLOCK_SIZE < fetch.total:
             return None
-        packed = fetch.join_blocks()
+        compressed = fetch.join_blocks()
         del self._fetches[block.digest]
-        if not _has_digest(packed, block.digest):
+        if not _has_digest(compressed, block.digest):
             self.corrupt_count += 1
             self._fetches[block.digest] = _ContentFetch(fetch.source)
             return None
-        return packed
+        return compressed
 
 
-def _has_digest(packed: bytes, digest: str) -> bool:
+def _has_digest(compressed: bytes, digest: str) -> bool:
     try:
-        return digest_of(unpack(packed)) == digest
+        return digest_of(decompress_content(compressed)) == digest
     except (ValueError, zlib.error):
         return False
--- a/sailhitch/tier/content_store.py
+++ b/sailhitch/tier/content_store.py
@@ -24,7 +24,7 @@
 from typing import Final, NamedTuple
 
 from ..pages import Tree, child_digests, compress
-from .block_fetcher import BlockFetcher, digest_of, unpack
+from .block_fetcher import BlockFetcher, decompress_content, digest_of
 from .fetch_status import FetchStatus
 from .messages import Block, BlockRequest, PageBlock, PageRange, PageReply, PageRequest
 from .page_fetcher import (
@@ -98,7 +98,7 @@
 
         Members for which `is_alive` returns False are the last to be asked for pages.
         """
-        self.packed = dict(contents)
+        self.compressed = dict(contents)
         self._pages = PageStore(pages or {})
         request_budget = TokenBucket(BYTES_PER_SECOND, BURST_BYTES, now)
         self._reply_budget = TokenBucket(BYTES_PER_SECOND, BURST_BYTES, now)
@@ -127,11 +127,11 @@
 
     def _has_content(self, digest: str) -> bool:
         root = root_of(digest)
-        return digest in self.packed if root is None else self._pages.is_complete(root)
+        return digest in self.compressed if root is None else self._pages.is_complete(root)
 
     def read(self, digest: str) -> bytes:
         """Return a blob; raises KeyError."""
-        return unpack(self.packed[digest])
+        return decompress_content(self.compressed[digest])
 
     def page(self, digest: str) -> bytes:
         """Return an uncompressed page by its own digest (implements `pages.PageSource`).
@@ -149,18 +149,18 @@
         if isinstance(content, Tree):
             return tree_digest(content.root), self._add_tree(content)
         digest = digest_of(content)
-        packed = zlib.compress(content, 6)
-        self.packed[digest] = packed
+        compressed = zlib.compress(content, 6)
+        self.compressed[digest] = compressed
         self._block_fetcher.forget(digest)
-        return digest, {CONTENT_KEY_PREFIX + digest: packed}
+        return digest, {CONTENT_KEY_PREFIX + digest: compressed}
 
     def _add_tree(self, tree: Tree) -> dict[str, bytes]:
         persisted = {}
         for digest, children in self._children_of_new(tree).items():
-            packed = compress(tree.pages[digest])
+            compressed = compress(tree.pages[digest])
             self._page_fetcher.forget(digest)
-            self._pages.insert(digest, packed, children)
-            persisted[PAGE_KEY_PREFIX + digest] = packed
+            self._pages.insert(digest, compressed, children)
+            persisted[PAGE_KEY_PREFIX + digest] = compressed
         return persisted
 
     def _children_of_new(self, tree: Tree) -> dict[str, tuple[str, ...]]:
@@ -186,9 +186,9 @@
     def retain_only(self, digests: Collection[str]) -> list[str]:
         """Remove all other contents and cancel their fetches; return the disk items to delete."""
         retained = set(digests)
-        removed = [digest for digest in self.packed if digest not in retained]
+        removed = [digest for digest in self.compressed if digest not in retained]
         for digest in removed:
-            del self.packed[digest]
+            del self.compressed[digest]
         removed_pages = self._pages.retain_only(_tree_roots(retained))
         self.fetch_only(retained)
         names = [CONTENT_KEY_PREFIX + digest for digest in removed]
@@ -214,7 +214,7 @@
         """Start to fetch a content; `source` is the member most likely to have it."""
         root = root_of(digest)
         if root is None:
-            if digest not in self.packed:
+            if digest not in self.compressed:
                 self._block_fetcher.add(digest, source)
             return
         self._pages.pin(root)
@@ -257,20 +257,20 @@
 
     def take_block(self, block: Block) -> Arrival:
         """Process a received block of a blob."""
-        packed = self._block_fetcher.take(block)
-        if packed is None:
+        compressed = self._block_fetcher.take(block)
+        if compressed is None:
             return NO_ARRIVAL
-        self.packed[block.digest] = packed
-        return Arrival({CONTENT_KEY_PREFIX + block.digest: packed}, True)
+        self.compressed[block.digest] = compressed
+        return Arrival({CONTENT_KEY_PREFIX + block.digest: compressed}, True)
 
     def take_pages(self, sender: str, reply: PageReply, now: int) -> Arrival:
         """Process received blocks of pages."""
         persisted = {}
         for page in self._page_fetcher.take(sender, reply, now):
-            self._pages.insert(page.digest, page.packed, page.children)
+            self._pages.insert(page.digest, page.compressed, page.children)
             for child in page.children:
                 self._page_fetcher.add(self._pages.missing_pages(child))
-            persisted[PAGE_KEY_PREFIX + page.digest] = page.packed
+            persisted[PAGE_KEY_PREFIX + page.digest] = page.compressed
         complete = {root for root in self._wanted_roots if self._pages.is_complete(root)}
         self._wanted_roots -= complete
         return Arrival(persisted, bool(complete))
@@ -279,14 +279,14 @@
 
     def answer_block(self, request: BlockRequest, now: int) -> Block | None:
         """Return a block of a stored blob, if the reply budget allows it."""
-        packed = self.packed.get(request.digest)
+        compressed = self.compressed.get(request.digest)
         offset = request.offset
-        if packed is None or not 0 <= offset < len(packed) or offset % BLOCK_SIZE:
+        if compressed is None or not 0 <= offset < len(compressed) or offset % BLOCK_SIZE:
             return None
-        data = packed[offset : offset + BLOCK_SIZE]
+        data = compressed[offset : offset + BLOCK_SIZE]
         if not self._reply_budget.take(len(data) + BLOCK_HEADER, now):
             return None
-        return Block(request.digest, offset, len(packed), data)
+        return Block(request.digest, offset, len(compressed), data)
 
     def answer_pages(self, request: PageRequest, now: int) -> list[PageReply]:
         """Return the requested blocks of pages, several small ones in a reply.
@@ -296,23 +296,25 @@
         blocks = []
         refused = []
         for page_range in request.ranges[:MAX_RANGES_PER_REQUEST]:
-            packed = self._pages.packed(page_range.digest.hex())
-            available = [] if packed is None else list(self._blocks(packed, page_range, now))
+            compressed = self._pages.compressed(page_range.digest.hex())
+            available = (
+                [] if compressed is None else list(self._blocks(compressed, page_range, now))
+            )
             blocks += available
             if not available:
                 refused.append(page_range.digest)
         replies = [PageReply(group, []) for group in _group_by_datagram(blocks)]
         return [*replies, PageReply([], refused)] if refused else replies
 
-    def _blocks(self, packed: bytes, page_range: PageRange, now: int) -> Iterator[PageBlock]:
+    def _blocks(self, compressed: bytes, page_range: PageRange, now: int) -> Iterator[PageBlock]:
         """Yield the requested blocks that exist, as far as the reply budget allows."""
         start = page_range.offset
-        total = len(packed)
+        total = len(compressed)
         if start < 0 or start % BLOCK_SIZE:
             return
         end = min(total, start + min(page_range.blocks, MAX_BLOCKS_PER_RANGE) * BLOCK_SIZE)
         for offset in range(start, end, BLOCK_SIZE):
-            data = packed[offset : offset + BLOCK_SIZE]
+            data = compressed[offset : offset + BLOCK_SIZE]
             if not self._reply_budget.take(len(data) + BLOCK_HEADER, now):
                 return
             yield PageBlock(page_range.digest, offset, total, data)
--- a/sailhitch/tier/page_fetcher.py
+++ b/sailhitch/tier/page_fetcher.py
@@ -43,7 +43,7 @@
     """A complete and verified page."""
 
     digest: str
-    packed: bytes
+    compressed: bytes
     children: tuple[str, ...]
 
 
@@ -201,11 +201,11 @@
 
     def _finish(self, digest: str, fetch: PageFetch) -> FetchedPage | None:
         """Return a page whose blocks have all arrived, if it matches its digest."""
-        packed = fetch.join_blocks()
+        compressed = fetch.join_blocks()
         try:
-            raw = decompress(packed, MAX_PAGE_BYTES)
+            raw = decompress(compressed, MAX_PAGE_BYTES)
             verify(raw, digest)
-            page = FetchedPage(digest, packed, child_digests(raw))
+            page = FetchedPage(digest, compressed, child_digests(raw))
         except PageError:
             self._on_corrupt(digest, fetch)
             return None
--- a/sailhitch/tier/page_store.py
+++ b/sailhitch/tier/page_store.py
@@ -16,7 +16,7 @@
 class PageStore:
     """Pages by digest; implements `pages.PageSource`."""
 
-    def __init__(self, packed: Mapping[str, bytes]) -> None:
+    def __init__(self, compressed: Mapping[str, bytes]) -> None:
         self._packed: dict[str, bytes] = {}
         self._children: dict[str, tuple[str, ...]] = {}
         self._references: dict[str, int] = {}  # counts, of stored and of missing pages
@@ -27,7 +27,7 @@
         self._waiting_parents: dict[str, set[str]] = {}  # by incomplete child
         self.size = 0  # bytes of all compressed pages
         self._unreadable: list[str] = []  # not stored, but to be deleted from disk
-        for digest, page in packed.items():
+        for digest, page in compressed.items():
             try:
                 self.insert(digest, page, child_digests(decompress(page, MAX_PAGE_BYTES)))
             except PageError:
@@ -48,7 +48,7 @@
         """Return the digests of a page's children; raises KeyError."""
         return self._children[digest]
 
-    def packed(self, digest: str) -> bytes | None:
+    def compressed(self, digest: str) -> bytes | None:
         """Return a compressed page; None if it is not stored."""
         return self._packed.get(digest)
 
@@ -73,13 +73,13 @@
 
     # --- Adding pages
 
-    def insert(self, digest: str, packed: bytes, children: tuple[str, ...]) -> None:
+    def insert(self, digest: str, compressed: bytes, children: tuple[str, ...]) -> None:
         """Add a verified page; `children` are the digests of its children."""
         if digest in self._packed:
             return
-        self._packed[digest] = packed
+        self._packed[digest] = compressed
         self._children[digest] = children
-        self.size += len(packed)
+        self.size += len(compressed)
         for child in children:
             self._add_reference(child)
         if not self._references.get(digest):
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -256,8 +256,8 @@
         def answer(request: PageRequest, now: int) -> list[PageReply]:
             replies = []
             for wanted in request.ranges:
-                packed = compress(store.page(wanted.digest.hex()))
-                sent = make(wanted.digest, packed)
+                compressed = compress(store.page(wanted.digest.hex()))
+                sent = make(wanted.digest, compressed)
                 blocks = [
                     PageBlock(wanted.digest, at, len(sent), sent[at : at + BLOCK_SIZE])
                     for at in range(0, len(sent), BLOCK_SIZE)
@@ -279,15 +279,15 @@
 CORRUPT_SOURCES: dict[str, Callable[[ContentStore], Source]] = {
     "flipped bit": _altering_blocks(lambda one: one._replace(data=_flipped(one.data))),
     "truncated block": _altering_blocks(lambda one: one._replace(data=one.data[:-1])),
-    "truncated page": _altering_pages(lambda digest, packed: packed[:-5]),
+    "truncated page": _altering_pages(lambda digest, compressed: compressed[:-5]),
     "other page": _altering_pages(
-        lambda digest, packed: compress(OTHER_TREE.pages[OTHER_TREE.root])
+        lambda digest, compressed: compress(OTHER_TREE.pages[OTHER_TREE.root])
     ),
-    "data after its end": _altering_pages(lambda digest, packed: packed + b"x"),
+    "data after its end": _altering_pages(lambda digest, compressed: compressed + b"x"),
     "total above the limit": _altering_blocks(lambda one: one._replace(total=1 << 40)),
-    "decompresses to more than the limit": _altering_pages(lambda digest, packed: BOMB),
+    "decompresses to more than the limit": _altering_pages(lambda digest, compressed: BOMB),
     "uncompressed size above the limit": _altering_pages(
-        lambda digest, packed: compress(b"L" * (MAX_PAGE_BYTES + 1))
+        lambda digest, compressed: compress(b"L" * (MAX_PAGE_BYTES + 1))
     ),
     "empty": _altering_blocks(lambda one: one._replace(data=b"", total=0)),
     "unaligned offset": _altering_blocks(lambda one: one._replace(offset=one.offset + 1)),
@@ -320,7 +320,7 @@
     raw = b"B\0\0\x80\1" + b"\0" * 44  # a branch with one child
     digest = tree_digest(page_digest(raw))
     simulation = FetchSimulation(
-        {"a": _altering_pages(lambda name, packed: compress(raw))(store_of(OTHER_TREE))}
+        {"a": _altering_pages(lambda name, compressed: compress(raw))(store_of(OTHER_TREE))}
     )
     simulation.sources["a"] = lambda request, now: [
         PageReply([PageBlock(r.digest, 0, len(compress(raw)), compress(raw))], [])
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -703,12 +703,12 @@
 
 @given(st.binary(max_size=3000))
 def test_compressed_pages_are_restored(raw: bytes) -> None:
-    packed = compress(raw)
-    assert decompress(packed, len(raw)) == raw
-    assert decompress(packed, MAX_PAGE_BYTES) == raw
+    compressed = compress(raw)
+    assert decompress(compressed, len(raw)) == raw
+    assert decompress(compressed, MAX_PAGE_BYTES) == raw
     if raw:
         with pytest.raises(PageError, match=f"more than {len(raw) - 1} bytes"):
-            decompress(packed, len(raw) - 1)
+            decompress(compressed, len(raw) - 1)
 
 
 def test_a_decompression_bomb_stops_at_the_size_limit() -> None:
@@ -725,18 +725,22 @@
 
 def test_invalid_compressed_pages_are_refused() -> None:
     raw = SAMPLES[0]
-    packed = compress(raw)
-    for length in range(len(packed)):
+    compressed = compress(raw)
+    for length in range(len(compressed)):
         with pytest.raises(PageError, match="compressed page: ends too early"):
-            decompress(packed[:length], len(raw))
-    for tail in (b"\0", packed):
+            decompress(compressed[:length], len(raw))
+    for tail in (b"\0", compressed):
         with pytest.raises(PageError, match=f"{len(tail)} bytes after its end"):
-            decompress(packed + tail, len(raw))
-    for wrong in (b"not packed", packed[:-1] + bytes((packed[-1] ^ 1,)), b"\x78\xbb" + packed[2:]):
+            decompress(compressed + tail, len(raw))
+    for wrong in (
+        b"not packed",
+        compressed[:-1] + bytes((compressed[-1] ^ 1,)),
+        b"\x78\xbb" + compressed[2:],
+    ):
         with pytest.raises(PageError, match="compressed page: "):
             decompress(wrong, len(raw))
     with pytest.raises(ValueError, match="max_size -1"):
-        decompress(packed, -1)
+        decompress(compressed, -1)
 
 
 def test_a_size_limit_of_zero_is_a_limit() -> None:
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -290,7 +290,7 @@
                 sink.take_block(block)
         if sink.has(digest):
             break
-    assert sink.packed == {digest: kept[CONTENT_KEY_PREFIX + digest]}
+    assert sink.compressed == {digest: kept[CONTENT_KEY_PREFIX + digest]}
     assert sink.read(digest) == content
 
 
@@ -316,8 +316,8 @@
     content = random.Random(3).randbytes(4 * BLOCK_SIZE).hex().encode()
     gone, alive, sink = ContentStore({}), ContentStore({}), ContentStore({})
     digest, _ = alive.add(content)
-    gone.packed[digest] = zlib.compress(content, 0)
-    assert len(gone.packed[digest]) != len(alive.packed[digest])
+    gone.compressed[digest] = zlib.compress(content, 0)
+    assert len(gone.compressed[digest]) != len(alive.compressed[digest])
     rng = random.Random(1)
     sink.fetch(digest, "gone")
     [(_, first)] = sink.requests(0, rng, [["alive"]])
@@ -340,13 +340,13 @@
     digest, _ = source.add(b"x" * 10)
     other = ContentStore({})
     wrong, kept = other.add(b"another")
-    packed = kept[CONTENT_KEY_PREFIX + wrong]
+    compressed = kept[CONTENT_KEY_PREFIX + wrong]
     sink.fetch(digest, "a")
-    assert sink.take_block(Block(digest, 0, len(packed), packed)) == NO_ARRIVAL
+    assert sink.take_block(Block(digest, 0, len(compressed), compressed)) == NO_ARRIVAL
     assert sink.corrupt_count == 1
     assert not sink.has(digest)
     assert sink.take_block(Block(digest, 0, 1 << 40, b"")) == NO_ARRIVAL
-    never_asked_for = Block(wrong, 0, len(packed), packed)
+    never_asked_for = Block(wrong, 0, len(compressed), compressed)
     assert sink.take_block(never_asked_for) == NO_ARRIVAL
     assert source.answer_block(BlockRequest(digest, 7), 0) is None
     assert source.answer_block(BlockRequest(digest, 1 << 40), 0) is None
