--- a/sailhitch/tier/block_fetcher.py
+++ b/sailhitch/tier/block_fetcher.py
@@ -132,7 +132,7 @@
                 requests.append((fetch.source, BlockRequest(digest, offset)))
         return requests
 
-    def take(self, block: Block) -> bytes | None:
+    def on_block(self, block: Block) -> bytes | None:
         """Process a block; return the compressed content once it is complete and verified."""
         fetch = self._fetches.get(block.digest)
         if fetch is None or not 0 < block.total <= MAX_CONTENT_BYTES or block.offset % BLOCK_SIZE:
--- a/sailhitch/tier/content_exchange.py
+++ b/sailhitch/tier/content_exchange.py
@@ -138,9 +138,9 @@
             for reply in self.store.answer_pages(message, now):
                 self._outbox.send(sender, reply)
         elif isinstance(message, Block):
-            return self._on_arrival(self.store.take_block(message), now)
+            return self._on_arrival(self.store.on_block(message), now)
         else:
-            return self._on_arrival(self.store.take_pages(sender, message, now), now)
+            return self._on_arrival(self.store.on_page_reply(sender, message, now), now)
         return False
 
     def _on_arrival(self, arrival: Arrival, now: int) -> bool:
--- a/sailhitch/tier/content_store.py
+++ b/sailhitch/tier/content_store.py
@@ -255,18 +255,18 @@
             requests += self._page_fetcher.requests(now, rng)
         return requests
 
-    def take_block(self, block: Block) -> Arrival:
+    def on_block(self, block: Block) -> Arrival:
         """Process a received block of a blob."""
-        compressed = self._block_fetcher.take(block)
+        compressed = self._block_fetcher.on_block(block)
         if compressed is None:
             return NO_ARRIVAL
         self.compressed[block.digest] = compressed
         return Arrival({CONTENT_KEY_PREFIX + block.digest: compressed}, True)
 
-    def take_pages(self, sender: str, reply: PageReply, now: int) -> Arrival:
+    def on_page_reply(self, sender: str, reply: PageReply, now: int) -> Arrival:
         """Process received blocks of pages."""
         persisted = {}
-        for page in self._page_fetcher.take(sender, reply, now):
+        for page in self._page_fetcher.on_reply(sender, reply, now):
             self._pages.insert(page.digest, page.compressed, page.children)
             for child in page.children:
                 self._page_fetcher.add(self._pages.missing_pages(child))
--- a/sailhitch/tier/page_fetcher.py
+++ b/sailhitch/tier/page_fetcher.py
@@ -158,7 +158,7 @@
 
     # --- Replies
 
-    def take(self, sender: str, reply: PageReply, now: int) -> list[FetchedPage]:
+    def on_reply(self, sender: str, reply: PageReply, now: int) -> list[FetchedPage]:
         """Process a reply; return the pages that it completed."""
         self._sources.on_reply(sender)
         for raw_digest in reply.refused:
@@ -168,12 +168,12 @@
                 self._on_refusal(raw_digest.hex(), fetch, now)
         pages = []
         for block in reply.blocks:
-            page = self._take_block(sender, block, now)
+            page = self._on_block(sender, block, now)
             if page is not None:
                 pages.append(page)
         return pages
 
-    def _take_block(self, sender: str, block: PageBlock, now: int) -> FetchedPage | None:
+    def _on_block(self, sender: str, block: PageBlock, now: int) -> FetchedPage | None:
         digest = block.digest.hex()
         fetch = self._in_flight.get(digest)
         if fetch is None:
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -123,7 +123,7 @@
             self.received_sizes.append((self.now, sum(len(block.data) for block in reply.blocks)))
             copies = 1 + (self.rng.random() < self.duplicated)
             for _ in range(copies if self.rng.random() >= self.loss else 0):
-                arrival = self.sink.take_pages(to, reply, self.now)
+                arrival = self.sink.on_page_reply(to, reply, self.now)
                 if arrival.persisted:
                     self.written.append(arrival.persisted)
 
@@ -381,9 +381,9 @@
     [(_, request)] = sink.requests(1, random.Random(1), [["a"]])
     assert isinstance(request, PageRequest)
     [reply] = store.answer_pages(request, 1)
-    assert sink.take_pages("b", reply, 1).persisted == {}
+    assert sink.on_page_reply("b", reply, 1).persisted == {}
     assert not sink.has(tree_digest(tree.root))
-    assert sink.take_pages("a", reply, 1).is_complete
+    assert sink.on_page_reply("a", reply, 1).is_complete
 
 
 def test_a_late_reply_is_used_if_no_other_has_arrived() -> None:
@@ -396,7 +396,7 @@
     assert (first, second) == ("a", "b")
     assert isinstance(request, PageRequest)
     [reply] = store.answer_pages(request, 1)
-    assert sink.take_pages("a", reply, 2 + MAX_TIMEOUT).is_complete
+    assert sink.on_page_reply("a", reply, 2 + MAX_TIMEOUT).is_complete
 
 
 def test_a_silent_source_is_asked_less_and_less() -> None:
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -287,7 +287,7 @@
             if rng.random() < 0.4:
                 continue
             for _ in range(1 + (rng.random() < 0.2)):
-                sink.take_block(block)
+                sink.on_block(block)
         if sink.has(digest):
             break
     assert sink.compressed == {digest: kept[CONTENT_KEY_PREFIX + digest]}
@@ -324,13 +324,13 @@
     assert isinstance(first, BlockRequest)
     block = gone.answer_block(first, 0)
     assert block is not None
-    sink.take_block(block)
+    sink.on_block(block)
     for now in range(S, 11 * S, S // 10):
         for source, request in sink.requests(now, rng, [["alive"]]):
             assert isinstance(request, BlockRequest)
             answer = alive.answer_block(request, now) if source == "alive" else None
             if answer is not None:
-                sink.take_block(answer)
+                sink.on_block(answer)
     assert sink.has(digest)
     assert sink.read(digest) == content
 
@@ -342,12 +342,12 @@
     wrong, kept = other.add(b"another")
     compressed = kept[CONTENT_KEY_PREFIX + wrong]
     sink.fetch(digest, "a")
-    assert sink.take_block(Block(digest, 0, len(compressed), compressed)) == NO_ARRIVAL
+    assert sink.on_block(Block(digest, 0, len(compressed), compressed)) == NO_ARRIVAL
     assert sink.corrupt_count == 1
     assert not sink.has(digest)
-    assert sink.take_block(Block(digest, 0, 1 << 40, b"")) == NO_ARRIVAL
+    assert sink.on_block(Block(digest, 0, 1 << 40, b"")) == NO_ARRIVAL
     never_asked_for = Block(wrong, 0, len(compressed), compressed)
-    assert sink.take_block(never_asked_for) == NO_ARRIVAL
+    assert sink.on_block(never_asked_for) == NO_ARRIVAL
     assert source.answer_block(BlockRequest(digest, 7), 0) is None
     assert source.answer_block(BlockRequest(digest, 1 << 40), 0) is None
 
@@ -365,7 +365,7 @@
             block = source.answer_block(request, now)
             assert block is not None
             sent += 1
-            sink.take_block(block)
+            sink.on_block(block)
     assert sent == -(-len(kept[CONTENT_KEY_PREFIX + digest]) // BLOCK_SIZE)
 
 
