--- a/benchmarks/scale/state_slopes.py
+++ b/benchmarks/scale/state_slopes.py
@@ -213,7 +213,7 @@
             there = wires[source]
             for reply in stores[source].answer_pages(carry(here, there, request), found.now):
                 arrival = target.on_page_reply(source, carry(there, here, reply), found.now)
-                found.kept.update(arrival.persisted)
+                found.kept.update(arrival.new_items)
                 asked += _asked(target, found.now, rng, None)
     found.processor_s = time.process_time() - begun
     return found
--- a/sailhitch/tier/content_exchange.py
+++ b/sailhitch/tier/content_exchange.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from ..pages import Tree
-from .content_store import Arrival, ContentStore
+from .content_store import ContentStore, ReplyResult
 from .messages import Block, BlockRequest, PageReply, PageRequest, RegisterState
 from .outbox import Outbox
 from .page_sources import IsAlive
@@ -48,9 +48,9 @@
 
     def offer(self, content: bytes | Tree) -> str:
         """Add a content that a job needs; raises ValueError for a tree with missing pages."""
-        digest, persisted = self.store.add(content)
-        if persisted:
-            self._outbox.persist(dict(persisted))
+        digest, new_items = self.store.add(content)
+        if new_items:
+            self._outbox.persist(dict(new_items))
         self._job_references[digest] += 1
         return digest
 
@@ -138,14 +138,14 @@
             for reply in self.store.answer_pages(message, now):
                 self._outbox.send(sender, reply)
         elif isinstance(message, Block):
-            return self._on_arrival(self.store.on_block(message), now)
+            return self._on_result(self.store.on_block(message), now)
         else:
-            return self._on_arrival(self.store.on_page_reply(sender, message, now), now)
+            return self._on_result(self.store.on_page_reply(sender, message, now), now)
         return False
 
-    def _on_arrival(self, arrival: Arrival, now: int) -> bool:
+    def _on_result(self, result: ReplyResult, now: int) -> bool:
         # The next requests do not depend on the received data, so they need not wait for the disk.
         self.send_requests(now)
-        if arrival.persisted:
-            self._outbox.persist(dict(arrival.persisted))
-        return arrival.is_complete
+        if result.new_items:
+            self._outbox.persist(dict(result.new_items))
+        return result.is_complete
--- a/sailhitch/tier/content_store.py
+++ b/sailhitch/tier/content_store.py
@@ -74,14 +74,14 @@
     return {root for digest in digests if (root := root_of(digest)) is not None}
 
 
-class Arrival(NamedTuple):
+class ReplyResult(NamedTuple):
     """The result of processing a reply."""
 
-    persisted: dict[str, bytes]  # disk items to write before any message depends on them
+    new_items: dict[str, bytes]  # disk items to write before any message depends on them
     is_complete: bool  # whether the reply completed a content that was being fetched
 
 
-NO_ARRIVAL: Final = Arrival({}, False)
+NO_RESULT: Final = ReplyResult({}, False)
 
 
 class ContentStore:
@@ -155,13 +155,13 @@
         return digest, {CONTENT_KEY_PREFIX + digest: compressed}
 
     def _add_tree(self, tree: Tree) -> dict[str, bytes]:
-        persisted = {}
+        new_items = {}
         for digest, children in self._children_of_new(tree).items():
             compressed = compress(tree.pages[digest])
             self._page_fetcher.forget(digest)
             self._pages.insert(digest, compressed, children)
-            persisted[PAGE_KEY_PREFIX + digest] = compressed
-        return persisted
+            new_items[PAGE_KEY_PREFIX + digest] = compressed
+        return new_items
 
     def _children_of_new(self, tree: Tree) -> dict[str, tuple[str, ...]]:
         """Return the digests of a tree's pages that are not stored, each with its children.
@@ -255,25 +255,25 @@
             requests += self._page_fetcher.requests(now, rng)
         return requests
 
-    def on_block(self, block: Block) -> Arrival:
+    def on_block(self, block: Block) -> ReplyResult:
         """Process a received block of a blob."""
         compressed = self._block_fetcher.on_block(block)
         if compressed is None:
-            return NO_ARRIVAL
+            return NO_RESULT
         self.compressed[block.digest] = compressed
-        return Arrival({CONTENT_KEY_PREFIX + block.digest: compressed}, True)
+        return ReplyResult({CONTENT_KEY_PREFIX + block.digest: compressed}, True)
 
-    def on_page_reply(self, sender: str, reply: PageReply, now: int) -> Arrival:
+    def on_page_reply(self, sender: str, reply: PageReply, now: int) -> ReplyResult:
         """Process received blocks of pages."""
-        persisted = {}
+        new_items = {}
         for page in self._page_fetcher.on_reply(sender, reply, now):
             self._pages.insert(page.digest, page.compressed, page.children)
             for child in page.children:
                 self._page_fetcher.add(self._pages.missing_pages(child))
-            persisted[PAGE_KEY_PREFIX + page.digest] = page.compressed
+            new_items[PAGE_KEY_PREFIX + page.digest] = page.compressed
         complete = {root for root in self._wanted_roots if self._pages.is_complete(root)}
         self._wanted_roots -= complete
-        return Arrival(persisted, bool(complete))
+        return ReplyResult(new_items, bool(complete))
 
     # --- Replies to others' requests
 
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -123,9 +123,9 @@
             self.received_sizes.append((self.now, sum(len(block.data) for block in reply.blocks)))
             copies = 1 + (self.rng.random() < self.duplicated)
             for _ in range(copies if self.rng.random() >= self.loss else 0):
-                arrival = self.sink.on_page_reply(to, reply, self.now)
-                if arrival.persisted:
-                    self.written.append(arrival.persisted)
+                result = self.sink.on_page_reply(to, reply, self.now)
+                if result.new_items:
+                    self.written.append(result.new_items)
 
     def _seal(self, sender: str, message: Message) -> bytes:
         wire = self._wires.setdefault(sender, Wire(Keys(1, {1: b"k" * 32}), sender, 1 << 47))
@@ -381,7 +381,7 @@
     [(_, request)] = sink.requests(1, random.Random(1), [["a"]])
     assert isinstance(request, PageRequest)
     [reply] = store.answer_pages(request, 1)
-    assert sink.on_page_reply("b", reply, 1).persisted == {}
+    assert sink.on_page_reply("b", reply, 1).new_items == {}
     assert not sink.has(tree_digest(tree.root))
     assert sink.on_page_reply("a", reply, 1).is_complete
 
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -18,7 +18,7 @@
 from sailhitch.model.explore import Explorer, LostUpdateError
 from sailhitch.model.tier import World
 from sailhitch.tier.configuration import Configuration, ConfigurationIndex
-from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT_KEY_PREFIX, NO_ARRIVAL, ContentStore
+from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT_KEY_PREFIX, NO_RESULT, ContentStore
 from sailhitch.tier.disk import Disk, DiskError
 from sailhitch.tier.effects import ProposalResult
 from sailhitch.tier.lease import GrantTable, Lease
@@ -342,12 +342,12 @@
     wrong, kept = other.add(b"another")
     compressed = kept[CONTENT_KEY_PREFIX + wrong]
     sink.fetch(digest, "a")
-    assert sink.on_block(Block(digest, 0, len(compressed), compressed)) == NO_ARRIVAL
+    assert sink.on_block(Block(digest, 0, len(compressed), compressed)) == NO_RESULT
     assert sink.corrupt_count == 1
     assert not sink.has(digest)
-    assert sink.on_block(Block(digest, 0, 1 << 40, b"")) == NO_ARRIVAL
+    assert sink.on_block(Block(digest, 0, 1 << 40, b"")) == NO_RESULT
     never_asked_for = Block(wrong, 0, len(compressed), compressed)
-    assert sink.on_block(never_asked_for) == NO_ARRIVAL
+    assert sink.on_block(never_asked_for) == NO_RESULT
     assert source.answer_block(BlockRequest(digest, 7), 0) is None
     assert source.answer_block(BlockRequest(digest, 1 << 40), 0) is None
 
