--- a/sailhitch/tier/relay.py
+++ b/sailhitch/tier/relay.py
@@ -10,7 +10,9 @@
 
 from typing import Final
 
-UNANSWERED: Final = 3  # consecutive unanswered requests after which further ones are also relayed
+UNANSWERED_BEFORE_RELAY: Final = (
+    3  # consecutive unanswered requests after which further ones are also relayed
+)
 
 
 class RelayPolicy:
@@ -22,11 +24,11 @@
     def needs_relay(self, voter: str) -> bool:
         """Count a request to a voter, and return whether to also relay it."""
         self._unanswered[voter] = self._unanswered.get(voter, 0) + 1
-        return self._unanswered[voter] > UNANSWERED
+        return self._unanswered[voter] > UNANSWERED_BEFORE_RELAY
 
     def is_silent(self, voter: str) -> bool:
         """Return whether a voter has not replied lately, so that it can't serve as a relay."""
-        return self._unanswered.get(voter, 0) >= UNANSWERED
+        return self._unanswered.get(voter, 0) >= UNANSWERED_BEFORE_RELAY
 
     def on_reply(self, voter: str) -> None:
         """Record a direct reply of a voter."""
--- a/tests/test_tier_probes.py
+++ b/tests/test_tier_probes.py
@@ -19,7 +19,7 @@
 from sailhitch.tier.member import Member, MemberStatus
 from sailhitch.tier.messages import Ack, Ping, Relayed, Suspicion
 from sailhitch.tier.probes import MAX_HEALTH_PENALTY, Health, Prober
-from sailhitch.tier.relay import UNANSWERED, RelayPolicy
+from sailhitch.tier.relay import UNANSWERED_BEFORE_RELAY, RelayPolicy
 
 S = 1_000_000
 ENDED = 30 * S  # by then all that run tell one that has ended dead (promise 5)
@@ -200,9 +200,9 @@
 
 def test_another_way_is_taken_once_the_straight_one_has_given_no_answer() -> None:
     relays = RelayPolicy()
-    assert [relays.needs_relay("v") for _ in range(UNANSWERED + 2)] == [False] * UNANSWERED + [
-        True
-    ] * 2
+    assert [relays.needs_relay("v") for _ in range(UNANSWERED_BEFORE_RELAY + 2)] == [
+        False
+    ] * UNANSWERED_BEFORE_RELAY + [True] * 2
     relays.on_reply("v")
     assert not relays.needs_relay("v")
 
