--- a/tests/page_sources.py
+++ b/tests/page_sources.py
@@ -10,10 +10,10 @@
 
     def __init__(self, pages: Mapping[str, bytes]) -> None:
         self.pages = dict(pages)
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
     def page(self, digest: str) -> bytes:
-        self.asked.append(digest)
+        self.requested.append(digest)
         return self.pages[digest]
 
     def add(self, pages: Mapping[str, bytes]) -> None:
--- a/tests/test_state_tree.py
+++ b/tests/test_state_tree.py
@@ -114,14 +114,14 @@
     other = {**state, "nodes": {**state["nodes"], "p7/n700": {**node, "weight": 2.0}}}
     source = Pages(tree.pages)
     updated = update_tree(source, tree.root, state, other)
-    assert len(source.asked) <= 8
+    assert len(source.requested) <= 8
     assert 0 < len(updated.pages) <= 8
     assert updated.root == to_tree(other).root
     source.add(updated.pages)
-    source.asked.clear()
+    source.requested.clear()
     read = changed_state(state, tree.root, source, updated.root)
     assert read == other
-    assert len(source.asked) <= 16
+    assert len(source.requested) <= 16
     assert read["tenants"] is state["tenants"]
     # All of one pool: nothing like a page for each of its hundred nodes.
     pool = {k: {**n, "weight": 3.0} for k, n in state["nodes"].items() if k.startswith("p7/")}
