--- a/sailhitch/tier/content_exchange.py
+++ b/sailhitch/tier/content_exchange.py
@@ -46,7 +46,7 @@
 
     # --- Retention
 
-    def offer(self, content: bytes | Tree) -> str:
+    def add_for_job(self, content: bytes | Tree) -> str:
         """Add a content that a job needs; raises ValueError for a tree with missing pages."""
         digest, new_items = self.store.add(content)
         if new_items:
@@ -54,7 +54,7 @@
         self._job_references[digest] += 1
         return digest
 
-    def end_offer(self, digest: str) -> None:
+    def release_from_job(self, digest: str) -> None:
         """Release a content that a completed job needed."""
         self._job_references[digest] -= 1
         if not self._job_references[digest]:
--- a/sailhitch/tier/join.py
+++ b/sailhitch/tier/join.py
@@ -65,11 +65,11 @@
         if configuration is None:
             return
         self._schedule.begin(now)
-        digest = self._exchange.offer(configuration.encode())
+        digest = self._exchange.add_for_job(configuration.encode())
 
         def on_completed(chosen: ChosenState | None, result: ProposalResult) -> None:
             self._schedule.end()
-            self._exchange.end_offer(digest)
+            self._exchange.release_from_job(digest)
             register.adopt_from_voters(chosen, result)
 
         change = change_configuration(chosen.state.configuration_digest, digest)
--- a/sailhitch/tier/operator_commands.py
+++ b/sailhitch/tier/operator_commands.py
@@ -57,7 +57,7 @@
 
     def _version(self, content: bytes | Tree, base: int, operator: str, when: int) -> Version:
         """Return a version to propose, whose serial is assigned later."""
-        digest = self._exchange.offer(content)
+        digest = self._exchange.add_for_job(content)
         change_id = f"{self._name}-{self._parts.boot:x}-{self._job_count}"
         return Version(0, base, digest, self._name, operator, when, change_id)
 
@@ -129,7 +129,7 @@
     def _propose_configuration(self, configuration: Configuration) -> int:
         chosen = self._register.chosen
         assert chosen is not None
-        digest = self._exchange.offer(configuration.encode())
+        digest = self._exchange.add_for_job(configuration.encode())
         change = change_configuration(chosen.state.configuration_digest, digest)
         return self._add_job(change, digest)
 
@@ -140,7 +140,7 @@
 
         def on_completed(chosen: ChosenState | None, result: ProposalResult) -> None:
             if digest is not None:
-                self._exchange.end_offer(digest)
+                self._exchange.release_from_job(digest)
             if chosen is not None:
                 self._register.adopt_chosen(chosen, self._name)
                 self._outbox.effects.append(JobCompleted(number, result, chosen.state))
--- a/sailhitch/tier/register_view.py
+++ b/sailhitch/tier/register_view.py
@@ -138,9 +138,9 @@
         first = self._bootstrap_version
         assert first is not None
         name = self._config.name
-        digest = self._exchange.offer(first.content)
+        digest = self._exchange.add_for_job(first.content)
         configuration = Configuration(self._config.peers, ())
-        configuration_digest = self._exchange.offer(configuration.encode())
+        configuration_digest = self._exchange.add_for_job(configuration.encode())
         change_id = f"{name}-{self._parts.boot:x}-founding"
         version = Version(first.serial, 0, digest, name, first.operator, 0, change_id)
         change = bootstrap(version, configuration_digest)
