--- a/sailhitch/tier/content_exchange.py
+++ b/sailhitch/tier/content_exchange.py
@@ -30,13 +30,13 @@
 
     def __init__(
         self,
-        kept: Mapping[str, bytes],
+        disk_items: Mapping[str, bytes],
         outbox: Outbox,
         rng: random.Random,
         now: int,
         is_alive: IsAlive,
     ) -> None:
-        self.store = ContentStore.from_disk(kept, now, is_alive)
+        self.store = ContentStore.from_disk(disk_items, now, is_alive)
         self._outbox = outbox
         self._rng = rng
         self._job_references: Counter[str] = Counter()  # by digest: how many jobs need it
--- a/sailhitch/tier/content_store.py
+++ b/sailhitch/tier/content_store.py
@@ -28,7 +28,7 @@
 from .fetch_status import FetchStatus
 from .messages import Block, BlockRequest, PageBlock, PageRange, PageReply, PageRequest
 from .page_fetcher import (
-    BLOCK_HEADER,
+    BLOCK_OVERHEAD,
     BLOCK_SIZE,
     MAX_BLOCKS_PER_RANGE,
     MAX_RANGES_PER_REQUEST,
@@ -108,11 +108,11 @@
 
     @classmethod
     def from_disk(
-        cls, kept: Mapping[str, bytes], now: int, is_alive: IsAlive = assume_alive
+        cls, disk_items: Mapping[str, bytes], now: int, is_alive: IsAlive = assume_alive
     ) -> ContentStore:
         """Return a store with the contents among these disk items; other items are ignored."""
-        contents = _strip_prefix(kept, CONTENT_KEY_PREFIX)
-        return cls(contents, _strip_prefix(kept, PAGE_KEY_PREFIX), now, is_alive)
+        contents = _strip_prefix(disk_items, CONTENT_KEY_PREFIX)
+        return cls(contents, _strip_prefix(disk_items, PAGE_KEY_PREFIX), now, is_alive)
 
     @property
     def corrupt_count(self) -> int:
@@ -284,7 +284,7 @@
         if compressed is None or not 0 <= offset < len(compressed) or offset % BLOCK_SIZE:
             return None
         data = compressed[offset : offset + BLOCK_SIZE]
-        if not self._reply_budget.take(len(data) + BLOCK_HEADER, now):
+        if not self._reply_budget.take(len(data) + BLOCK_OVERHEAD, now):
             return None
         return Block(request.digest, offset, len(compressed), data)
 
@@ -315,7 +315,7 @@
         end = min(total, start + min(page_range.blocks, MAX_BLOCKS_PER_RANGE) * BLOCK_SIZE)
         for offset in range(start, end, BLOCK_SIZE):
             data = compressed[offset : offset + BLOCK_SIZE]
-            if not self._reply_budget.take(len(data) + BLOCK_HEADER, now):
+            if not self._reply_budget.take(len(data) + BLOCK_OVERHEAD, now):
                 return
             yield PageBlock(page_range.digest, offset, total, data)
 
@@ -325,7 +325,7 @@
     group: list[PageBlock] = []
     size = 0
     for block in blocks:
-        added = len(block.data) + BLOCK_HEADER
+        added = len(block.data) + BLOCK_OVERHEAD
         if group and size + added > MAX_REPLY_BYTES:
             yield group
             group = []
@@ -336,8 +336,10 @@
         yield group
 
 
-def _strip_prefix(kept: Mapping[str, bytes], prefix: str) -> dict[str, bytes]:
+def _strip_prefix(disk_items: Mapping[str, bytes], prefix: str) -> dict[str, bytes]:
     """Return the disk items whose names have a prefix, by the rest of the name."""
     return {
-        name.removeprefix(prefix): value for name, value in kept.items() if name.startswith(prefix)
+        name.removeprefix(prefix): value
+        for name, value in disk_items.items()
+        if name.startswith(prefix)
     }
--- a/sailhitch/tier/page_fetcher.py
+++ b/sailhitch/tier/page_fetcher.py
@@ -18,7 +18,7 @@
 from .token_bucket import TokenBucket
 
 __all__ = [
-    "BLOCK_HEADER",
+    "BLOCK_OVERHEAD",
     "BLOCK_SIZE",
     "MAX_BLOCKS_PER_RANGE",
     "MAX_RANGES_PER_REQUEST",
@@ -27,7 +27,7 @@
     "PageFetcher",
 ]
 
-BLOCK_HEADER: Final = 48  # bytes that a block takes in addition to its data
+BLOCK_OVERHEAD: Final = 48  # bytes that a block takes in addition to its data
 MAX_RANGES_PER_REQUEST: Final = 16
 MAX_PAGES_IN_FLIGHT: Final = 64
 # Consecutive unanswered requests after which the source of a partially received page is replaced.
@@ -192,7 +192,7 @@
             self._budget.give_back(fetch.set_total(block.total) * BLOCK_SIZE)
         requested_at = fetch.requested_at.pop(block.offset, None)
         if requested_at is not None:
-            self._budget.give_back(max(0, BLOCK_SIZE - len(block.data) - BLOCK_HEADER))
+            self._budget.give_back(max(0, BLOCK_SIZE - len(block.data) - BLOCK_OVERHEAD))
             if not fetch.unanswered_requests:
                 self._sources.record_round_trip(sender, now - requested_at)
         fetch.blocks[block.offset] = block.data
--- a/tests/test_content_store.py
+++ b/tests/test_content_store.py
@@ -724,7 +724,7 @@
     assert store.has(tree_digest(one.root))
 
 
-def test_a_page_on_disk_that_cannot_be_read_is_fetched_anew() -> None:
+def test_a_corrupt_page_on_disk_is_fetched_again() -> None:
     tree = build(random_entries(100), 500)
     disk = {PAGE_KEY_PREFIX + page: compress(raw) for page, raw in tree.pages.items()}
     disk[PAGE_KEY_PREFIX + tree.root] = disk[PAGE_KEY_PREFIX + tree.root][:-3]
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -284,7 +284,7 @@
 # --- Unusual names and values
 
 
-def test_names_whose_paths_share_many_digits_only_make_a_deep_tree() -> None:
+def test_names_with_long_common_path_prefixes_just_make_a_deep_tree() -> None:
     keys = sorted((Key("g", f"n{number}") for number in range(200_000)), key=key_path)
     paths = [key_path(key) for key in keys]
     shared = [len(common_prefix(a, b)) for a, b in pairwise(paths)]
