--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -402,7 +402,7 @@
         update(Source(many), many.root, {Key("g", "n1"): b""}, 4000)
 
 
-def test_a_page_that_is_not_there_is_a_key_error() -> None:
+def test_a_missing_page_raises_key_error() -> None:
     entries = {Key("g", f"n{number}"): bytes(50) for number in range(40)}
     tree = build(entries, 200)
     other = build({}, 200)
