--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -18,7 +18,7 @@
 from sailhitch.model.explore import Explorer, LostUpdateError
 from sailhitch.model.tier import World
 from sailhitch.tier.configuration import Configuration, ConfigurationIndex
-from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT_KEY_PREFIX, NO_ARRIVAL, ContentStore
+from sailhitch.tier.content_store import BLOCK_SIZE, CONTENT_KEY_PREFIX, NO_RESULT, ContentStore
 from sailhitch.tier.disk import Disk, DiskError
 from sailhitch.tier.effects import ProposalResult
 from sailhitch.tier.lease import GrantTable, Lease
@@ -287,10 +287,10 @@
             if rng.random() < 0.4:
                 continue
             for _ in range(1 + (rng.random() < 0.2)):
-                fetcher.take_block(block)
+                fetcher.on_block(block)
         if fetcher.has(digest):
             break
-    assert fetcher.packed == {digest: items[CONTENT_KEY_PREFIX + digest]}
+    assert fetcher.compressed == {digest: items[CONTENT_KEY_PREFIX + digest]}
     assert fetcher.read(digest) == content
 
 
@@ -320,21 +320,21 @@
     content = random.Random(3).randbytes(4 * BLOCK_SIZE).hex().encode()
     dead, alive, fetcher = ContentStore({}), ContentStore({}), ContentStore({})
     digest, _ = alive.add(content)
-    dead.packed[digest] = zlib.compress(content, 0)
-    assert len(dead.packed[digest]) != len(alive.packed[digest])
+    dead.compressed[digest] = zlib.compress(content, 0)
+    assert len(dead.compressed[digest]) != len(alive.compressed[digest])
     rng = random.Random(1)
     fetcher.fetch(digest, "dead")
     [(_, first)] = fetcher.requests(0, rng, [["alive"]])
     assert isinstance(first, BlockRequest)
     block = dead.answer_block(first, 0)
     assert block is not None
-    fetcher.take_block(block)
+    fetcher.on_block(block)
     for now in range(S, 11 * S, S // 10):
         for source, request in fetcher.requests(now, rng, [["alive"]]):
             assert isinstance(request, BlockRequest)
             answer = alive.answer_block(request, now) if source == "alive" else None
             if answer is not None:
-                fetcher.take_block(answer)
+                fetcher.on_block(answer)
     assert fetcher.has(digest)
     assert fetcher.read(digest) == content
 
@@ -344,14 +344,14 @@
     digest, _ = source.add(b"x" * 10)
     other = ContentStore({})
     wrong, items = other.add(b"another")
-    packed = items[CONTENT_KEY_PREFIX + wrong]
+    compressed = items[CONTENT_KEY_PREFIX + wrong]
     fetcher.fetch(digest, "a")
-    assert fetcher.take_block(Block(digest, 0, len(packed), packed)) == NO_ARRIVAL
+    assert fetcher.on_block(Block(digest, 0, len(compressed), compressed)) == NO_RESULT
     assert fetcher.corrupt_count == 1
     assert not fetcher.has(digest)
-    assert fetcher.take_block(Block(digest, 0, 1 << 40, b"")) == NO_ARRIVAL
-    never_asked_for = Block(wrong, 0, len(packed), packed)
-    assert fetcher.take_block(never_asked_for) == NO_ARRIVAL
+    assert fetcher.on_block(Block(digest, 0, 1 << 40, b"")) == NO_RESULT
+    never_asked_for = Block(wrong, 0, len(compressed), compressed)
+    assert fetcher.on_block(never_asked_for) == NO_RESULT
     assert source.answer_block(BlockRequest(digest, 7), 0) is None
     assert source.answer_block(BlockRequest(digest, 1 << 40), 0) is None
 
@@ -369,7 +369,7 @@
             block = source.answer_block(request, now)
             assert block is not None
             sent += 1
-            fetcher.take_block(block)
+            fetcher.on_block(block)
     assert sent == -(-len(items[CONTENT_KEY_PREFIX + digest]) // BLOCK_SIZE)
 
 
