--- a/sailhitch/adapter.py
+++ b/sailhitch/adapter.py
@@ -1,8 +1,9 @@
-"""The simulator's wire: batches of event lines in, action lines out, for many instances.
+"""Adapter for a simulator: reads batches of event lines and writes action lines, on pipes.
 
-Only form lives here: what a line says, in the module's words. Every decision is made by the
-`Gateway` of the instance. A line out of form ends the process with one plain line on standard
-error; an exception inside the module is reported on the wire as that instance's fault.
+One process serves many gateway instances. This module only translates between lines and calls of
+the decision module; every decision is made by the instance's `Gateway`. A malformed line ends the
+process with one line on standard error. An exception in the decision module is reported by the
+action `panic` for that instance.
 """
 
 from __future__ import annotations
@@ -42,19 +43,19 @@
     "skipped": AttemptOutcome.NOT_SENT,
 }
 FLAGS = {"1": True, "0": False}
-# bits of `attrs`: the cost hint is valid; a client's repeat
-HINTED = 1
-REPEAT = 2
+# Bits of the field `attrs`.
+HAS_COST_HINT = 1  # the field `predicted` is valid
+IS_CLIENT_RETRY = 2
 
 T = TypeVar("T")
 
 
 class WireError(ValueError):
-    """A line out of form; its text names the field."""
+    """A malformed line. The text names the field."""
 
 
 class WirePort:
-    """Writes one instance's actions as lines."""
+    """The port of one instance: writes its actions as lines."""
 
     def __init__(self, instance: str, out: list[str]) -> None:
         self._out = out
@@ -91,48 +92,48 @@
         self._out.append(f"write_log\t{self._instance}\t{text}")
 
 
-# --- Forms of values
+# --- Parsing of values
 
 
-def _text(raw: bytes) -> str:
+def _decode(raw: bytes) -> str:
     try:
         return raw.decode().rstrip("\r\n")
     except UnicodeDecodeError:
         raise WireError("not UTF-8") from None
 
 
-def _whole(field: str, text: str) -> int:
+def _integer(field: str, text: str) -> int:
     try:
         value = int(text)
     except ValueError:
-        raise WireError(f"field {field}: not a whole number: {text!r}") from None
+        raise WireError(f"field {field}: not an integer: {text!r}") from None
     if value < 0:
-        raise WireError(f"field {field}: below 0: {text!r}")
+        raise WireError(f"field {field}: negative: {text!r}")
     return value
 
 
-def _real(field: str, text: str) -> float:
+def _number(field: str, text: str) -> float:
     try:
         value = float(text)
     except ValueError:
         raise WireError(f"field {field}: not a number: {text!r}") from None
     if not 0.0 <= value < float("inf"):
-        raise WireError(f"field {field}: not a finite number of 0 or more: {text!r}")
+        raise WireError(f"field {field}: not a finite non-negative number: {text!r}")
     return value
 
 
-def _optional(field: str, text: str) -> int:
-    return 0 if text == "-" else _whole(field, text)
+def _optional_integer(field: str, text: str) -> int:
+    return 0 if text == "-" else _integer(field, text)
 
 
-def _word(field: str, text: str, words: dict[str, T]) -> T:
+def _choice(field: str, text: str, choices: dict[str, T]) -> T:
     try:
-        return words[text]
+        return choices[text]
     except KeyError:
-        raise WireError(f"field {field}: not one of {', '.join(words)}: {text!r}") from None
+        raise WireError(f"field {field}: not one of {', '.join(choices)}: {text!r}") from None
 
 
-def _key(field: str, text: str) -> int | None:
+def _hex_key(field: str, text: str) -> int | None:
     if text == "-":
         return None
     try:
@@ -141,7 +142,7 @@
         raise WireError(f"field {field}: not hex digits: {text!r}") from None
 
 
-def _bytes(field: str, text: str) -> bytes:
+def _base64(field: str, text: str) -> bytes:
     try:
         return b"" if text == "-" else base64.b64decode(text, validate=True)
     except ValueError:
@@ -149,40 +150,40 @@
 
 
 def _load(field: str, text: str) -> LoadReport | None:
-    """Return the load report, in microseconds; values it does not know are checked and left out."""
+    """Return the load report, in microseconds. Unknown values are checked and ignored."""
     if text == "-":
         return None
     queue = service = inflight = None
     for pair in text.split(","):
         name, _, value = pair.partition(":")
         if name == "depth":
-            queue = _real(field, value)
+            queue = _number(field, value)
         elif name == "mean_ms":
-            service = _real(field, value) * 1000.0
+            service = _number(field, value) * 1000.0
         elif name == "concurrent":
-            inflight = _real(field, value)
+            inflight = _number(field, value)
         else:
-            _real(field, value)
+            _number(field, value)
     return LoadReport(queue, service, inflight)
 
 
-def _listed(parts: list[str]) -> Endpoint:
+def _endpoint(parts: list[str]) -> Endpoint:
     if len(parts) != 8 or parts[0] != "m":
         raise WireError("not an entry of the catalog: expected m and 7 values")
-    _, host, weight, zone, cell, state, boot, kind = parts
+    _, host, weight, zone, cell, state, boot_time, model = parts
     return Endpoint(
         host,
-        _real("weight", weight),
-        _optional("campus", zone),
-        _optional("stripe", cell),
-        _word("phase", state, STATES),
-        _optional("bootTime", boot),
-        _optional("model", kind),
+        _number("weight", weight),
+        _optional_integer("campus", zone),
+        _optional_integer("stripe", cell),
+        _choice("phase", state, STATES),
+        _optional_integer("bootTime", boot_time),
+        _optional_integer("model", model),
     )
 
 
 class Adapter:
-    """Reads batches, hands each event to its instance and writes what the instances do."""
+    """Reads batches of events, passes each event to its instance, and writes the actions."""
 
     def __init__(self, source: BinaryIO, sink: BinaryIO) -> None:
         self._source = source
@@ -190,7 +191,7 @@
         self._out: list[str] = []
         self._gateways: dict[str, Gateway] = {}
         self._pages: dict[int, list[Endpoint]] = {}
-        self._line = 0
+        self._line_number = 0
         self._now = 0
         self._handlers: dict[str, tuple[int, Callable[[Gateway, list[str]], None]]] = {
             "job_in": (9, self._job_in),
@@ -204,13 +205,13 @@
         }
 
     def run(self) -> None:
-        """Serve batches until the input ends."""
+        """Process batches until the end of the input."""
         source = self._source
         out = self._out
         in_batch = False
         while raw := source.readline():
-            self._line += 1
-            line = _text(raw)
+            self._line_number += 1
+            line = _decode(raw)
             if in_batch:
                 if line == "flush":
                     out.append("ack\n")
@@ -223,8 +224,8 @@
             elif line:
                 parts = line.split("\t")
                 if parts[0] != "mark" or len(parts) != 2:
-                    raise WireError(f"expected mark and the clock: {line[:60]!r}")
-                now = _whole("mark", parts[1])
+                    raise WireError(f"expected mark and the time: {line[:60]!r}")
+                now = _integer("mark", parts[1])
                 if now < self._now:
                     raise WireError("field mark: the clock went back")
                 self._now = now
@@ -232,9 +233,9 @@
         if in_batch:
             raise WireError("the input ended inside a batch")
 
-    def where(self) -> str:
-        """Return the place of the last line that was read, for errors."""
-        return f"line {self._line}"
+    def position(self) -> str:
+        """Return the number of the last line read, for error messages."""
+        return f"line {self._line_number}"
 
     def _event(self, line: str) -> None:
         name = line.partition("\t")[0]
@@ -244,7 +245,7 @@
             raise WireError(f"{name[:60]}: {error}") from None
 
     def _dispatch(self, name: str, line: str) -> None:
-        """Handle one line; raises WireError without the event's name."""
+        """Handle one event line. A WireError raised here lacks the event's name."""
         parts = line.split("\t")
         if name in self._handlers:
             count, handler = self._handlers[name]
@@ -265,28 +266,28 @@
         else:
             raise WireError("no such event")
 
-    def _call(self, instance: str, decide: Callable[[], None]) -> None:
-        """Let the module decide; its exceptions are the instance's fault, not the wire's."""
+    def _run_handler(self, instance: str, handler: Callable[[], None]) -> None:
+        """Call the decision module; an exception is reported as a crash of the instance."""
         try:
-            decide()
-        except Exception as error:  # the boundary that reports a crash of the module
-            self._panic(instance, error)
-
-    def _panic(self, instance: str, error: Exception) -> None:
-        where = error.__traceback__
-        while where is not None and where.tb_next is not None:
-            where = where.tb_next
-        line = where.tb_lineno if where is not None else 0
+            handler()
+        except Exception as error:  # any exception of the decision module is reported
+            self._report_crash(instance, error)
+
+    def _report_crash(self, instance: str, error: Exception) -> None:
+        frame = error.__traceback__
+        while frame is not None and frame.tb_next is not None:
+            frame = frame.tb_next
+        line = frame.tb_lineno if frame is not None else 0
         text = " ".join(f"{type(error).__name__}: {error} (line {line})".split())
         self._out.append(f"panic\t{instance}\t{text}")
 
-    # --- One method an event
+    # --- Event handlers
 
     def _attach(self, parts: list[str]) -> None:
         if len(parts) != 4:
             raise WireError(f"expected 3 values, got {len(parts) - 1}")
         instance = parts[1]
-        seed = _whole("nonce64", parts[2])
+        seed = _integer("nonce64", parts[2])
         try:
             settings = parse_settings(json.loads(parts[3]))
         except json.JSONDecodeError as error:
@@ -296,98 +297,102 @@
         gateway = Gateway(WirePort(instance, self._out), settings, seed)
         self._gateways[instance] = gateway
         now = self._now
-        self._call(instance, lambda: gateway.start(now))
+        self._run_handler(instance, lambda: gateway.start(now))
 
     def _catalog(self, parts: list[str]) -> None:
         if len(parts) != 3:
             raise WireError(f"expected 2 values, got {len(parts) - 1}")
-        page = _whole("page", parts[1])
-        count = _whole("hosts", parts[2])
+        page = _integer("page", parts[1])
+        count = _integer("hosts", parts[2])
         entries = []
         for _ in range(count):
-            self._line += 1
+            self._line_number += 1
             raw = self._source.readline()
             if not raw:
                 raise WireError("field hosts: the input ended inside a catalog")
-            entries.append(_listed(_text(raw).split("\t")))
+            entries.append(_endpoint(_decode(raw).split("\t")))
         self._pages[page] = entries
 
     def _roster_change(self, gateway: Gateway, parts: list[str]) -> None:
-        mode = _word("mode", parts[2], MODES)
+        mode = _choice("mode", parts[2], MODES)
         entries: list[Endpoint] = []
         if mode != WatchEventKind.FAILED:
-            page = _whole("page", parts[4])
+            page = _integer("page", parts[4])
             if page not in self._pages:
                 raise WireError(f"field page: no such catalog: {page}")
             entries = self._pages[page]
-        self._call(parts[1], lambda: gateway.on_watch_event(self._now, mode, entries))
+        self._run_handler(parts[1], lambda: gateway.on_watch_event(self._now, mode, entries))
 
     def _job_in(self, gateway: Gateway, parts: list[str]) -> None:
         _, instance, req, attrs, predicted, deadline, grade, key, tenant = parts
-        flags = _optional("attrs", attrs)
-        number = _whole("req", req)
-        ends = _whole("clientDeadline", deadline)
-        cls = _optional("grade", grade)
+        flags = _optional_integer("attrs", attrs)
+        request_id = _integer("req", req)
+        deadline_at = _integer("clientDeadline", deadline)
+        cls = _optional_integer("grade", grade)
         if cls >= len(gateway.settings.classes):
             raise WireError(f"field grade: no such class: {cls}")
-        work = _optional("predicted", predicted) if flags & HINTED else 0
-        named = _key("key", key)
-        group = _optional("userGroup", tenant)
+        work = _optional_integer("predicted", predicted) if flags & HAS_COST_HINT else 0
+        affinity_key = _hex_key("key", key)
+        tenant_index = _optional_integer("userGroup", tenant)
         try:
-            again = bool(flags & REPEAT)
-            gateway.request(self._now, number, cls, ends, work, named, group, again)
+            is_retry = bool(flags & IS_CLIENT_RETRY)
+            gateway.request(
+                self._now, request_id, cls, deadline_at, work, affinity_key, tenant_index, is_retry
+            )
         except Exception as error:
-            self._panic(instance, error)
+            self._report_crash(instance, error)
 
     def _done(self, gateway: Gateway, parts: list[str]) -> None:
         _, instance, req, closed, code, attempt, lag, host, load = parts
-        number = _whole("req", req)
-        which = _whole("n", attempt)
-        status = _word("code", code, CODES)
-        over = _word("closed", closed, FLAGS)
-        took = _optional("lag", lag)
+        request_id = _integer("req", req)
+        attempt_number = _integer("n", attempt)
+        status = _choice("code", code, CODES)
+        is_closed = _choice("closed", closed, FLAGS)
+        latency = _optional_integer("lag", lag)
         report = _load("load", load)
         try:
-            gateway.outcome(self._now, number, which, status, over, took, host, report)
+            gateway.outcome(
+                self._now, request_id, attempt_number, status, is_closed, latency, host, report
+            )
         except Exception as error:
-            self._panic(instance, error)
+            self._report_crash(instance, error)
 
     def _timer(self, gateway: Gateway, parts: list[str]) -> None:
-        mark = _whole("mark", parts[2])
-        self._call(parts[1], lambda: gateway.timer(self._now, mark))
+        token = _integer("mark", parts[2])
+        self._run_handler(parts[1], lambda: gateway.timer(self._now, token))
 
     def _left(self, gateway: Gateway, parts: list[str]) -> None:
-        req = _whole("req", parts[2])
-        self._call(parts[1], lambda: gateway.client_disconnected(self._now, req))
+        req = _integer("req", parts[2])
+        self._run_handler(parts[1], lambda: gateway.client_disconnected(self._now, req))
 
     def _headers(self, gateway: Gateway, parts: list[str]) -> None:
-        req = _whole("req", parts[2])
-        attempt = _whole("n", parts[3])
-        lag = _optional("lag", parts[5])
-        self._call(
+        req = _integer("req", parts[2])
+        attempt = _integer("n", parts[3])
+        lag = _optional_integer("lag", parts[5])
+        self._run_handler(
             parts[1], lambda: gateway.response_started(self._now, req, attempt, parts[4], lag)
         )
 
     def _pong(self, gateway: Gateway, parts: list[str]) -> None:
-        """Ignore a probe's result: no probes are sent, as responses report the same."""
-        _word("code", parts[3], CODES)
-        _optional("lag", parts[4])
+        """Ignore a probe's result: no probes are sent, as responses carry the same report."""
+        _choice("code", parts[3], CODES)
+        _optional_integer("lag", parts[4])
         _load("load", parts[5])
 
     def _peer_data(self, gateway: Gateway, parts: list[str]) -> None:
-        """Word from another gateway. None is sent or used: each decides by what it saw itself."""
-        _whole("src", parts[2])
-        _bytes("octets", parts[3])
+        """Ignore data from another gateway: each decides by its own observations only."""
+        _integer("src", parts[2])
+        _base64("octets", parts[3])
 
 
 def main(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
-    """Run until the input ends; 0 then, 2 with one plain line where a line is out of form."""
+    """Run until the end of the input; return 0, or 2 after an error line for a malformed line."""
     gc.freeze()
     adapter = Adapter(source, sink)
     try:
         adapter.run()
     except WireError as error:
-        print(f"sailhitch: {adapter.where()}: {error}", file=errors)
+        print(f"sailhitch: {adapter.position()}: {error}", file=errors)
         return 2
     return 0
 
