--- a/sailhitch/settings.py
+++ b/sailhitch/settings.py
@@ -1,8 +1,7 @@
-"""The settings an instance is handed at its start, as typed values.
+"""The settings that a gateway instance is started with, as typed values.
 
-Unknown keys are ignored, so that a newer control plane can talk to an older gateway. A key
-whose absence would make the module guess is required, and its absence is an error that names it.
-Times are microseconds.
+Unknown keys are ignored, so that a newer control plane works with an older gateway. A key without
+a safe default is required, and the error for a missing one names it. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 
 class Idempotency(StrEnum):
-    """Whether a request may be repeated. The values are those of the settings."""
+    """Whether a request may be repeated. The values are those used in the settings."""
 
     SAFE = "pure"  # a repeat has no effect
     KEYED = "token"  # idempotent with an idempotency key, within a window and a scope
@@ -22,12 +21,12 @@
 
 
 class SettingsError(ValueError):
-    """The settings lack something required, or hold a value out of its form."""
+    """A required setting is missing, or a setting has an invalid value."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """The settings of one class of requests. Times are microseconds."""
+    """The settings of a request class. Times are microseconds."""
 
     name: str
     priority_weight: float
@@ -43,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant; `quota_per_s` counts its requests across all gateways together."""
+    """A tenant. `quota_per_s` limits its requests per second at all gateways together."""
 
     name: str
     quota_per_s: float
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment allows the gateway to do."""
+    """What the gateway may do in this deployment."""
 
     max_attempts: int
     may_duplicate: bool
@@ -64,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The parameters of the service's rules."""
+    """Parameters of the rules that the service sets for its gateways. Times are microseconds."""
 
     answer_slack: int
     drain_grace: int
@@ -77,9 +76,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of an instance."""
+    """All settings of a gateway instance."""
 
-    gateway_index: int  # from 0; -1 if the settings don't say
+    gateway_index: int  # from 0; -1 if the settings give no valid one
     gateway_count: int
     zone: int
     tick: int
@@ -94,7 +93,7 @@
 
 
 class _Node:
-    """A JSON object with its path, so that an error names the field."""
+    """A JSON object and its path, so that errors can name the field."""
 
     def __init__(self, value: Any, path: str) -> None:
         if not isinstance(value, Mapping):
@@ -105,49 +104,49 @@
     def _at(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
-    def _get(self, key: str, absent: Any, form: Callable[[Any], bool], what: str) -> Any:
+    def _get(self, key: str, default: Any, is_valid: Callable[[Any], bool], expected: str) -> Any:
         value = self.value.get(key)
         if value is None:
-            if absent is None:
+            if default is None:
                 raise SettingsError(f"{self._at(key)}: required and missing")
-            return absent
-        if not form(value):
-            raise SettingsError(f"{self._at(key)}: not {what}: {value!r}")
+            return default
+        if not is_valid(value):
+            raise SettingsError(f"{self._at(key)}: not {expected}: {value!r}")
         return value
 
-    def number(self, key: str, absent: float | None = None) -> float:
-        def form(v: Any) -> bool:
+    def number(self, key: str, default: float | None = None) -> float:
+        def is_valid(v: Any) -> bool:
             return isinstance(v, int | float) and not isinstance(v, bool) and v == v and v >= 0
 
-        return float(self._get(key, absent, form, "a number of 0 or more"))
+        return float(self._get(key, default, is_valid, "a non-negative number"))
 
-    def integer(self, key: str, absent: int | None = None) -> int:
-        def form(v: Any) -> bool:
+    def integer(self, key: str, default: int | None = None) -> int:
+        def is_valid(v: Any) -> bool:
             return not isinstance(v, bool) and isinstance(v, int) and v >= 0
 
-        return int(self._get(key, absent, form, "a whole number of 0 or more"))
+        return int(self._get(key, default, is_valid, "a non-negative integer"))
 
-    def flag(self, key: str, absent: bool | None = None) -> bool:
-        return bool(self._get(key, absent, lambda v: isinstance(v, bool), "true or false"))
+    def flag(self, key: str, default: bool | None = None) -> bool:
+        return bool(self._get(key, default, lambda v: isinstance(v, bool), "true or false"))
 
-    def text(self, key: str, absent: str | None = None, among: tuple[str, ...] = ()) -> str:
-        def form(v: Any) -> bool:
-            return isinstance(v, str) and (not among or v in among)
+    def text(self, key: str, default: str | None = None, choices: tuple[str, ...] = ()) -> str:
+        def is_valid(v: Any) -> bool:
+            return isinstance(v, str) and (not choices or v in choices)
 
-        what = "one of " + ", ".join(among) if among else "a text"
-        return str(self._get(key, absent, form, what))
+        expected = "one of " + ", ".join(choices) if choices else "a string"
+        return str(self._get(key, default, is_valid, expected))
 
-    def node(self, key: str, absent: Mapping[str, Any] | None = None) -> _Node:
-        return _Node(self._get(key, absent, lambda v: True, "an object"), self._at(key))
+    def node(self, key: str, default: Mapping[str, Any] | None = None) -> _Node:
+        return _Node(self._get(key, default, lambda v: True, "an object"), self._at(key))
 
-    def nodes(self, key: str, absent: list[Any] | None = None) -> list[_Node]:
-        items = self._get(key, absent, lambda v: isinstance(v, list), "a list")
+    def nodes(self, key: str, default: list[Any] | None = None) -> list[_Node]:
+        items = self._get(key, default, lambda v: isinstance(v, list), "a list")
         return [_Node(item, f"{self._at(key)}[{i}]") for i, item in enumerate(items)]
 
 
 def _request_class(node: _Node) -> RequestClass:
-    idempotency = Idempotency(node.text("repeat", among=tuple(Idempotency)))
-    keyed = idempotency is Idempotency.KEYED
+    idempotency = Idempotency(node.text("repeat", choices=tuple(Idempotency)))
+    is_keyed = idempotency is Idempotency.KEYED
     return RequestClass(
         name=node.text("name", ""),
         priority_weight=node.number("importance"),
@@ -155,18 +154,18 @@
         deadline=node.integer("deadline"),
         late_weight=node.number("lateValue", 0.0),
         idempotency=idempotency,
-        # Only a keyed class has a scope and a window; without them no repeat could be judged.
+        # Required for a keyed class: without them, no repeat could be checked.
         idempotency_scope=node.text(
-            "dedupScope", None if keyed else "all", ("all", "zone", "cell")
+            "dedupScope", None if is_keyed else "all", ("all", "zone", "cell")
         ),
-        idempotency_window=node.integer("memorySpan", None if keyed else 0),
+        idempotency_window=node.integer("memorySpan", None if is_keyed else 0),
         stream=node.flag("stream", False),
         objective_per_work=node.number("aimStretch", 0.0),
     )
 
 
 def parse_settings(value: Any) -> Settings:
-    """Turn the settings object into typed values; raises SettingsError naming the bad field."""
+    """Parse the settings object. Raises SettingsError, which names the invalid field."""
     root = _Node(value, "")
     limits = root.node("limits")
     rules = root.node("rules")
@@ -174,9 +173,9 @@
     if not classes:
         raise SettingsError("classes: empty")
     gateways = root.integer("balancers")
-    me = root.integer("me", gateways)
+    index = root.integer("me", gateways)
     return Settings(
-        gateway_index=me if me < gateways else -1,
+        gateway_index=index if index < gateways else -1,
         gateway_count=max(1, gateways),
         zone=root.integer("zone"),
         tick=root.integer("granularity"),
@@ -203,7 +202,7 @@
             overload_time=rules.integer("overloadFor"),
             watch_within=rules.integer("askWithin", 0),
         ),
-        needs_watch=root.text("discovery", among=("automatic", "subscribe")) == "subscribe",
+        needs_watch=root.text("discovery", choices=("automatic", "subscribe")) == "subscribe",
         has_key_affinity=root.node("familyInfo", {}).flag("warmKeys", False),
         cross_zone_price=root.node("costs", {}).number("crossZone", 0.0),
     )
