--- a/sailhitch/policy/__init__.py
+++ b/sailhitch/policy/__init__.py
@@ -1,28 +1,29 @@
-"""All decisions of one gateway; types, events and actions stand in sailhitch/policy_interface.py.
+"""The decision module of a gateway: server selection, retries, hedging and load shedding.
 
-C3 adaptive replica selection, sans-IO: a gateway ranks servers by C3's cubic score, sends within
-a cubic-adapted rate per server, and holds requests in a backlog when every server it may use is
-saturated. The embedding gateway feeds events with their time and carries out what goes through
-`Port`.
+It implements C3 adaptive replica selection without doing any I/O. It ranks servers by C3's cubic
+score, limits the send rate to each server with a cubic rate controller, and queues requests in a
+backlog when every eligible server is saturated. The embedding gateway passes in events with their
+timestamps and carries out the actions, which leave through `Port`. The types of events and actions
+are in sailhitch/policy_interface.py.
 
-Times are integer microseconds of the clock handed in, rates are requests a second. Nothing is
-shared between instances, and randomness comes from the seed alone. The quantities that the paper
-names are given by the paper's symbols in the doc comments. Each file has one duty, holds the
-state of its decisions, and imports only those before it:
+Times are integer microseconds on the caller's clock, rates are per second. Instances share no
+state, and all randomness comes from the seed. Doc comments give the C3 paper's symbol for each
+quantity that the paper defines. Each module has one responsibility, holds the state for it, and
+imports only from the modules listed before it:
 
-    counters  what is counted for the log
-    rate      the cubic rate of sending (algorithm 2)
-    server    what is known of a server
-    request   a request without a final response, and the rule on effects
-    retry     whether a request may have another attempt
-    slow_start  shares of servers that are warming up
-    endpoint_table  which servers there are, and which are considered for a request
-    score     C3's cubic score, and the measurements behind it
-    overload  the rate that the fleet takes, and load shedding
-    health    what an outcome says of its server
-    backlog   held requests, and the budget of retries
-    watch     when to watch the endpoint list again
-    gateway   the events, and all of these together
+    counters        counters of decisions, for the log
+    rate            the cubic rate controller (algorithm 2)
+    server          the state of one server
+    request         an unanswered request, and whether it is safe to send again
+    retry           whether a failed request may be retried
+    slow_start      the share of requests for servers that are warming up
+    endpoint_table  all servers, and the candidates for a request
+    score           C3's cubic score, and the averages it is computed from
+    overload        the rate that the fleet accepts, and load shedding
+    health          what an attempt's outcome means for its server
+    backlog         held requests, the retry budget, and hedging
+    watch           when to (re)open the watch on the endpoint list
+    gateway         handles the events, using all of the above
 """
 
 from .gateway import Gateway
--- a/sailhitch/policy/counters.py
+++ b/sailhitch/policy/counters.py
@@ -1,23 +1,25 @@
-"""Counters of decisions, for the log alone: no decision depends on them."""
+"""Counters of decisions. They are written to the log; no decision depends on them."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# Rejections and failures by their reason.
+# Requests that were rejected or failed, by reason.
 REASONS: Final = (
-    "shed",
-    "spent",
-    "unplaced",
-    "expired",
-    "timed_out",
-    "capped",
-    "may_have_run",
-    "retired",
+    "shed",  # load shedding
+    "spent",  # the retry budget is used up
+    "unplaced",  # no server was available, and it was too late to hold the request
+    "expired",  # held, but no server was available in time
+    "timed_out",  # too late for another attempt
+    "capped",  # the maximum number of attempts is reached
+    "may_have_run",  # unsafe to repeat
+    "retired",  # the pool was removed
 )
+# Retries; hedged requests; cuts of the fleet's rate; cooldowns after a rejection; ejections of
+# servers; requests sent to servers in slow start.
 EVENTS: Final = ("retries", "hedges", "cuts", "rests", "shuns", "cold")
 
 
 def new_counters() -> dict[str, int]:
-    """Return all counters at zero, by name, in the order of the log line."""
+    """Return all counters at zero, in the order in which they are logged."""
     return dict.fromkeys((*REASONS, *EVENTS), 0)
--- a/sailhitch/policy/endpoint_table.py
+++ b/sailhitch/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The table of servers, and which of them are candidates for a request."""
+"""The table of servers, and the selection of candidates for a request."""
 
 from __future__ import annotations
 
@@ -16,55 +16,57 @@
 from .slow_start import SlowStartShares
 
 CANDIDATES: Final = 16  # servers ranked for a request
-REMOTE_CANDIDATES: Final = 5  # of them from other zones, for the load of an overloaded zone
-SPILL: Final = 3  # servers ranked beside a key's replicas, for the load of a hot key
-REPLICAS: Final = 3  # rendezvous servers of a key that are ranked, with key affinity...
-MAX_REPLICAS: Final = 32  # ...out of so many for a hot key
-HOT_KEY_SPREAD: Final = 1.5  # of the servers that a key's share of the traffic fills
-MIN_KEY_TOTAL: Final = 50  # requests; a key's share is not measured on fewer
-KEY_WINDOW: Final = 2000  # requests after which the counts of keys are halved
-MAX_CACHED_KEYS: Final = 5000  # whose replicas are cached
-CLOCK_SKEW_MULTIPLE: Final = 2.0  # of the slow start time, from which clocks must differ
-SLOW_START_SPREAD: Final = 0.5  # of the slow start time, over which gateways end it
-# Multipliers of the 64-bit finalizer that mixes key and server.
+REMOTE_CANDIDATES: Final = 5  # of which from other zones, to offload an overloaded zone
+EXTRA_CANDIDATES: Final = 3  # ranked in addition to a key's replicas, to offload a hot key
+REPLICAS: Final = 3  # replicas of a key that are ranked, with key affinity...
+MAX_REPLICAS: Final = 32  # ...chosen among up to this many for a hot key
+HOT_KEY_SPREAD: Final = 1.5  # replicas, as a multiple of the servers that the key's load fills
+MIN_KEY_TOTAL: Final = 50  # requests assumed at least when a key's share is computed
+KEY_WINDOW: Final = 2000  # requests after which the counts by key are halved
+MAX_CACHED_KEYS: Final = 5000  # keys whose replicas are cached
+CLOCK_SKEW_MULTIPLE: Final = 2.0  # a larger lag, in slow start times, is taken for clock skew
+SLOW_START_SPREAD: Final = 0.5  # slow start lasts up to this share longer, random by gateway
+# Multipliers of the 64-bit hash finalizer that mixes a key's and a server's hash.
 MIX_FIRST: Final = 0x9E3779B97F4A7C15
 MIX_SECOND: Final = 0xD6E8FEB86659FD93
 MASK_64: Final = 0xFFFFFFFFFFFFFFFF
 
-READY: Final = EndpointState.READY  # bound once for the loop over all servers
+READY: Final = EndpointState.READY  # avoids an attribute lookup per server in hot loops
 
 
 class EndpointTable:
-    """The servers of the endpoint list, with what this gateway knows of each."""
+    """The servers of the endpoint list, with this gateway's state for each of them."""
 
-    def __init__(self, settings: Settings, draws: random.Random) -> None:
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings = settings
-        self.random = draws
+        self.random = rng
         self.servers: dict[str, Server] = {}
-        self.warm: list[list[Server]] = []  # ready and warm: own zone, then the others
+        self.warm: list[list[Server]] = []  # ready and warm servers: own zone, other zones
         self.slow_start = SlowStartShares(settings.rules)
         self.reach: Reach[Server] = Reach(settings.gateway_index, settings.gateway_count)
         self.key_count: dict[int, int] = {}
         self.key_total = 0
-        self.replicas_by_key: dict[int, list[Server]] = {}  # until the list changes
-        self.clock_ahead = 0  # by how much this machine's wall clock surely is ahead of a host's
+        self.replicas_by_key: dict[int, list[Server]] = {}  # cache; cleared when the list changes
+        # Lower bound of how far this machine's wall clock is ahead of the hosts' clocks, in us.
+        self.clock_offset = 0
 
-    def adopt(self, settings: Settings) -> None:
-        """Use new settings."""
+    def reconfigure(self, settings: Settings) -> None:
+        """Apply new settings."""
         if (settings.gateway_index, settings.gateway_count) != (
             self.settings.gateway_index,
             self.settings.gateway_count,
         ):
-            self.reach.adopt(settings.gateway_index, settings.gateway_count)
+            self.reach.configure(settings.gateway_index, settings.gateway_count)
         self.settings = settings
         self.slow_start.rules = settings.rules
 
     def on_watch_event(
         self, now: int, mode: WatchEventKind, entries: Sequence[Endpoint], since: int = 0
     ) -> None:
-        """Take in an event of the endpoint list.
+        """Apply an event of the endpoint list.
 
-        Up to `since` the list surely held as it was before; 0 if that is not known.
+        `since` is the latest time at which the previous list is known to have been current; 0 if
+        that is unknown.
         """
         if mode in (WatchEventKind.SNAPSHOT, WatchEventKind.RESTORED):
             listed = {e.name for e in entries}
@@ -74,30 +76,31 @@
         for entry in entries:
             known = self.servers.get(entry.name)
             if known is None:
-                leave = 1.0 + SLOW_START_SPREAD * self.random.random()
-                self.servers[entry.name] = Server(entry, leave, now, self.clock_ahead)
+                multiple = 1.0 + SLOW_START_SPREAD * self.random.random()
+                self.servers[entry.name] = Server(entry, multiple, now, self.clock_offset)
             else:
                 restarted = entry.started_at != known.listed_started_at
                 if restarted:
-                    self._compare_clocks(entry, since)
-                known.update(entry, now, self.clock_ahead)
+                    self._estimate_clock_offset(entry, since)
+                known.update(entry, now, self.clock_offset)
                 if restarted:
                     known.reset()
         self.regroup(now)
 
-    def _compare_clocks(self, entry: Endpoint, since: int) -> None:
-        """Learn from a restart whether servers' wall clocks are behind this machine's.
+    def _estimate_clock_offset(self, entry: Endpoint, since: int) -> None:
+        """Estimate from a restart how far the servers' wall clocks are behind this machine's.
 
-        A server that was listed with another start at `since` can't have run for much longer. By a
-        clock that is ahead it would look warm and be overloaded. A difference of little more than
-        the slow start time may come from a late list, and says nothing of clocks.
+        A server that was listed with an earlier start time at `since` can't have been restarted
+        much before that. If this machine's clock is ahead, the server would look warm and be
+        overloaded. A difference of little more than the slow start time may come from a delayed
+        list, and is no evidence of clock skew.
         """
-        ahead = since - entry.started_at
-        if entry.started_at and ahead > CLOCK_SKEW_MULTIPLE * self.settings.rules.slow_start_time:
-            self.clock_ahead = max(self.clock_ahead, ahead)
+        lag = since - entry.started_at
+        if entry.started_at and lag > CLOCK_SKEW_MULTIPLE * self.settings.rules.slow_start_time:
+            self.clock_offset = max(self.clock_offset, lag)
 
     def regroup(self, now: int) -> None:
-        """Sort the ready servers by zone and warmth."""
+        """Drop removed servers, and regroup the ready ones by zone and slow start state."""
         zone = self.settings.zone
         own: list[Server] = []
         others: list[Server] = []
@@ -106,8 +109,8 @@
         for server in [s for s in gone if not (s.in_flight or s.uploading)]:
             del self.servers[server.name]
         for server in self.servers.values():
-            # A draining server is no candidate from the event on that says so.
-            if server.state == READY and not self.slow_start.sort(now, server):
+            # A draining server stops being a candidate as soon as the list says that it drains.
+            if server.state == READY and not self.slow_start.classify(now, server):
                 (own if server.zone == zone else others).append(server)
         self.warm = [own, others]
         self.reach.sort(own, others)
@@ -118,11 +121,11 @@
         return len(self.warm[0]) + len(self.warm[1])
 
     def capacity(self, now: int) -> float:
-        """Return how many warm servers the ready ones are surely worth together."""
+        """Return the lower bound of the ready servers' capacity, in warm servers."""
         return self.warm_count() + self.slow_start.capacity(now)
 
-    def cold_pick(self, now: int, request: Request) -> Server | None:
-        """Return the warming server that the request's draw selects, if it may have the request."""
+    def pick_cold(self, now: int, request: Request) -> Server | None:
+        """Return the server in slow start that the request's draw selects, if it is eligible."""
         if not self.slow_start.servers:
             return None
         if now >= self.slow_start.next_warm:
@@ -133,29 +136,31 @@
         return None if max(server.ejected_until, server.cooldown_until) > now else server
 
     def candidates(self, now: int, request: Request) -> list[Server]:
-        """Return the servers to rank: a key's replicas with key affinity, else some in reach.
+        """Return the servers to rank: the key's replicas, or a sample of this gateway's subset.
 
-        Ranking the whole fleet would cost CPU that grows with it, and send all gateways to the one
-        server that looks idle.
+        Ranking the whole fleet would cost CPU in proportion to its size, and all gateways would
+        pick the same server that looks idle.
         """
         own, others = self.reach.select(now)
         if request.key is not None and self.settings.has_key_affinity and not request.attempts:
             found = self._replicas(request.key)
-            width = min(self._width(request.key), len(found))
-            request.rank = min(width, REPLICAS)
-            # Gateways with little traffic each would send a hot key to one server together.
-            hot = width > REPLICAS
-            found = self._sample(found[:width], REPLICAS) if hot else found[:REPLICAS]
-            return found + self._sample(own or others, SPILL)
-        few = CANDIDATES if not others else CANDIDATES - REMOTE_CANDIDATES
-        found = own if len(own) <= few else self._sample(own, few)
+            count = min(self._replica_count(request.key), len(found))
+            request.affinity_count = min(count, REPLICAS)
+            # Sampling keeps many low-traffic gateways from all sending a hot key to one server.
+            is_hot = count > REPLICAS
+            found = self._sample(found[:count], REPLICAS) if is_hot else found[:REPLICAS]
+            return found + self._sample(own or others, EXTRA_CANDIDATES)
+        own_count = CANDIDATES if not others else CANDIDATES - REMOTE_CANDIDATES
+        found = own if len(own) <= own_count else self._sample(own, own_count)
         if others:
-            more = CANDIDATES - len(found)
-            found = found + (others if len(others) <= more else self._sample(others, more))
+            remote_count = CANDIDATES - len(found)
+            found = found + (
+                others if len(others) <= remote_count else self._sample(others, remote_count)
+            )
         return found
 
-    def _width(self, key: int) -> int:
-        """Return how many servers a key's traffic fills, by its share of the requests."""
+    def _replica_count(self, key: int) -> int:
+        """Count a request with this key, and return the number of replicas that its load needs."""
         counts = self.key_count
         count = counts[key] = counts.get(key, 0) + 1
         self.key_total += 1
@@ -167,13 +172,13 @@
         )
 
     def _sample(self, pool: list[Server], k: int) -> list[Server]:
-        """Return `k` servers at random; a server may be drawn twice, which is harmless."""
-        rnd = self.random.random
+        """Return `k` random servers, drawn with replacement; duplicates are harmless."""
+        draw = self.random.random
         size = len(pool)
-        return [pool[int(rnd() * size)] for _ in range(k if size else 0)]
+        return [pool[int(draw() * size)] for _ in range(k if size else 0)]
 
     def _replicas(self, key: int) -> list[Server]:
-        """Return a key's servers by weighted rendezvous hashing, the same at every gateway."""
+        """Return a key's replicas by weighted rendezvous hashing; the same at every gateway."""
         found = self.replicas_by_key.get(key)
         if found is None:
             if len(self.replicas_by_key) > MAX_CACHED_KEYS:
--- a/sailhitch/policy/gateway.py
+++ b/sailhitch/policy/gateway.py
@@ -1,4 +1,4 @@
-"""The decision module of one gateway: its events, and the parts that decide on them."""
+"""The entry point of the decision module: handles events by calling the other parts."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
     WatchEventKind,
 )
 from ..settings import Idempotency, Settings
-from .backlog import HEDGE_QUEUE, Backlog, Retries
+from .backlog import HEDGE_MAX_QUEUE, Backlog, Retries
 from .counters import new_counters
 from .endpoint_table import EndpointTable
 from .health import Health
 from .overload import POST_STALL_WINDOW, Overload
 from .request import Request
-from .retry import is_out_of_time, retry_cost, why_not_retried
+from .retry import is_out_of_time, retry_cost, retry_refusal_reason
 from .score import Scores
 from .server import Server, shows_full_queue
-from .slow_start import DRAW_SPENT
+from .slow_start import NO_DRAW
 from .watch import WatchSchedule
 
-DRAIN_TIMER = 1
+BACKLOG_TIMER = 1
 WATCH_TIMER = 2
 HEDGE_TIMER = 3
 
 
 class Gateway:
-    """The decisions of one gateway instance."""
+    """The decision module of one gateway instance. Its public methods are the events."""
 
     def __init__(self, port: Port, settings: Settings, seed: int) -> None:
         self.port = port
@@ -54,57 +54,59 @@
     # --- Events
 
     def start(self, now: int) -> None:
-        """Start with no endpoints; the list as last known follows by `on_watch_event`."""
+        """Start with no endpoints; the last known list follows through `on_watch_event`."""
         self.overload.started_at = now
         if self.settings.gateway_index < 0:
-            self.port.log("no number among the gateways is told: all servers are in reach")
+            self.port.log("the settings give no valid gateway index: this gateway uses all servers")
 
     def on_stall(self, now: int) -> None:
-        """Note that this process was stalled until now.
+        """Record that this process was stalled until now.
 
-        Responses that were outstanding, and requests that are read right after the stall, say
-        nothing of the fleet however late they are. Otherwise one stall would make a gateway shed
-        load for seconds.
+        Responses that were outstanding during the stall, and requests read right after it, are late
+        because of the stall and are no evidence of overload. If they were counted, one stall would
+        make the gateway shed load for seconds.
         """
         self.overload.post_stall_until = now + POST_STALL_WINDOW
 
     def reconfigure(self, now: int, settings: Settings) -> None:
-        """Use new settings and keep what was learned.
+        """Apply new settings and keep all learned state.
 
-        Open requests keep their class as it was.
+        Open requests keep the class settings that they arrived with.
         """
         self.settings = settings
-        self.overload.adopt(now, settings)
-        self.scores.adopt(settings)
-        self.endpoint_table.adopt(settings)
+        self.overload.reconfigure(now, settings)
+        self.scores.reconfigure(settings)
+        self.endpoint_table.reconfigure(settings)
         class_index = {cls: i for i, cls in reversed(list(enumerate(settings.classes)))}
         for request in self.open_requests.values():
             request.class_index = class_index.get(request.request_class, len(settings.classes))
         self.endpoint_table.regroup(now)
 
-    def set_share(self, part: float) -> None:
-        """Set the share of the gateway's clients that come to this process.
+    def set_share(self, share: float) -> None:
+        """Set the share of the gateway's clients that are connected to this process.
 
-        Rates and arrivals are measured by process, so they change with the share: a limit of the
-        whole gateway that is cut to what half of its clients bring would be halved twice. Slow
-        start needs nothing here, as it gives servers shares of what comes, and these add up.
+        Rates and arrivals are measured per process, so they are scaled with the share. Otherwise a
+        rate limit of the whole gateway, cut again to the rate that half of its clients cause, would
+        be halved twice. Slow start needs no scaling: it gives servers a share of this process's
+        requests, and the shares of all processes add up.
         """
-        change = self.overload.share(part)
-        for server in self.endpoint_table.servers.values() if change != 1.0 else ():
-            server.rate.scale(change)
+        ratio = self.overload.set_client_share(share)
+        for server in self.endpoint_table.servers.values() if ratio != 1.0 else ():
+            server.rate.scale(ratio)
 
     def retire(self, now: int) -> None:
-        """Finish all held requests and hold none from now on: the pool has been removed."""
+        """Reject or fail all held requests and hold no more: the pool has been removed."""
         self.retired = True
-        for request in self.backlog.empty():
+        for request in self.backlog.remove_all():
             self._finish(now, request, "retired")
 
     def on_watch_event(
         self, now: int, mode: WatchEventKind, entries: Sequence[Endpoint], since: int = 0
     ) -> None:
-        """Take in an event of the endpoint list; after a failure watch again, with backoff.
+        """Apply an event of the endpoint list; after a failure, reopen the watch with backoff.
 
-        Up to `since` the list surely held as it was before; 0 if that is not known.
+        `since` is the latest time at which the previous list is known to have been current; 0 if
+        that is unknown.
         """
         if mode == WatchEventKind.FAILED:
             self.port.set_timer(WATCH_TIMER, now + self.watch.on_failed())
@@ -116,7 +118,7 @@
         elif mode != WatchEventKind.MAINTENANCE:
             self.watch.on_event()
         self.endpoint_table.on_watch_event(now, mode, entries, since)
-        self._drain(now)
+        self._drain_backlog(now)
 
     def request(
         self,
@@ -130,21 +132,22 @@
         repeat: bool = False,
         uploading: bool = False,
     ) -> None:
-        """Handle a client's request; `work` is 0 if it has no hint of its work.
+        """Handle a client's request. `work` is the client's estimate of its cost; 0 if unknown.
 
-        `uploading`: its body is incomplete, and a server has no work before `body_complete`.
+        `uploading` means that the request body is incomplete: a server can't start on the request
+        before `body_complete`.
         """
-        kind = self.settings.classes[cls]
-        request = Request(now, req, kind, deadline, work, key)
+        request_class = self.settings.classes[cls]
+        request = Request(now, req, request_class, deadline, work, key)
         request.class_index = cls
         request.is_uploading = uploading
         self.open_requests[req] = request
-        self.retries.earn()
-        self.endpoint_table.reach.width.on_request(now)
-        if self.overload.sheds(now, kind, tenant, repeat):
+        self.retries.on_request()
+        self.endpoint_table.reach.sizer.on_request(now)
+        if self.overload.should_shed(now, request_class, tenant, repeat):
             self._finish(now, request, "shed")
             return
-        request.limit_wait(now, deadline, int(self.overload.usual(request)))
+        request.set_time_limits(now, deadline, int(self.overload.usual_latency(request)))
         request.selection_draw = self.random.random()
         self._place_or_hold(now, request)
 
@@ -158,52 +161,53 @@
         latency: int,
         name: str,
         report: LoadReport | None,
-        fair: bool = True,
+        reflects_server: bool = True,
     ) -> None:
-        """Learn from an attempt that has ended, and retry its request or finish it.
+        """Record the outcome of an attempt, and retry or finish its request.
 
-        `fair`: the outcome says something of the server, not of this gateway alone.
+        `reflects_server` is False if the outcome was caused by this gateway and must not affect
+        the server's statistics.
         """
         server = self.endpoint_table.servers.get(name)
         request = self.open_requests.get(req)
-        streamed = request is not None and request.judged
+        was_streamed = request is not None and request.latency_recorded
         sent = None
-        failing = False
+        was_ejected = False
         if server is not None:
             sent = server.on_outcome(req, attempt)
-            failing = server.ejections > 0
-            if fair and not (streamed and status == AttemptOutcome.OK):
-                self.health.learn(now, server, status, latency, report, sent)
+            was_ejected = server.ejections > 0
+            if reflects_server and not (was_streamed and status == AttemptOutcome.OK):
+                self.health.record_outcome(now, server, status, latency, report, sent)
         if request is not None:
             request.open_attempts -= 1
             if closed:
-                if not streamed:
-                    self.overload.judge(now, request, latency)
+                if not was_streamed:
+                    self.overload.record_latency(now, request, latency)
                 del self.open_requests[req]
             elif not request.streaming:
                 if status not in NEVER_RAN:
                     request.on_may_have_run(server, sent)
                 elif status == AttemptOutcome.BUSY and shows_full_queue(report):
-                    # A full server is the earliest sign that the fleet is full: late responses
-                    # follow only when its queue has been worked off.
-                    self.overload.late(now, request, True)
-                self._continue(now, request, status, failing)
+                    # A full server is the earliest sign that the fleet is full: its late responses
+                    # arrive only after it has worked off its queue.
+                    self.overload.record_lateness(now, request, True)
+                self._retry_or_finish(now, request, status, was_ejected)
         if self.backlog.held:
-            self._drain(now)
+            self._drain_backlog(now)
 
     def body_complete(self, now: int, req: int, deadline: int) -> None:
-        """Count the time of a request and its attempt from now on, as its body is complete.
+        """Restart the clock of a request and its attempt, now that its body is complete.
 
-        Counted from the first byte, a slow client makes its server look slow and silent.
+        Measured from the first byte, a slow upload would make the server look slow or unresponsive.
         """
         request = self.open_requests.get(req)
         if request is None or not request.is_uploading:
             return
         request.is_uploading = False
-        moved = now - request.arrived_at
+        shift = now - request.arrived_at
         request.arrived_at = now
-        request.hold_until = min(deadline, request.hold_until + moved)
-        request.worthless_at += moved if request.worthless_at else 0
+        request.hold_until = min(deadline, request.hold_until + shift)
+        request.attempts_end_at += shift if request.attempts_end_at else 0
         for server in self.endpoint_table.servers.values() if request.open_attempts else ():
             server.on_body_complete(now, req)
 
@@ -215,55 +219,58 @@
         name: str,
         latency: int,
         report: LoadReport | None = None,
-        learn: bool = False,
+        record_outcome: bool = False,
     ) -> None:
-        """Note that a response is streamed to the client; no deadline applies any more.
+        """Record that a response is being streamed to the client; deadlines no longer apply.
 
-        With `learn`, what there is to learn of its server is learned now, and its end is none: how
-        long a client takes to read says nothing of the server.
+        With `record_outcome`, the server's statistics are updated now and not when the response
+        ends: how long the client takes to read it is not the server's doing.
         """
         request = self.open_requests.get(req)
         if request is not None:
             request.streaming = True
-        if not learn:
+        if not record_outcome:
             return
         server = self.endpoint_table.servers.get(name)
         if server is not None:
             sent = server.on_outcome(req, attempt)
-            self.health.learn(now, server, AttemptOutcome.OK, latency, report, sent)
+            self.health.record_outcome(now, server, AttemptOutcome.OK, latency, report, sent)
         if request is not None:
-            request.judged = True
-            self.overload.judge(now, request, latency)
+            request.latency_recorded = True
+            self.overload.record_latency(now, request, latency)
 
     def client_disconnected(self, now: int, req: int) -> None:
-        """Drop a request whose client has left."""
+        """Drop a request whose client has disconnected."""
         self.open_requests.pop(req, None)
 
     def timer(self, now: int, token: int) -> None:
         """Handle a timer that was set through the port."""
-        if token == DRAIN_TIMER:
-            if now >= self.backlog.look_at:
-                self.backlog.look_at = 0
-                self._drain(now)
+        if token == BACKLOG_TIMER:
+            if now >= self.backlog.next_check_at:
+                self.backlog.next_check_at = 0
+                self._drain_backlog(now)
         elif token == HEDGE_TIMER:
-            self._hedge(now)
+            self._send_hedges(now)
         elif token == WATCH_TIMER and not self.watch.is_open:
             self.port.watch(True)
 
-    # --- Choosing a server: the paper's algorithm 1
+    # --- Server selection: the paper's algorithm 1
 
-    def _finish(self, now: int, request: Request, why: str) -> None:
-        """Respond without a server; reject only if the request can't have had an effect."""
-        self.counters[why] += 1
+    def _finish(self, now: int, request: Request, reason: str) -> None:
+        """Reject or fail a request; reject it only if a repeat by the client is safe."""
+        self.counters[reason] += 1
         del self.open_requests[request.id]
-        if why != "may_have_run" and request.may_be_rejected():
-            self.port.refuse(request.id, self.overload.comeback(now))
+        if reason != "may_have_run" and request.may_be_rejected():
+            self.port.refuse(request.id, self.overload.retry_delay(now))
         else:
             self.port.fail(request.id)
 
     def _place(self, now: int, request: Request) -> bool:
-        """Send to the server with the lowest psi that has a token; return False if none has."""
-        server = self.endpoint_table.cold_pick(now, request)
+        """Send to a server in slow start that the draw selects, or to the best-scored server.
+
+        Return False if no candidate may get the request and has a token.
+        """
+        server = self.endpoint_table.pick_cold(now, request)
         if server is None:
             server = self.scores.best(now, request, self.endpoint_table.candidates(now, request))
         if server is None:
@@ -280,14 +287,14 @@
         if self.endpoint_table.slow_start.is_cold(now, server):
             self.counters["cold"] += 1
         else:
-            self.endpoint_table.slow_start.count(server)
-        self.port.send(request.id, server.name, max(0, request.worthless_at - now))
+            self.endpoint_table.slow_start.count_request(server)
+        self.port.send(request.id, server.name, max(0, request.attempts_end_at - now))
         if request.attempts == 1 and request.request_class.idempotency == Idempotency.SAFE:
             request.first_server = server
-            usual = self.overload.usual(request)
-            if usual and self.settings.limits.may_duplicate:
-                self.retries.expect(now, request, usual)
-                self._arm_hedge()
+            usual_latency = self.overload.usual_latency(request)
+            if usual_latency and self.settings.limits.may_duplicate:
+                self.retries.schedule_hedge(now, request, usual_latency)
+                self._schedule_hedge_check()
 
     def _place_or_hold(self, now: int, request: Request) -> None:
         if self._place(now, request):
@@ -295,36 +302,38 @@
         if now >= request.hold_until or self.retired:
             self._finish(now, request, "unplaced")
             return
-        request.selection_draw = DRAW_SPENT
+        request.selection_draw = NO_DRAW
         self.backlog.hold(request)
-        self._arm_drain(now)
+        self._schedule_backlog_check(now)
 
-    def _drain(self, now: int) -> None:
-        self.backlog.drain(now, self._expired, self._place)
-        self._arm_drain(now)
+    def _drain_backlog(self, now: int) -> None:
+        self.backlog.drain(now, self._finish_expired, self._place)
+        self._schedule_backlog_check(now)
 
-    def _expired(self, now: int, request: Request) -> None:
-        """Finish a held request for which no token came in time."""
-        self.overload.late(now, request, True)
+    def _finish_expired(self, now: int, request: Request) -> None:
+        """Finish a held request for which no server had a token in time."""
+        self.overload.record_lateness(now, request, True)
         self._finish(now, request, "expired")
 
-    def _arm_drain(self, now: int) -> None:
-        if at := self.backlog.next_look(now):
-            self.port.set_timer(DRAIN_TIMER, at)
+    def _schedule_backlog_check(self, now: int) -> None:
+        if at := self.backlog.schedule_check(now):
+            self.port.set_timer(BACKLOG_TIMER, at)
 
     # --- Retries and hedged requests
 
-    def _continue(self, now: int, request: Request, status: AttemptOutcome, failing: bool) -> None:
-        """Retry a request whose attempt has failed, or finish it."""
+    def _retry_or_finish(
+        self, now: int, request: Request, status: AttemptOutcome, was_ejected: bool
+    ) -> None:
+        """Retry a request whose attempt has failed, if that is allowed, or else finish it."""
         if request.open_attempts:
             return
         if is_out_of_time(now, request, status):
-            # What a failing server still has is no sign that the fleet is overloaded.
-            if not failing:
-                self.overload.late(now, request, status != AttemptOutcome.NOT_SENT)
+            # Attempts lost with a failing server are no sign that the fleet is overloaded.
+            if not was_ejected:
+                self.overload.record_lateness(now, request, status != AttemptOutcome.NOT_SENT)
             self._finish(now, request, "timed_out")
             return
-        refusal = why_not_retried(request, status, self.settings.limits, self.retries.budget)
+        refusal = retry_refusal_reason(request, status, self.settings.limits, self.retries.budget)
         if refusal is not None:
             self._finish(now, request, refusal)
             return
@@ -332,25 +341,28 @@
         self.retries.budget -= retry_cost(status)
         self._place_or_hold(now, request)
 
-    def _arm_hedge(self) -> None:
-        if at := self.retries.next_look():
+    def _schedule_hedge_check(self) -> None:
+        if at := self.retries.schedule_check():
             self.port.set_timer(HEDGE_TIMER, at)
 
-    def _hedge(self, now: int) -> None:
-        """Send silent requests a second time, elsewhere, the first attempt going on.
+    def _send_hedges(self, now: int) -> None:
+        """Hedge unanswered requests: send them to another server while the first attempt runs on.
 
-        Guards against connections or paths that take a request and say nothing: its client need
-        not wait for the time-out. The sign is a server that has answered what was sent well after.
-        Where all are slow, as at overload, second copies make all slower. So none goes
-        out while the fleet's rate is limited, servers report queues or requests are held, and each
-        is paid for like a retry.
+        Guards against connections or network paths that accept a request and never respond, so that
+        the client need not wait for the timeout. Evidence of that is that the server has answered
+        requests sent well after this one. If the whole fleet is slow, as under overload, hedges
+        would slow it down further. So none is sent while the fleet's rate is limited, servers
+        report queues or requests are held, and each one costs as much of the budget as a retry.
         """
-        calm = not self.backlog.held and not self.overload.limited()
-        calm = calm and self.scores.typical_queue < HEDGE_QUEUE
-        for request in self.retries.silent(now):
-            if not (calm and self.retries.may_hedge(request, self.overload.usual(request))):
+        may_hedge_now = not self.backlog.held and not self.overload.is_limited()
+        may_hedge_now = may_hedge_now and self.scores.typical_queue < HEDGE_MAX_QUEUE
+        for request in self.retries.pop_unanswered(now):
+            if not (
+                may_hedge_now
+                and self.retries.may_hedge(request, self.overload.usual_latency(request))
+            ):
                 continue
             if now < request.hold_until and self._place(now, request):
                 self.counters["hedges"] += 1
                 self.retries.budget -= 1.0
-        self._arm_hedge()
+        self._schedule_hedge_check()
--- a/sailhitch/policy/health.py
+++ b/sailhitch/policy/health.py
@@ -1,7 +1,7 @@
-"""Health of servers: what the outcome of an attempt says of its server.
+"""Server health: updates a server's state by the outcomes of attempts.
 
-A server may be saturated (its rate is cut), in cooldown (it has rejected a request), or ejected as
-an outlier (it fails).
+A server may be saturated (its send rate is cut), in cooldown after it has rejected a request, or
+ejected as an outlier because it fails.
 """
 
 from __future__ import annotations
@@ -17,38 +17,38 @@
 from .score import Scores
 from .server import Server, queue_of
 
-# A cut goes no lower than this share of what a server of the fleet answers on average.
+# Lower bound of a cut rate, as a share of the average response rate per server.
 FAIR_SHARE: Final = 0.5
-SADDLE_RESPONSES: Final = 10  # the cubic is back at R0 after about this many responses
+SADDLE_RESPONSES: Final = 10  # the cubic returns to R0 after about this many responses
 SATURATED_QUEUE: Final = 2.0  # reported queue length from which a server counts as saturated
-EJECTION_MIN: Final = 1_000_000  # us; doubles with each ejection
+EJECTION_MIN: Final = 1_000_000  # us; doubles with each consecutive ejection
 EJECTION_MAX: Final = 16_000_000  # us
-MAX_EJECTIONS: Final = 8  # counted
-BUSY_COOLDOWN: Final = 1_000_000  # us after a rejection
-NO_ROUTE_COOLDOWN: Final = 250_000  # us after this machine found no route
-# Consecutive failures that eject a server; with spoilt responses fewer come by chance.
+MAX_EJECTIONS: Final = 8  # consecutive ejections that are counted
+BUSY_COOLDOWN: Final = 1_000_000  # us after a server rejected a request
+NO_ROUTE_COOLDOWN: Final = 250_000  # us after this machine had no port or route to a server
+# Consecutive failures that eject a server. If responses fail at random, shorter runs are common.
 FAILURES_TO_EJECT: Final = 3
-ERROR_ALPHA: Final = 0.1  # EWMA weight of an attempt's failure or success
+ERROR_ALPHA: Final = 0.1  # EWMA weight of one attempt in the error rate
 
 
 class Health:
-    """Turns outcomes into rates, cooldowns and ejections."""
+    """Updates send rates, cooldowns and ejections by the outcomes of attempts."""
 
     def __init__(
         self,
         endpoint_table: EndpointTable,
         scores: Scores,
         overload: Overload,
-        draws: random.Random,
+        rng: random.Random,
         counters: dict[str, int],
     ) -> None:
         self.endpoint_table = endpoint_table
         self.scores = scores
         self.overload = overload
-        self.random = draws
+        self.random = rng
         self.counters = counters
 
-    def learn(
+    def record_outcome(
         self,
         now: int,
         server: Server,
@@ -57,9 +57,9 @@
         report: LoadReport | None,
         sent: int | None,
     ) -> None:
-        """Learn from an attempt's outcome.
+        """Update the server's state by an attempt's outcome.
 
-        `sent` is when the attempt was sent, or None if the server had not received all of it.
+        `sent` is when the attempt was sent, or None if its body had not been sent completely.
         """
         if outcome == AttemptOutcome.OK:
             self._on_success(now, server, latency, report, sent)
@@ -70,7 +70,7 @@
         elif outcome == AttemptOutcome.CONNECT_FAILED:
             self._eject(now, server)
         elif outcome == AttemptOutcome.NO_ROUTE:
-            # This machine failed, which says nothing of the server; others may do meanwhile.
+            # The fault is this machine's and not the server's; other servers may be reachable.
             server.cooldown_until = max(server.cooldown_until, now + NO_ROUTE_COOLDOWN)
         elif outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.EXPIRED):
             self._on_timeout(now, server, latency, sent)
@@ -86,31 +86,32 @@
         if server.ejections:
             server.ejections = 0
             server.ejected_until = 0
-        self.scores.answered(server, latency, report)
+        self.scores.on_response(server, latency, report)
         queued = report is not None and queue_of(report) is not None
         if queued and server.queue_ewma > SATURATED_QUEUE:
-            self.saturated(now, server)
+            self.on_saturated(now, server)
         server.answered_at = now
 
     def _on_rejection(self, now: int, server: Server, report: LoadReport | None) -> None:
-        """Cut the rate, and prefer other servers for a while.
+        """Cut the rate, and prefer other servers during a cooldown.
 
-        At a gateway with little traffic a token is always saved up, so that no rate keeps requests
-        from a server that drains. Where it is the only server it may still be used, so the
-        cooldown is a handicap in the score and no ban.
+        A gateway with little traffic always has a token left, so the rate alone would not keep
+        requests away from a draining server. If it is the only server it may still be used, so the
+        cooldown is a penalty in the score and not an exclusion.
         """
-        self.scores.declined(now, server, report)
-        self.saturated(now, server)
+        self.scores.on_rejection(now, server, report)
+        self.on_saturated(now, server)
         cooldown = int(BUSY_COOLDOWN * self._jitter())
         server.cooldown_until = now + cooldown
         self.endpoint_table.reach.review_at = 0
         self.counters["rests"] += 1
 
     def _on_error(self, now: int, server: Server) -> None:
-        """Count a failure; a quick error's short latency and empty queue are no sample.
+        """Count a failure. The latency and queue of an error response are not recorded.
 
-        One failure among many responses is no sign of a bad server: where responses are spoilt at
-        random, ejecting each server for its one failure would remove healthy capacity.
+        Errors often come quickly and would make the server look fast and idle. One failure among
+        many responses does not eject a server: if responses fail at random, ejecting a server for
+        each failure would remove healthy capacity.
         """
         server.error_ewma += ERROR_ALPHA * (1.0 - server.error_ewma)
         server.consecutive_failures += 1
@@ -120,23 +121,23 @@
 
     def _on_timeout(self, now: int, server: Server, latency: int, sent: int | None) -> None:
         if sent is not None and server.answered_at < sent:
-            # It has answered nothing since: it is silent, not busy.
+            # It has answered nothing since then: it is unresponsive, not merely busy.
             self._eject(now, server)
         else:
-            self.scores.timed_out(server, latency)
-        self.saturated(now, server)
+            self.scores.on_timeout(server, latency)
+        self.on_saturated(now, server)
 
-    def saturated(self, now: int, server: Server) -> None:
-        """Cut the server's rate to what it answers."""
+    def on_saturated(self, now: int, server: Server) -> None:
+        """Cut the server's send rate to its measured response rate."""
         rate = server.rate
         if now - rate.cut_at < rate.saddle and rate.send_rate != math.inf:
             return
-        if self.overload.unmeasured(now):
+        if self.overload.lacks_measurements(now):
             return
-        # A server that was sent little, as after an ejection, has answered little. That says
-        # nothing of its capacity, and a rate cut to it takes many saddles to recover.
-        fair = self.overload.fleet.estimate(now) / max(1, self.endpoint_table.reach.size())
-        rate_at_cut = max(rate.estimate(now), FAIR_SHARE * fair, 1e6 / RATE_TAU)
+        # A server that was sent little, as after an ejection, has answered little whatever its
+        # capacity. A rate cut to that would take many saddles to recover.
+        fair_rate = self.overload.fleet.estimate(now) / max(1, self.endpoint_table.reach.size())
+        rate_at_cut = max(rate.estimate(now), FAIR_SHARE * fair_rate, 1e6 / RATE_TAU)
         if rate.send_rate != math.inf and rate.send_rate < rate_at_cut:
             return
         saddle = max(SADDLE_MIN, SADDLE_RESPONSES / rate_at_cut * 1e6)
@@ -145,18 +146,18 @@
         server.tokens = min(server.tokens, 1.0)
 
     def _eject(self, now: int, server: Server) -> None:
-        """Eject an outlier for a while that grows with each ejection.
+        """Eject a server, for twice as long with each consecutive ejection.
 
-        All attempts that are in flight at a server fail with it, which counts as one failure.
+        All attempts in flight at a failing server fail together and cause a single ejection.
         """
         if now < server.ejected_until:
             return
         self.counters["shuns"] += 1
         self.endpoint_table.reach.review_at = 0
         server.ejections = min(server.ejections + 1, MAX_EJECTIONS)
-        wait = min(EJECTION_MIN << (server.ejections - 1), EJECTION_MAX)
-        server.ejected_until = now + int(wait * self._jitter())
+        duration = min(EJECTION_MIN << (server.ejections - 1), EJECTION_MAX)
+        server.ejected_until = now + int(duration * self._jitter())
 
     def _jitter(self) -> float:
-        """Return a factor around 1, so that gateways do not return to a server together."""
+        """Return a random factor around 1, so that gateways don't return to a server together."""
         return 0.75 + 0.5 * self.random.random()
--- a/sailhitch/policy/overload.py
+++ b/sailhitch/policy/overload.py
@@ -1,4 +1,4 @@
-"""Overload control: the request rate that the fleet takes from this gateway, and load shedding."""
+"""Overload control: the request rate that the fleet accepts from this gateway, and shedding."""
 
 from __future__ import annotations
 
@@ -12,45 +12,46 @@
 from .request import Request
 
 CLASS_ALPHA: Final = 0.05  # EWMA weight for a class's usual latency and work
-UNMEASURED: Final = 500_000  # us after the fleet's first response without a rate to cut to
-# A response after this share of its latency objective counts as late.
-NEAR_LATE: Final = 0.6
-# CUSUM: late responses beyond this share are evidence of overload once they add up to the sum.
-LATE_SHARE: Final = 0.15
-LATE_SUM: Final = 4.0
-# The fleet's rate is back at R0 after the lesser of these: microseconds, and a multiple of the
-# longest latency objective.
+MEASUREMENT_TIME: Final = 500_000  # us from the fleet's first response until rates may be cut
+# A response that takes longer than this share of its latency objective counts as late.
+LATE_OBJECTIVE_SHARE: Final = 0.6
+# CUSUM detector: late responses in excess of this share are summed up, and the fleet counts as
+# overloaded once the sum reaches its limit.
+TOLERATED_LATE_SHARE: Final = 0.15
+LATE_SUM_LIMIT: Final = 4.0
+# The fleet's rate returns to R0 after the lesser of these: a time in microseconds, and a multiple
+# of the longest latency objective.
 FLEET_SADDLE_MAX: Final = 3_000_000
 SADDLE_OBJECTIVES: Final = 1.2
-ARRIVAL_TAU: Final = 1_500_000  # us; window of the arrival rates
-POST_STALL_WINDOW: Final = 50_000  # us after a stall in which requests from before it are read
-MAX_SHED_SHARE: Final = 0.95  # without any responses nothing would show the end of an overload
-FORGET_CUT_SADDLES: Final = 3  # saddles without a surplus after which the rate's limit is dropped
-QUOTA_BURST: Final = 2.0  # s of a tenant's quota, and requests at least, that may come at once
+ARRIVAL_TAU: Final = 1_500_000  # us; time constant of the arrival rates
+POST_STALL_WINDOW: Final = 50_000  # us after a stall in which requests that came during it are read
+MAX_SHED_SHARE: Final = 0.95  # some requests must pass, or the end of an overload would not show
+LIMIT_RELEASE_SADDLES: Final = 3  # saddles after a cut until the limit may be lifted
+QUOTA_BURST: Final = 2.0  # burst allowed to a tenant, in seconds of quota; at least 2 requests
 
 
 class Overload:
-    """The fleet's cubic rate, arrivals by priority and tenant, and how late responses are."""
+    """The fleet's cubic rate, arrivals by priority and tenant, and the detector of overload."""
 
     def __init__(
         self,
         settings: Settings,
         endpoint_table: EndpointTable,
-        draws: random.Random,
+        rng: random.Random,
         counters: dict[str, int],
     ) -> None:
         self.endpoint_table = endpoint_table
-        self.random = draws
+        self.random = rng
         self.counters = counters
-        self.part = 1.0  # the share of the gateway's clients that come to this process
+        self.client_share = 1.0  # share of the gateway's clients that are connected to this process
         self.fleet = CubicRate()
         self.late_sum = 0.0
-        self.cut_capacity = 1.0  # of the fleet, when its rate was last cut
+        self.capacity_at_cut = 1.0  # of the fleet at its last rate cut, in warm servers
         self.arrivals_at = self.started_at = self.post_stall_until = 0
-        self._count_from_nothing(0, settings)
+        self._reset_counts(0, settings)
 
-    def _count_from_nothing(self, now: int, settings: Settings) -> None:
-        """Use these settings, with all counts by class, priority or tenant at zero."""
+    def _reset_counts(self, now: int, settings: Settings) -> None:
+        """Apply settings, and reset all counts by class, priority and tenant."""
         self.settings = settings
         self.class_latency = [0.0] * len(settings.classes)
         self.class_work = [0.0] * len(settings.classes)
@@ -58,15 +59,16 @@
         if settings.tenants:
             weights |= {weight * settings.over_quota_weight for weight in weights}
         self.priority_levels = sorted(weights)
-        # Requests in the window by priority level: retries of clients, then first attempts.
+        # Requests in the window, by priority level; for each level, clients' retries come before
+        # first attempts.
         self.arrivals = [0.0] * (2 * len(self.priority_levels))
         self.tenant_tokens = [1.0] * len(settings.tenants)
         self.tenant_tokens_at = [now] * len(settings.tenants)
         longest = max(c.latency_objective for c in settings.classes)
         self.fleet_saddle = min(FLEET_SADDLE_MAX, max(SADDLE_MIN, int(SADDLE_OBJECTIVES * longest)))
 
-    def adopt(self, now: int, settings: Settings) -> None:
-        """Use new settings; counts are kept by name, those by priority at the nearest level."""
+    def reconfigure(self, now: int, settings: Settings) -> None:
+        """Apply new settings. Counts are kept by name; by priority, at the nearest level."""
         class_index = {c.name: i for i, c in reversed(list(enumerate(self.settings.classes)))}
         tenant_index = {tenant.name: i for i, tenant in enumerate(self.settings.tenants)}
         class_latency = self.class_latency
@@ -75,7 +77,7 @@
         tenant_tokens_at = self.tenant_tokens_at
         levels = self.priority_levels
         arrivals = self.arrivals
-        self._count_from_nothing(now, settings)
+        self._reset_counts(now, settings)
         for i, cls in enumerate(settings.classes):
             if cls.name in class_index:
                 self.class_latency[i] = class_latency[class_index[cls.name]]
@@ -84,140 +86,163 @@
             if tenant.name in tenant_index:
                 self.tenant_tokens[i] = tenant_tokens[tenant_index[tenant.name]]
                 self.tenant_tokens_at[i] = tenant_tokens_at[tenant_index[tenant.name]]
-        for rank, count in enumerate(arrivals):
-            self.arrivals[2 * self._nearest_level(levels[rank // 2]) + rank % 2] += count
+        for arrival_index, count in enumerate(arrivals):
+            self.arrivals[
+                2 * self._nearest_level(levels[arrival_index // 2]) + arrival_index % 2
+            ] += count
 
     def _nearest_level(self, weight: float) -> int:
-        """Return the index of the priority level that is closest to a weight."""
+        """Return the index of the priority level closest to a weight."""
         levels = self.priority_levels
         return min(range(len(levels)), key=lambda i: abs(levels[i] - weight))
 
-    def share(self, part: float) -> float:
-        """Set the share of clients that come to this process; return the factor of the change."""
-        change = part / self.part
-        self.part = part
-        if change != 1.0:
-            self.fleet.scale(change)
-            self.arrivals = [count * change for count in self.arrivals]
-        return change
-
-    def limited(self) -> bool:
-        """Return whether the fleet's rate is limited."""
+    def set_client_share(self, share: float) -> float:
+        """Set this process's share of the clients; return the ratio of the new share to the old."""
+        ratio = share / self.client_share
+        self.client_share = share
+        if ratio != 1.0:
+            self.fleet.scale(ratio)
+            self.arrivals = [count * ratio for count in self.arrivals]
+        return ratio
+
+    def is_limited(self) -> bool:
+        """Return whether the fleet's send rate is limited."""
         return self.fleet.send_rate != math.inf
 
-    def comeback(self, now: int) -> int:
-        """Return after how long a rejected client may retry, in microseconds.
+    def retry_delay(self, now: int) -> int:
+        """Return the delay after which a rejected client should retry, in microseconds.
 
-        That is when the fleet takes R0 again, or later, spread at random.
+        The fleet's rate should be back at R0 by then, unless the settings limit the delay to less.
+        The delay is random, so that clients don't return together.
         """
-        most = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0
-        room = self.fleet.cut_at + self.fleet_saddle - now if self.limited() else 0
-        soonest = min(most, max(room, most // 4))
-        return soonest + int(self.random.random() * (most - soonest))
+        max_delay = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0
+        time_to_recovery = self.fleet.cut_at + self.fleet_saddle - now if self.is_limited() else 0
+        min_delay = min(max_delay, max(time_to_recovery, max_delay // 4))
+        return min_delay + int(self.random.random() * (max_delay - min_delay))
 
     # --- Late responses
 
-    def usual(self, request: Request) -> float:
-        """Return the usual latency of a request's class; 0 if it is not known."""
+    def usual_latency(self, request: Request) -> float:
+        """Return the usual latency of a request's class in microseconds; 0 if unknown."""
         if request.class_index >= len(self.class_latency):
             return 0.0
         return self.class_latency[request.class_index]
 
-    def unmeasured(self, now: int) -> bool:
-        """Return whether too few responses have come to tell what the fleet takes.
+    def lacks_measurements(self, now: int) -> bool:
+        """Return whether there are too few responses yet to estimate what the fleet can handle.
 
-        A burst right after the start may find servers full before any has answered. A cut to next
-        to nothing would hold that rate for tens of seconds, with all servers idle.
+        In a burst right after the start, servers may be full before any has answered. Rates would
+        be cut to nearly zero and stay there for tens of seconds while all servers are idle.
         """
-        begun = self.fleet.first_received_at or now
-        return now - begun < UNMEASURED and now - self.started_at < 4 * UNMEASURED
-
-    def judge(self, now: int, request: Request, latency: int) -> None:
-        """Learn from a response to a client whether it was late, which steers load shedding."""
+        first_response_at = self.fleet.first_received_at or now
+        return (
+            now - first_response_at < MEASUREMENT_TIME
+            and now - self.started_at < 4 * MEASUREMENT_TIME
+        )
+
+    def record_latency(self, now: int, request: Request, latency: int) -> None:
+        """Update the class's usual latency and work, and count whether this response was late."""
         if request.request_class not in self.settings.classes:
-            return  # its class is gone from the settings
+            return  # its class was removed from the settings
         cls = self.settings.classes.index(request.request_class)
-        took = now - request.arrived_at
+        elapsed = now - request.arrived_at
         old = self.class_latency[cls]
         if request.work:
-            mean = self.class_work[cls]
-            self.class_work[cls] += CLASS_ALPHA * (request.work - mean) if mean else request.work
+            usual_work = self.class_work[cls]
+            self.class_work[cls] += (
+                CLASS_ALPHA * (request.work - usual_work) if usual_work else request.work
+            )
         self.class_latency[cls] = old + CLASS_ALPHA * (latency - old) if old else latency
         request_class = request.request_class
         objective: float = request_class.latency_objective
         objective += request_class.objective_per_work * request.work
-        # A request with more work than usual takes longer by itself, which is no sign of overload.
-        mean = self.class_work[cls]
-        heavy = max(1.0, request.work / mean) if mean else 1.0
-        self.late(now, request, took > min(1.0, NEAR_LATE * heavy) * objective)
-
-    def late(self, now: int, request: Request, late: bool) -> None:
-        """Count a response as late or not; with too many late ones, cut the fleet's rate.
-
-        Requests from before a cut go on being late after it, and must not cut again. Nor may the
-        level depend on responses alone: where nearly all requests are shed, there are none.
+        # A request with more work than usual takes longer without any overload.
+        usual_work = self.class_work[cls]
+        work_ratio = max(1.0, request.work / usual_work) if usual_work else 1.0
+        self.record_lateness(
+            now, request, elapsed > min(1.0, LATE_OBJECTIVE_SHARE * work_ratio) * objective
+        )
+
+    def record_lateness(self, now: int, request: Request, is_late: bool) -> None:
+        """Count a response as late or not; if too many are late, cut the fleet's rate.
+
+        Requests that arrived before a cut may still be late after it, and must not cause another.
+        Nor may the rate depend on responses alone: when nearly all requests are shed, there are
+        hardly any.
         """
         fleet = self.fleet
-        if request.arrived_at < max(fleet.cut_at, self.post_stall_until) or self.unmeasured(now):
+        if request.arrived_at < max(fleet.cut_at, self.post_stall_until) or self.lacks_measurements(
+            now
+        ):
             return
-        self.late_sum = max(0.0, self.late_sum + late - LATE_SHARE)
-        if self.late_sum < LATE_SUM:
+        self.late_sum = max(0.0, self.late_sum + is_late - TOLERATED_LATE_SHARE)
+        if self.late_sum < LATE_SUM_LIMIT:
             return
         self.late_sum = 0.0
         self.counters["cuts"] += 1
-        # Soon after a start the windows are not full, and a rate read from them is low.
-        full = 1.0 - math.exp((self.started_at - now) / ARRIVAL_TAU)
-        taken = min(fleet.send_rate, sum(self.arrivals) / (ARRIVAL_TAU * max(full, 0.05)) * 1e6)
-        fleet.cut(now, max(fleet.estimate(now), taken * (1.0 - BETA)), self.fleet_saddle)
-        self.cut_capacity = self.endpoint_table.capacity(now)
+        # Soon after the start the window is not full, and would underestimate the rate.
+        window_share = 1.0 - math.exp((self.started_at - now) / ARRIVAL_TAU)
+        accepted_rate = min(
+            fleet.send_rate, sum(self.arrivals) / (ARRIVAL_TAU * max(window_share, 0.05)) * 1e6
+        )
+        fleet.cut(now, max(fleet.estimate(now), accepted_rate * (1.0 - BETA)), self.fleet_saddle)
+        self.capacity_at_cut = self.endpoint_table.capacity(now)
 
     def _fleet_rate(self, now: int) -> float:
-        """Return the rate that the fleet takes from this process, with servers that came since.
+        """Return the rate that the fleet accepts, scaled up for servers added since the cut.
 
-        R0 is what those took that were ready at the cut. Where half were draining then, it
-        holds the fleet to half for many saddles after they are back.
+        R0 was measured with the servers that were ready at the cut. If half of them were draining
+        then, R0 alone would limit the fleet to half its capacity for many saddles after their
+        return.
         """
-        more = max(1.0, self.endpoint_table.capacity(now) / max(1.0, self.cut_capacity))
-        return self.fleet.grow(now) * more
+        growth = max(1.0, self.endpoint_table.capacity(now) / max(1.0, self.capacity_at_cut))
+        return self.fleet.grow(now) * growth
 
     # --- Load shedding
 
-    def sheds(self, now: int, cls: RequestClass, tenant: int, repeat: bool) -> bool:
-        """Return whether a request is shed: lowest priority first, clients' retries before others.
+    def should_shed(self, now: int, cls: RequestClass, tenant: int, repeat: bool) -> bool:
+        """Return whether to shed a request: lowest priority first, clients' retries before others.
 
-        A client's retry has used up part of its time: it is more often late than a first attempt,
-        and if it is rejected it comes back as one retry more.
+        A client's retry has used up part of its deadline, so it is more often late than a first
+        attempt. If a first attempt is rejected instead, it comes back as one more retry.
         """
         weight = cls.priority_weight
         if self.settings.tenants and self._is_over_quota(now, tenant):
             weight *= self.settings.over_quota_weight
-        rank = 2 * self.priority_levels.index(weight) + (not repeat)
+        arrival_index = 2 * self.priority_levels.index(weight) + (not repeat)
         if not self.arrivals_at:
-            self.started_at = now  # the window is empty until the first client comes
-        fade = math.exp((self.arrivals_at - now) / ARRIVAL_TAU)
+            self.started_at = now  # the window is empty until the first request arrives
+        decay = math.exp((self.arrivals_at - now) / ARRIVAL_TAU)
         self.arrivals_at = now
-        arrivals = self.arrivals = [a * fade for a in self.arrivals]
-        arrivals[rank] += 1.0
+        arrivals = self.arrivals = [a * decay for a in self.arrivals]
+        arrivals[arrival_index] += 1.0
         fleet = self.fleet
         if fleet.send_rate == math.inf:
             return False
         total = sum(arrivals)
         surplus = total - self._fleet_rate(now) * ARRIVAL_TAU * 1e-6
         if surplus <= 0.0:
-            if now - fleet.cut_at > FORGET_CUT_SADDLES * self.fleet_saddle:
+            if now - fleet.cut_at > LIMIT_RELEASE_SADDLES * self.fleet_saddle:
                 fleet.send_rate = math.inf
             return False
-        surplus = min(surplus, MAX_SHED_SHARE * total) - sum(arrivals[:rank])
-        return self.random.random() * arrivals[rank] < surplus
+        surplus = min(surplus, MAX_SHED_SHARE * total) - sum(arrivals[:arrival_index])
+        return self.random.random() * arrivals[arrival_index] < surplus
 
     def _is_over_quota(self, now: int, tenant: int) -> bool:
-        """Return whether this tenant is over its quota, as far as this gateway can tell."""
+        """Count a request against its tenant's quota; return whether the tenant is over it.
+
+        This process enforces its share of the quota, which covers all gateways together.
+        """
         if tenant >= len(self.tenant_tokens):
             return False
-        rate = self.settings.tenants[tenant].quota_per_s / self.settings.gateway_count * self.part
+        rate = (
+            self.settings.tenants[tenant].quota_per_s
+            / self.settings.gateway_count
+            * self.client_share
+        )
         tokens = self.tenant_tokens[tenant] + rate * (now - self.tenant_tokens_at[tenant]) * 1e-6
         tokens = min(tokens, max(QUOTA_BURST, rate * QUOTA_BURST))
         self.tenant_tokens_at[tenant] = now
-        over = tokens < 1.0
-        self.tenant_tokens[tenant] = tokens if over else tokens - 1.0
-        return over
+        is_over_quota = tokens < 1.0
+        self.tenant_tokens[tenant] = tokens if is_over_quota else tokens - 1.0
+        return is_over_quota
--- a/sailhitch/policy/request.py
+++ b/sailhitch/policy/request.py
@@ -1,4 +1,4 @@
-"""A request that has no final response yet, and the rule against repeated effects."""
+"""A request that has no final response yet, and the rules on sending it more than once."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 from ..settings import Idempotency, Limits, RequestClass
 from .server import Server
 
-ATTEMPT_TIME_MULTIPLE: Final = 1.5  # of the time in which its response is useful
-# The part of the idempotency window that is used, as requests take a while to arrive.
+ATTEMPT_TIME_MULTIPLE: Final = 1.5  # attempts are abandoned after this multiple of the useful time
+# Share of the idempotency window that is used: requests take time to reach the server.
 WINDOW_MARGIN: Final = 0.9
 
 
 class Request:
-    """A request that this gateway has to respond to."""
+    """A request that this gateway has yet to answer."""
 
     __slots__ = (
+        "affinity_count",
         "arrived_at",
         "attempts",
+        "attempts_end_at",
         "class_index",
         "first_server",
         "hold_until",
         "id",
         "is_uploading",
-        "judged",
         "key",
+        "latency_recorded",
         "may_have_run",
         "open_attempts",
         "ran_on",
-        "rank",
         "repeatable_until",
         "request_class",
         "selection_draw",
         "streaming",
         "work",
-        "worthless_at",
     )
 
     def __init__(
@@ -44,41 +44,42 @@
         self.request_class = cls
         self.work = work
         self.key = key
-        self.class_index = 0  # the class's place in the settings
-        self.first_server: Server | None = None  # where its first attempt went
+        self.class_index = 0  # index of the class in the settings
+        self.first_server: Server | None = None  # server of the first attempt
         self.arrived_at = now
         self.attempts = 0
         self.open_attempts = 0
         self.may_have_run = False
         self.streaming = False  # the response has begun
-        self.is_uploading = False  # its body is incomplete
-        self.judged = False  # its latency has been learned from
-        # The server that may have run it first, in whose scope a keyed request may be repeated.
+        self.is_uploading = False  # the request body is incomplete
+        self.latency_recorded = False  # the class's latency was updated
+        # The first server that may have run it. A keyed request may be repeated only at servers in
+        # the same idempotency scope.
         self.ran_on: Server | None = None
-        self.repeatable_until = 0  # by the idempotency window
+        self.repeatable_until = 0  # end of the idempotency window, less a margin
         self.hold_until = deadline
-        self.worthless_at = 0  # if before the client's deadline; else 0
-        self.selection_draw = 0.0
-        self.rank = 0  # the first candidates, which have seen its key before
+        self.attempts_end_at = 0  # when attempts are abandoned; 0 means at the client's deadline
+        self.selection_draw = 0.0  # random number that may select a server in slow start
+        self.affinity_count = 0  # number of leading candidates that are replicas of its key
 
-    def limit_wait(self, now: int, deadline: int, usual_latency: int) -> None:
-        """Set until when the request may be held, and from when its answer is worth nothing.
+    def set_time_limits(self, now: int, deadline: int, usual_latency: int) -> None:
+        """Set until when the request may be held, and when its attempts are abandoned.
 
-        It is held only while it can still be served in time; a weight for late answers extends
-        that. A worthless answer is not waited for, as it keeps a server busy. Times in
-        microseconds.
+        It is held only while it can still be served within its objective, or within its deadline if
+        its class gives weight to late responses. An attempt whose response would come too late to
+        be useful is abandoned, as it only keeps a server busy. Times in microseconds.
         """
         request_class = self.request_class
-        useful = request_class.latency_objective
-        useful += int(request_class.objective_per_work * self.work)
+        useful_time = request_class.latency_objective
+        useful_time += int(request_class.objective_per_work * self.work)
         if request_class.late_weight > 0:
-            useful = max(useful, request_class.deadline)
-        self.hold_until = min(deadline, now + useful - usual_latency)
-        if now + ATTEMPT_TIME_MULTIPLE * useful < deadline:
-            self.worthless_at = now + int(ATTEMPT_TIME_MULTIPLE * useful)
+            useful_time = max(useful_time, request_class.deadline)
+        self.hold_until = min(deadline, now + useful_time - usual_latency)
+        if now + ATTEMPT_TIME_MULTIPLE * useful_time < deadline:
+            self.attempts_end_at = now + int(ATTEMPT_TIME_MULTIPLE * useful_time)
 
     def may_send(self, now: int, server: Server, limits: Limits) -> bool:
-        """Return whether an attempt at this server keeps the rule against repeated effects."""
+        """Return whether an attempt at this server is allowed and can't repeat an effect."""
         if self.attempts >= limits.max_attempts or (
             self.open_attempts and not limits.may_duplicate
         ):
@@ -100,7 +101,7 @@
         )
 
     def on_may_have_run(self, server: Server | None, sent: int | None) -> None:
-        """Record that an attempt may have run: the idempotency window counts from its sending."""
+        """Record that an attempt may have run; the idempotency window starts when it was sent."""
         if not self.may_have_run:
             self.may_have_run = True
             if server is not None and sent is not None:
@@ -109,10 +110,11 @@
                 self.repeatable_until = sent + int(window * WINDOW_MARGIN)
 
     def may_be_rejected(self) -> bool:
-        """Return whether a rejection would be true.
+        """Return whether the request may be answered with a rejection.
 
-        It tells the client that a repeat is harmless. Where an attempt may have run, that holds
-        only if the class is safe, or if every server recognizes the repeat by its key.
+        A rejection tells the client that it can safely repeat the request. If an attempt may have
+        run, that is true only if the class is safe, or if every server recognizes the repeat by its
+        idempotency key.
         """
         return (
             (not self.may_have_run and not self.open_attempts)
--- a/sailhitch/policy/score.py
+++ b/sailhitch/policy/score.py
@@ -1,7 +1,7 @@
-"""C3's cubic score, and what it goes by: a server's own measurements and the fleet's typical ones.
+"""C3's cubic score, and the averages it is computed from, by server and over the fleet.
 
-The score of a server is the paper's psi: the response time less the service time, plus the service
-time multiplied by the cube of the estimated queue (q_hat). The lowest wins.
+The score of a server is the paper's psi: the response time minus the service time, plus the service
+time times the cube of the estimated queue length (q_hat). The server with the lowest score wins.
 """
 
 from __future__ import annotations
@@ -16,43 +16,44 @@
 from .slow_start import KINDS
 
 ALPHA: Final = 0.3  # EWMA weight of a new report or response
-TYPICAL_ALPHA: Final = 0.02  # EWMA weight for the fleet's typical values
-REPORT_HALF_LIFE: Final = 1_500_000  # us; a report this old weighs half, the typical value the rest
-MAX_OUTSTANDING_WEIGHT: Final = 3.0  # the paper's n, where gateways far outnumber a server's queue
+TYPICAL_ALPHA: Final = 0.02  # EWMA weight of a sample in the fleet's typical values
+REPORT_HALF_LIFE: Final = 1_500_000  # us; at this age a report and the typical value weigh the same
+# Upper bound of the paper's n, for tiers with far more gateways than requests in a server's queue.
+MAX_OUTSTANDING_WEIGHT: Final = 3.0
 # Factors on psi.
-AFFINITY_FACTOR: Final = 0.35  # of a key's first servers, which save work on it
-CROSS_ZONE_WEIGHT: Final = 60.0  # of another zone: 1 + this * the crossing price
-ERROR_WEIGHT: Final = 15.0  # 1 + this * the share of attempts that fail...
-ERROR_WEIGHT_UNSAFE: Final = 45.0  # ...where a failure can't be made good by another attempt
-EJECTED_FACTOR: Final = 200.0  # never the choice unless all candidates are ejected
-ON_TRIAL_FACTOR: Final = 6.0  # after an ejection, for requests that may be repeated
-MIN_ERROR_SHARE: Final = 0.01  # below it, failures do not count
+AFFINITY_FACTOR: Final = 0.35  # for a key's replicas, which need less work for the key
+CROSS_ZONE_WEIGHT: Final = 60.0  # for another zone: 1 + this * the price of crossing zones
+ERROR_WEIGHT: Final = 15.0  # for a failing server: 1 + this * its error rate...
+ERROR_WEIGHT_UNSAFE: Final = 45.0  # ...or this, if the request can't be retried after a failure
+EJECTED_FACTOR: Final = 200.0  # so high that it is used only if all candidates are ejected
+PROBATION_FACTOR: Final = 6.0  # after an ejection, for requests that may be repeated
+MIN_ERROR_SHARE: Final = 0.01  # error rates up to this are ignored
 
 
 class Scores:
-    """The fleet's typical values, and the choice among candidates."""
+    """The fleet's typical values, and the selection among candidates by score."""
 
     def __init__(self, settings: Settings) -> None:
         self.typical_service_times = [0.0] * KINDS  # by kind of server, in us
         self.typical_queue = 0.0
         self.typical_response_time = 0.0
         self.typical_service_time = 0.0
-        self.adopt(settings)
+        self.reconfigure(settings)
 
-    def adopt(self, settings: Settings) -> None:
-        """Use new settings."""
+    def reconfigure(self, settings: Settings) -> None:
+        """Apply new settings."""
         self.settings = settings
         self.cross_zone_factor = 1.0 + CROSS_ZONE_WEIGHT * settings.cross_zone_price
-        # With fewer gateways than that, the paper's own n holds.
+        # With fewer gateways than the bound, this is the paper's n: the number of clients.
         self.outstanding_weight = min(float(settings.gateway_count), MAX_OUTSTANDING_WEIGHT)
 
-    def best(  # noqa: C901 (one loop on the hot path: calls would cost more than the score)
+    def best(  # noqa: C901 (one loop on the hot path: function calls would cost more than the score)
         self, now: int, request: Request, candidates: list[Server]
     ) -> Server | None:
         """Return the candidate with the lowest psi that may get the request and has a token."""
         best = None
         lowest = math.inf
-        waits = False
+        healthy_lacks_token = False
         typical_queue = self.typical_queue
         typical_response = self.typical_response_time
         outstanding_weight = self.outstanding_weight
@@ -69,14 +70,14 @@
             if request.open_attempts and server is request.first_server:
                 continue  # a hedged request goes to another server
             if server.rate.send_rate != math.inf and not server.refill_tokens(now):
-                waits = waits or not server.ejections
+                healthy_lacks_token = healthy_lacks_token or not server.ejections
                 continue
-            # At 0, as at a gateway's start, the first candidate would win every time.
+            # If this were 0, as when the gateway starts, the first candidate would always win.
             typical_service = (
                 self.typical_service_times[server.kind & 7] or self.typical_service_time or 1.0
             )
             if server.answered_at:
-                # The older a report is, the more the typical value counts.
+                # The older the server's last response, the more the typical values count.
                 weight = REPORT_HALF_LIFE / (REPORT_HALF_LIFE + now - server.answered_at)
                 queue = typical_queue + weight * (server.queue_ewma - typical_queue)
                 service = typical_service + weight * (server.service_time_ewma - typical_service)
@@ -88,14 +89,14 @@
                 service = typical_service
                 response = typical_response
             if server.outstanding:
-                # Silence counts as slowness: a server that takes requests and answers none
-                # reports nothing either.
-                silent = now - max(server.answered_at, next(iter(server.in_flight.values())))
-                if silent > response > 0.0:
-                    service *= silent / response
-                    response = silent
+                # A server that accepts requests and answers none sends no reports either, so the
+                # time without a response counts as response time.
+                silence = now - max(server.answered_at, next(iter(server.in_flight.values())))
+                if silence > response > 0.0:
+                    service *= silence / response
+                    response = silence
             q_hat = 1.0 + server.outstanding * outstanding_weight + queue
-            # At a gateway's start this is 0, which no factor below would raise.
+            # When the gateway starts this is 0, and the factors below would have no effect.
             psi = max(1.0, response - service + q_hat * q_hat * q_hat * service)
             if server.zone != zone:
                 psi *= self.cross_zone_factor
@@ -106,24 +107,24 @@
                 if server.ejected_until > now:
                     psi *= EJECTED_FACTOR
                 else:
-                    psi *= ON_TRIAL_FACTOR if repeatable else EJECTED_FACTOR
+                    psi *= PROBATION_FACTOR if repeatable else EJECTED_FACTOR
             if server.cooldown_until > now:
                 psi *= EJECTED_FACTOR
-            if has_affinity and rank < request.rank:
+            if has_affinity and rank < request.affinity_count:
                 psi *= AFFINITY_FACTOR
             if psi < lowest or best is None:
                 best = server
                 lowest = psi
-        # A failing server answers at once and never runs out of tokens. While a healthy one will
-        # have a token soon, only a trial that can be repeated goes to a failing one.
-        failing = (
+        # A failing server responds at once and never runs out of tokens. While a healthy server
+        # will have a token soon, a failing one gets only a trial request that can be repeated.
+        is_failing = (
             best is not None and best.ejections and (best.ejected_until > now or not repeatable)
         )
-        return None if waits and failing else best
+        return None if healthy_lacks_token and is_failing else best
 
-    def answered(self, server: Server, latency: int, report: LoadReport | None) -> None:
-        """Learn from a response: its time in microseconds, and the server's report."""
-        self.typical_response_time = _average(self.typical_response_time, latency)
+    def on_response(self, server: Server, latency: int, report: LoadReport | None) -> None:
+        """Update the averages by a response's time in microseconds and the server's report."""
+        self.typical_response_time = _update_typical(self.typical_response_time, latency)
         is_first = not server.answered_at
         if is_first:
             server.response_time_ewma += latency
@@ -141,12 +142,13 @@
             server.service_time_ewma += service
         else:
             server.service_time_ewma += ALPHA * (service - server.service_time_ewma)
-        self._learn_typical_service(server.kind & 7, service)
+        self._update_typical_service(server.kind & 7, service)
 
-    def declined(self, now: int, server: Server, report: LoadReport | None) -> None:
-        """Learn from a rejection: the server is loaded, not failing.
+    def on_rejection(self, now: int, server: Server, report: LoadReport | None) -> None:
+        """Update the averages by a rejection: the server is loaded, not failing.
 
-        Its queue is what matters. Its report counts only where it says that there is a queue.
+        Its queue estimate is raised above the typical one. A report that shows no queue does not
+        lower it.
         """
         queue = report.queue_length or 0.0 if report is not None else 0.0
         server.queue_ewma = max(server.queue_ewma, queue, self.typical_queue) + 1.0
@@ -156,17 +158,19 @@
             server.response_time_ewma = self.typical_response_time
         server.answered_at = now
 
-    def timed_out(self, server: Server, latency: int) -> None:
-        """Learn from an attempt at a busy server that took too long."""
+    def on_timeout(self, server: Server, latency: int) -> None:
+        """Update the response time by an attempt that timed out at a busy server."""
         if server.answered_at:
             response = server.response_time_ewma
             server.response_time_ewma += ALPHA * (max(latency, response) - response)
 
-    def _learn_typical_service(self, kind: int, service: float) -> None:
-        self.typical_service_times[kind] = _average(self.typical_service_times[kind], service)
-        self.typical_service_time = _average(self.typical_service_time, service)
+    def _update_typical_service(self, kind: int, service: float) -> None:
+        self.typical_service_times[kind] = _update_typical(
+            self.typical_service_times[kind], service
+        )
+        self.typical_service_time = _update_typical(self.typical_service_time, service)
 
 
-def _average(typical: float, value: float) -> float:
-    """Return a typical value moved towards a new one; the first value if there is none yet."""
-    return typical + TYPICAL_ALPHA * (value - typical) if typical else float(value)
+def _update_typical(typical: float, sample: float) -> float:
+    """Return the updated EWMA of a typical value; the first sample if there is none yet."""
+    return typical + TYPICAL_ALPHA * (sample - typical) if typical else float(sample)
--- a/sailhitch/policy_interface.py
+++ b/sailhitch/policy_interface.py
@@ -1,7 +1,7 @@
 """Types at the boundary of the decision module. No decisions are made here.
 
-Events come in as method calls of `Gateway`, each with its time in microseconds. Actions leave
-through a `Port`, which the embedding gateway implements.
+Events are method calls on `Gateway`, each with its time in microseconds. Actions are method calls
+on a `Port`, which the embedding gateway implements.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class WatchEventKind(StrEnum):
-    """What an event of the endpoint list contains."""
+    """What an event of the endpoint list contains or means."""
 
     CHANGES = "changes"
     SNAPSHOT = "full"
-    RESTORED = "restored"  # the list as last known, at the start
-    FAILED = "failed"  # the call failed, or the watch broke
-    MAINTENANCE = "by_hand"  # an operator's change; says nothing of the watch
+    RESTORED = "restored"  # the last known list, at startup
+    FAILED = "failed"  # the call failed, or the watch was lost
+    MAINTENANCE = "by_hand"  # an operator's change; no sign that the watch works
 
 
 class AttemptOutcome(StrEnum):
@@ -38,13 +38,13 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"  # nothing was written, as nobody waits for it any more
-    WITHHELD = "withheld"  # nothing was written: an update since the choice forbids this endpoint
-    NO_ROUTE = "no_route"  # nothing was written: this machine had no port or route for a moment
+    NOT_SENT = "moot"  # nothing was written: nobody waits for the response any more
+    WITHHELD = "withheld"  # nothing was written: the endpoint was ruled out after its selection
+    NO_ROUTE = "no_route"  # nothing was written: this machine temporarily had no port or route
     EXPIRED = "expired"  # the deadline passed before a connection was established
 
 
-# Outcomes which prove that the attempt had no effect.
+# Outcomes that prove that the attempt had no effect.
 NEVER_RAN: Final = frozenset(
     (
         AttemptOutcome.BUSY,
@@ -58,7 +58,7 @@
 
 
 class Endpoint(NamedTuple):
-    """A server as discovery lists it. `started_at` is 0 if it started long ago."""
+    """A server as listed by discovery. `started_at` is 0 if it started long ago."""
 
     name: str
     weight: float
@@ -70,7 +70,7 @@
 
 
 class LoadReport(NamedTuple):
-    """A server's load report; None for what it does not report. `service_time` in microseconds."""
+    """A server's load report; None where it reports no value. `service_time` in microseconds."""
 
     queue_length: float | None  # requests waiting
     service_time: float | None
@@ -90,7 +90,7 @@
 
 
 class ServerSnapshot(NamedTuple):
-    """What a gateway has learned of the server instance that started at `started_at`."""
+    """What a gateway has measured of the server instance that started at `started_at`."""
 
     started_at: int
     kind: int
@@ -107,11 +107,11 @@
 
 
 class PolicySnapshot(NamedTuple):
-    """What a gateway has learned, for the process that takes over from it."""
+    """What a gateway has measured, for the process that takes over from it."""
 
     servers: dict[str, ServerSnapshot]
     classes: dict[str, tuple[float, float]]  # usual latency and work, by class name
-    arrivals: list[tuple[float, float, float]]  # weight, retries and first attempts
+    arrivals: list[tuple[float, float, float]]  # priority weight, clients' retries, first attempts
     arrivals_at: int
     started_at: int
     typical: tuple[float, float, float]  # queue, latency, service
@@ -130,10 +130,10 @@
         """Reject the request: it had no effect. `retry_after` 0 gives no advice."""
 
     def fail(self, req: int) -> None:
-        """Fail the request, which promises nothing about its effect."""
+        """Fail the request: it may or may not have had an effect."""
 
     def cancel(self, req: int, attempt: int) -> None:
-        """Stop waiting for one attempt; its outcome is still reported."""
+        """Cancel one attempt; its outcome is still reported."""
 
     def set_timer(self, token: int, at: int) -> None:
         """Request a `timer` event with this token at that time. Timers can't be cancelled."""
--- a/sailhitch/reach/__init__.py
+++ b/sailhitch/reach/__init__.py
@@ -1,8 +1,9 @@
-"""Deterministic subsetting: which servers a gateway of a large tier uses.
+"""Deterministic subsetting: selects the servers that each gateway of a large tier uses.
 
-Sans-IO, and no part of the decision module, which chooses among the servers in reach. `ring` says
-which servers, `width` how many, and `reach` keeps to both while servers come, go and fail.
-docs/design/reach.md has the bounds and the alternatives.
+It does no I/O and is separate from the decision module, which selects among the servers of the
+subset. `ring` determines which servers are in it, `width` how many, and `reach` maintains the
+subset while servers are added, removed, or fail. docs/design/reach.md has the bounds and the
+alternatives.
 """
 
 from .reach import Reach
--- a/sailhitch/reach/reach.py
+++ b/sailhitch/reach/reach.py
@@ -1,4 +1,4 @@
-"""The subset of the servers that a gateway uses, while servers come, go, fill up and fail."""
+"""Maintains a gateway's subset while servers are added, removed, become full, or fail."""
 
 from __future__ import annotations
 
@@ -7,53 +7,53 @@
 from typing import Final, Generic, TypeVar
 
 from .ring import Ranked, Ring, ring_position
-from .width import Width
+from .width import SubsetSizer
 
 T = TypeVar("T", bound=Ranked)
 
-OWN_ZONE_SHARE: Final = (
-    11 / 16
-)  # share of the reach that is in the own zone; the rest can take what spills
-REVIEW: Final = 500_000  # us after which the reach is looked at again, if nothing happens
+# Share of the subset that is in the own zone; the rest takes the load that the own zone can't.
+OWN_ZONE_SHARE: Final = 11 / 16
+REVIEW_INTERVAL: Final = 500_000  # us between reviews of the subset, if nothing else causes one
 
 
 class Reach(Generic[T]):
-    """The subset of the servers that this gateway uses, and replacements for those that fail.
+    """The subset of servers that this gateway uses, with replacements for those that fail.
 
-    Dead servers are replaced one for one, however many there are. Full ones are replaced up to the
-    subset's own width: where all are full, more of them would only mean more connections.
+    Failing servers are replaced one for one, however many there are. Full servers are replaced
+    only up to the subset's target size: if all are full, more of them would only mean more
+    connections.
     """
 
-    def __init__(self, me: int, gateways: int) -> None:
-        self.adopt(me, gateways)
-        self.servers: tuple[list[T], list[T]] = ([], [])  # own zone, others; in order of arrival
-        self.rotated: tuple[list[T], list[T]] | None = None  # in this gateway's order
-        self.subset = self.servers  # the subset
+    def __init__(self, index: int, gateway_count: int) -> None:
+        self.configure(index, gateway_count)
+        self.servers: tuple[list[T], list[T]] = ([], [])  # own zone, other zones; as listed
+        self.ordered: tuple[list[T], list[T]] | None = None  # ordered by the ring
+        self.subset = self.servers
         self.review_at = 0
-        self.changes = 0  # servers that were added to the subset
-        self.wide = 0  # reviews after which it was wider than wanted
+        self.changes = 0  # number of servers added to the subset so far
+        self.wide = 0  # number of reviews that left the subset above its target size
 
-    def adopt(self, me: int, gateways: int) -> None:
-        """Set this gateway's index; with -1 it has none, and uses all servers."""
-        self.uses_all = not 0 <= me < gateways
-        self.width = Width(gateways)
-        place = ring_position(max(0, me))
-        self.rings = Ring(place), Ring(place)
+    def configure(self, index: int, gateway_count: int) -> None:
+        """Set this gateway's index. With an invalid one, such as -1, it uses all servers."""
+        self.uses_all = not 0 <= index < gateway_count
+        self.sizer = SubsetSizer(gateway_count)
+        position = ring_position(max(0, index))
+        self.rings = Ring(position), Ring(position)
 
     def sort(self, own: list[T], others: list[T]) -> None:
-        """Set the servers, in any order."""
+        """Set the ready servers of the own zone and of other zones, in any order."""
         self.servers = (own, others)
-        self.rotated = None
+        self.ordered = None
         self.review_at = 0
 
     def select(self, now: int) -> tuple[list[T], list[T]]:
-        """Return the subset: servers of the own zone, and others."""
+        """Return the subset: servers of the own zone, and of other zones."""
         if now >= self.review_at:
             self._review(now)
         return self.subset
 
     def size(self) -> int:
-        """Return the size of the subset."""
+        """Return the number of servers in the subset."""
         return len(self.subset[0]) + len(self.subset[1])
 
     def summary(self) -> dict[str, int]:
@@ -61,37 +61,40 @@
         return {"reach": self.size(), "wide": self.wide, "changes": self.changes}
 
     def _review(self, now: int) -> None:
-        self.review_at = now + REVIEW
+        self.review_at = now + REVIEW_INTERVAL
         size = sum(map(len, self.servers))
-        wanted = size if self.uses_all else self.width.wanted(size)
-        if wanted >= size:
-            # In order of arrival, so that using all servers equals having no subset.
-            self.subset = self.rotated or self.servers
+        target = size if self.uses_all else self.sizer.target_size(size)
+        if target >= size:
+            # Keep the listed order if possible, so that a full subset behaves as no subset at all.
+            self.subset = self.ordered or self.servers
             return
-        if self.rotated is None:
+        if self.ordered is None:
             own, others = self.servers
-            self.rotated = self.rings[0].rotate(own), self.rings[1].rotate(others)
-        own, others = self.rotated
-        quota = max(math.ceil(wanted * OWN_ZONE_SHARE), wanted - len(others))
-        mine, found = self._take(own, quota, now)
-        rest, more = self._take(others, wanted - found, now)
-        if found + more < wanted and found >= quota:
-            mine, _ = self._take(own, wanted - more, now)
-        before = {server.hash for part in self.subset for server in part}
-        self.changes += sum(server.hash not in before for server in [*mine, *rest])
-        self.subset = mine, rest
-        self.wide += self.size() > wanted
+            self.ordered = self.rings[0].rotate(own), self.rings[1].rotate(others)
+        own, others = self.ordered
+        quota = max(math.ceil(target * OWN_ZONE_SHARE), target - len(others))
+        own_taken, own_available = self._take(own, quota, now)
+        other_taken, other_available = self._take(others, target - own_available, now)
+        if own_available + other_available < target and own_available >= quota:
+            own_taken, _ = self._take(own, target - other_available, now)
+        before = {server.hash for servers in self.subset for server in servers}
+        self.changes += sum(server.hash not in before for server in [*own_taken, *other_taken])
+        self.subset = own_taken, other_taken
+        self.wide += self.size() > target
 
     def _take(self, servers: Iterable[T], quota: int, now: int) -> tuple[list[T], int]:
-        """Return the first servers, so many that `quota` are available, and how many are."""
+        """Return leading servers until `quota` are available, and the number of available ones.
+
+        Stop earlier once `quota` servers are full.
+        """
         taken: list[T] = []
-        able = full = 0
+        available = full = 0
         for server in servers:
-            if able >= quota or full >= quota:
+            if available >= quota or full >= quota:
                 break
             taken.append(server)
             if server.is_available(now):
-                able += 1
+                available += 1
             elif server.is_responding():
                 full += 1
-        return taken, able
+        return taken, available
--- a/sailhitch/reach/ring.py
+++ b/sailhitch/reach/ring.py
@@ -1,4 +1,4 @@
-"""A gateway's position on the ring of all servers."""
+"""A gateway's position on the ring of servers."""
 
 from __future__ import annotations
 
@@ -7,72 +7,74 @@
 from collections.abc import Sequence
 from typing import Final, Protocol, TypeVar
 
-# Of the radical inverse: zones often take every n-th gateway, and any n that shares no factor with
-# the base leaves their places as evenly spread as all of them are. Few sites have 7 zones.
+# Base of the radical inverse. A zone often has every n-th gateway. If n and the base are coprime,
+# the zone's positions are as evenly spread as those of all gateways. Few sites have 7 zones.
 BASE: Final = 7
-# A gateway may be off its place by the root of the servers over this, and by 1 at the least: ranks
-# in a list that changes at random wander by about its root. Less moves gateways often, more makes
-# cover uneven.
+# A gateway's first server may be off the gateway's position by the square root of the number of
+# servers, divided by this, but by at least 1. Ranks in a list that changes at random drift by about
+# its square root. With a larger divisor gateways move often, with a smaller one servers are in very
+# different numbers of subsets.
 DRIFT: Final = 4
 
 
 class Ranked(Protocol):
-    """A server, as far as subsetting needs it."""
+    """The interface of a server that subsetting needs."""
 
     @property
     def hash(self) -> int:
-        """Order servers; the same at every gateway."""
+        """Order of servers on the ring; the same at every gateway."""
 
     def is_available(self, now: int) -> bool:
-        """Return whether it takes requests now, as far as known."""
+        """Return whether it accepts requests now, as far as known."""
 
     def is_responding(self) -> bool:
         """Return whether it is not failing, as far as known."""
 
 
-def ring_position(number: int) -> float:
-    """Return a gateway's position on a ring of length 1: the radical inverse of its number.
+def ring_position(index: int) -> float:
+    """Return a gateway's position on a ring of length 1: the radical inverse of its index.
 
-    For any number of gateways, and any run of numbers with a step that is prime to 7, an arc has as
-    many of them as its length says, give or take a few (van der Corput). So no gateway needs to
-    know how many there are, or which are in its zone.
+    For any number of gateways, and any run of indices whose step is coprime to 7, the number of
+    gateways on an arc is proportional to its length, give or take a few (van der Corput sequence).
+    So a gateway need not know how many gateways there are, or which of them are in its zone.
     """
-    place = 0.0
+    position = 0.0
     digit = 1.0 / BASE
-    while number > 0:
-        number, rest = divmod(number, BASE)
-        place += rest * digit
+    while index > 0:
+        index, remainder = divmod(index, BASE)
+        position += remainder * digit
         digit /= BASE
-    return place
+    return position
 
 
 T = TypeVar("T", bound=Ranked)
 
 
 class Ring:
-    """The server with which a gateway's subset begins, in the order of hashes.
+    """The order of servers for a gateway: by hash, starting at its anchor.
 
-    It is chosen by rank and not by hash: gaps between hashes differ much, and each server is to be
-    in as many subsets as any other. By rank alone the removal of one server would shift half of all
-    gateways by one, so a gateway keeps its first server until that has drifted too far.
+    The anchor is chosen by rank and not by hash. Gaps between hashes vary widely, but each server
+    should be in as many subsets as any other. If only the rank counted, the removal of one server
+    would shift half of all gateways by one, so a gateway keeps its anchor until that has drifted
+    too far from the ideal rank.
     """
 
-    def __init__(self, place: float) -> None:
-        self.place = place
-        self.anchor: int | None = None  # hash of the server that it begins with
+    def __init__(self, position: float) -> None:
+        self.position = position
+        self.anchor: int | None = None  # hash of the first server
 
     def rotate(self, servers: Sequence[T]) -> list[T]:
-        """Return all servers in the order of their hashes, from this gateway's first on."""
+        """Return all servers in the order of their hashes, starting at the anchor."""
         size = len(servers)
         if not size:
             return []
         ordered = sorted(servers, key=lambda server: server.hash)
-        ideal = int(self.place * size)
+        ideal = int(self.position * size)
         start = ideal
         if self.anchor is not None:
             start = bisect_left(ordered, self.anchor, key=lambda server: server.hash) % size
-            away = abs(start - ideal)
-            if min(away, size - away) > max(1, math.isqrt(size) // DRIFT):
+            drift = abs(start - ideal)
+            if min(drift, size - drift) > max(1, math.isqrt(size) // DRIFT):
                 start = ideal
         self.anchor = ordered[start].hash
         return [*ordered[start:], *ordered[:start]]
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,4 +1,4 @@
-"""A fake world for the module: settings, listed servers, and a port that keeps what was done."""
+"""Test doubles for the decision module: settings, endpoints, and a port that records actions."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 S = 1_000_000
 START = 100 * S
 
-SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL = range(5)  # positions in the classes below
+SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL = range(5)  # indices of the classes in BASE
 
 
-def _klass(repeat: str, group: str = "all", **more: Any) -> dict[str, Any]:
+def _class_settings(repeat: str, scope: str = "all", **overrides: Any) -> dict[str, Any]:
     return {
-        "name": f"{repeat}-{group}",
+        "name": f"{repeat}-{scope}",
         "importance": 1.0,
         "goalTime": 1 * S,
         "deadline": 3 * S,
         "lateValue": 0.0,
         "repeat": repeat,
-        "dedupScope": group,
+        "dedupScope": scope,
         "memorySpan": 2 * S,
         "stream": False,
-    } | more
+    } | overrides
 
 
 BASE: dict[str, Any] = {
@@ -42,11 +42,11 @@
     "zone": 0,
     "granularity": 5000,
     "classes": [
-        _klass("pure"),
-        _klass("side_effect", importance=3.0),
-        _klass("token", "all"),
-        _klass("token", "zone"),
-        _klass("token", "cell"),
+        _class_settings("pure"),
+        _class_settings("side_effect", importance=3.0),
+        _class_settings("token", "all"),
+        _class_settings("token", "zone"),
+        _class_settings("token", "cell"),
     ],
     "tenants": [],
     "overShareWorth": 0.2,
@@ -75,7 +75,7 @@
 
 
 def settings_value(**changes: Any) -> dict[str, Any]:
-    """The settings object; a change that is a dict is merged into that part."""
+    """The settings object with these changes; a dict is merged into its section."""
     value = copy.deepcopy(BASE)
     for key, change in changes.items():
         if isinstance(change, dict):
@@ -96,7 +96,7 @@
 
 
 class FakePort:
-    """Keeps every action; `sends` and `ends` are the views most tests look at."""
+    """Records every action; most tests use the views `sends` and `final_actions`."""
 
     def __init__(self) -> None:
         self.actions: list[tuple[Any, ...]] = []
@@ -125,31 +125,31 @@
     def sends(self, req: int | None = None) -> list[str]:
         return [a[2] for a in self.actions if a[0] == "send" and req in (None, a[1])]
 
-    def ends(self, req: int) -> list[str]:
+    def final_actions(self, req: int) -> list[str]:
         return [a[0] for a in self.actions if a[0] in ("refuse", "fail") and a[1] == req]
 
 
 class World:
-    """One gateway with its port, and a clock that fires the timers it asked for."""
+    """One gateway with its port, and a virtual clock that fires the timers it has set."""
 
     def __init__(self, *servers: Endpoint, seed: int = 1, **changes: Any) -> None:
         self.port = FakePort()
         self.settings = parse_settings(settings_value(**changes))
         self.gateway = Gateway(self.port, self.settings, seed)
         self.now = START
-        self.fired: set[int] = set()  # places of the timers that have come due
+        self.fired_timers: set[int] = set()  # indices of timer actions that have fired
         self.gateway.start(self.now)
         self.gateway.on_watch_event(self.now, WatchEventKind.RESTORED, servers)
 
-    def request(self, req: int, cls: int = SAFE, lasts: int = 3 * S, **more: Any) -> None:
+    def request(self, req: int, cls: int = SAFE, time_limit: int = 3 * S, **options: Any) -> None:
         self.gateway.request(
             self.now,
             req,
             cls,
-            self.now + lasts,
-            more.get("work", 0),
-            more.get("key"),
-            more.get("tenant", 0),
+            self.now + time_limit,
+            options.get("work", 0),
+            options.get("key"),
+            options.get("tenant", 0),
         )
 
     def outcome(
@@ -166,18 +166,18 @@
         )
 
     def run(self, until: int) -> None:
-        """Fire the timers due, in order, up to that time after the start."""
+        """Advance the clock to this time after the start, and fire due timers in order."""
         end = START + until
         while True:
             due = [
                 (a[2], i, a[1])
                 for i, a in enumerate(self.port.actions)
-                if a[0] == "timer" and i not in self.fired and a[2] <= end
+                if a[0] == "timer" and i not in self.fired_timers and a[2] <= end
             ]
             if not due:
                 break
             at, index, token = min(due)
-            self.fired.add(index)
+            self.fired_timers.add(index)
             self.now = max(self.now, at)
             self.gateway.timer(self.now, token)
         self.now = end
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Silent, failing and slow servers are left alone, and tried again later."""
+"""Unresponsive, failing and slow servers get little traffic, and are tried again later."""
 
 from __future__ import annotations
 
@@ -19,16 +19,18 @@
     return World(*(server(f"s{i}") for i in range(n)))
 
 
-def answer_all_but(world: World, silent: str, reqs: range, gap: int = 20 * MS) -> list[str]:
-    """One request after the other; all answer but one server. Returns where they went."""
-    went = []
+def send_one_by_one(
+    harness: World, unresponsive: str, reqs: range, gap: int = 20 * MS
+) -> list[str]:
+    """Send requests one by one; all servers but one respond. Returns the server of each request."""
+    destinations = []
     for req in reqs:
-        world.request(req)
-        where = world.port.sends(req)[0]
-        went.append(where)
-        world.run(world.now + gap - START)
-        if where != silent:
-            world.outcome(
+        harness.request(req)
+        destination = harness.port.sends(req)[0]
+        destinations.append(destination)
+        harness.run(harness.now + gap - START)
+        if destination != unresponsive:
+            harness.outcome(
                 req,
                 0,
                 AttemptOutcome.OK,
@@ -36,43 +38,43 @@
                 latency=gap,
                 report=LoadReport(0.0, 15.0 * MS),
             )
-    return went
-
-
-def test_a_server_that_answers_nothing_gets_next_to_nothing() -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    went = answer_all_but(world, "s3", range(1000, 1400))
-    assert went.count("s3") <= 6
-
-
-def test_a_time_out_with_no_sign_of_life_since_shuns_a_server_and_a_trial_frees_it() -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    held = burst(world, "s3", 1000)
-    world.run(world.now + 1500 * MS - START)
-    for req in held:
-        world.outcome(req, 0, AttemptOutcome.TIMEOUT, latency=1500 * MS)
-    held = burst(world, "s3", 2000)
-    assert len(held) <= 1  # of 24 to 6 servers
-    world.run(world.now + 1500 * MS - START)
-    for req in held:
-        world.outcome(req, 0, AttemptOutcome.TIMEOUT, latency=1500 * MS)
-    world.run(world.now + 4 * S - START)
-    assert len(burst(world, "s3", 3000)) > 1
-
-
-def burst(world: World, silent: str, first: int, count: int = 24) -> list[int]:
-    """Requests all at once; all are answered but those at one server, which are returned."""
+    return destinations
+
+
+def test_an_unresponsive_server_gets_almost_no_requests() -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    destinations = send_one_by_one(harness, "s3", range(1000, 1400))
+    assert destinations.count("s3") <= 6
+
+
+def test_a_timeout_without_later_responses_ejects_a_server_until_a_trial_succeeds() -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    unanswered = burst(harness, "s3", 1000)
+    harness.run(harness.now + 1500 * MS - START)
+    for req in unanswered:
+        harness.outcome(req, 0, AttemptOutcome.TIMEOUT, latency=1500 * MS)
+    unanswered = burst(harness, "s3", 2000)
+    assert len(unanswered) <= 1  # of 24 to 6 servers
+    harness.run(harness.now + 1500 * MS - START)
+    for req in unanswered:
+        harness.outcome(req, 0, AttemptOutcome.TIMEOUT, latency=1500 * MS)
+    harness.run(harness.now + 4 * S - START)
+    assert len(burst(harness, "s3", 3000)) > 1
+
+
+def burst(harness: World, unresponsive: str, first: int, count: int = 24) -> list[int]:
+    """Send requests at once; return those sent to one server, which gets no response."""
     for req in range(first, first + count):
-        world.request(req)
-    world.run(world.now + 20 * MS - START)
-    held = []
+        harness.request(req)
+    harness.run(harness.now + 20 * MS - START)
+    unanswered = []
     for req in range(first, first + count):
-        if world.port.sends(req)[0] == silent:
-            held.append(req)
+        if harness.port.sends(req)[0] == unresponsive:
+            unanswered.append(req)
         else:
-            world.outcome(
+            harness.outcome(
                 req,
                 0,
                 AttemptOutcome.OK,
@@ -80,69 +82,69 @@
                 latency=20 * MS,
                 report=LoadReport(0.0, 15.0 * MS),
             )
-    return held
+    return unanswered
 
 
-def test_one_dead_server_is_no_overload() -> None:
-    world = fleet(12)
-    answer_all_but(world, "", range(300))
-    held = burst(world, "s3", 1000, 48)  # some of it to a server that then dies
-    assert held
-    world.run(world.now + 2 * S - START)
-    for req in held:
-        world.outcome(req, 0, AttemptOutcome.TIMEOUT, latency=2 * S)
+def test_one_unresponsive_server_does_not_cause_shedding() -> None:
+    harness = fleet(12)
+    send_one_by_one(harness, "", range(300))
+    unanswered = burst(harness, "s3", 1000, 48)  # some of it to a server that then fails
+    assert unanswered
+    harness.run(harness.now + 2 * S - START)
+    for req in unanswered:
+        harness.outcome(req, 0, AttemptOutcome.TIMEOUT, latency=2 * S)
     for req in range(2000, 2100):
-        world.request(req)
-        assert world.port.ends(req) == []
+        harness.request(req)
+        assert harness.port.final_actions(req) == []
 
 
 @pytest.mark.parametrize(
     "status", [AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED]
 )
 def test_quick_errors_do_not_make_a_server_look_fast(status: AttemptOutcome) -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    bad = 0
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    failing_count = 0
     for req in range(1000, 1200):
-        world.request(req)
+        harness.request(req)
         attempt = 0
-        while world.port.sends(req)[attempt] == "s3":
-            bad += 1
-            world.outcome(req, attempt, status, latency=1 * MS)
+        while harness.port.sends(req)[attempt] == "s3":
+            failing_count += 1
+            harness.outcome(req, attempt, status, latency=1 * MS)
             attempt += 1
-            if attempt >= len(world.port.sends(req)):
+            if attempt >= len(harness.port.sends(req)):
                 break
         else:
-            world.run(world.now + 20 * MS - START)
-            world.outcome(req, attempt, AttemptOutcome.OK, closed=True, latency=20 * MS)
-    assert bad < 12
+            harness.run(harness.now + 20 * MS - START)
+            harness.outcome(req, attempt, AttemptOutcome.OK, closed=True, latency=20 * MS)
+    assert failing_count < 12
 
 
-def test_a_full_server_is_passed_over_and_its_request_goes_on() -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    world.request(1000)
-    full = world.port.sends(1000)[0]
-    world.outcome(1000, 0, AttemptOutcome.BUSY, latency=1 * MS, report=LoadReport(3.0, 15.0 * MS))
-    assert world.port.sends(1000)[1] != full
+def test_a_request_rejected_by_a_full_server_is_retried_at_another() -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    harness.request(1000)
+    full = harness.port.sends(1000)[0]
+    harness.outcome(1000, 0, AttemptOutcome.BUSY, latency=1 * MS, report=LoadReport(3.0, 15.0 * MS))
+    assert harness.port.sends(1000)[1] != full
 
 
-def test_an_attempt_does_not_run_long_after_its_answer_is_worth_nothing() -> None:
-    world = fleet()
-    world.request(1, SAFE, lasts=3 * S)  # wanted within 1 s, given up after 3
-    (timeout,) = [a[3] for a in world.port.actions if a[0] == "send"]
+def test_an_attempt_is_abandoned_soon_after_its_latency_objective() -> None:
+    harness = fleet()
+    harness.request(1, SAFE, time_limit=3 * S)  # latency objective 1 s, deadline 3 s
+    (timeout,) = [a[3] for a in harness.port.actions if a[0] == "send"]
     assert 1 * S <= timeout < 2 * S
 
 
-def test_a_slow_server_gets_less() -> None:
-    world = fleet(4)
-    went = []
+def test_a_slow_server_gets_fewer_requests() -> None:
+    harness = fleet(4)
+    destinations = []
     due: list[tuple[int, int]] = []
     for req in range(600):
-        while due and due[0][0] <= world.now:
+        while due and due[0][0] <= harness.now:
             _, old = due.pop(0)
-            took = 200 * MS if world.port.sends(old)[0] == "s0" else 20 * MS
-            world.outcome(
+            took = 200 * MS if harness.port.sends(old)[0] == "s0" else 20 * MS
+            harness.outcome(
                 old,
                 0,
                 AttemptOutcome.OK,
@@ -150,152 +152,154 @@
                 latency=took,
                 report=LoadReport(0.0, took * 0.9),
             )
-        world.request(req)
-        where = world.port.sends(req)[0]
-        went.append(where)
-        due.append((world.now + (200 * MS if where == "s0" else 20 * MS), req))
+        harness.request(req)
+        destination = harness.port.sends(req)[0]
+        destinations.append(destination)
+        due.append((harness.now + (200 * MS if destination == "s0" else 20 * MS), req))
         due.sort()
-        world.run(world.now + 10 * MS - START)
-    assert went.count("s0") < 600 / 4 / 2
+        harness.run(harness.now + 10 * MS - START)
+    assert destinations.count("s0") < 600 / 4 / 2
 
 
 @pytest.mark.parametrize("status", [AttemptOutcome.ERROR, AttemptOutcome.RESET])
-def test_a_spoilt_answer_now_and_then_takes_no_server_away(status: AttemptOutcome) -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    for req in range(1000, 1060):  # one in ten fails, at any server alike
-        world.request(req)
+def test_occasional_errors_do_not_eject_a_server(status: AttemptOutcome) -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    for req in range(1000, 1060):  # one in ten fails, at any of the servers
+        harness.request(req)
         if req % 10 == 0:
-            world.outcome(req, 0, status, latency=20 * MS)
-        world.outcome(
-            req, len(world.port.sends(req)) - 1, AttemptOutcome.OK, closed=True, latency=20 * MS
+            harness.outcome(req, 0, status, latency=20 * MS)
+        harness.outcome(
+            req, len(harness.port.sends(req)) - 1, AttemptOutcome.OK, closed=True, latency=20 * MS
         )
         assert all(
-            s.ejected_until <= world.now for s in world.gateway.endpoint_table.servers.values()
+            s.ejected_until <= harness.now for s in harness.gateway.endpoint_table.servers.values()
         )
-        world.run(world.now + 20 * MS - START)
+        harness.run(harness.now + 20 * MS - START)
 
 
-def test_a_server_that_fails_half_of_the_time_gets_little() -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    bad = 0
+def test_a_server_that_fails_half_of_its_requests_gets_few() -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    failing_count = 0
     for req in range(1000, 1300):
-        world.request(req, UNSAFE)
-        failing = world.port.sends(req)[0] == "s3" and (bad := bad + 1) % 2
-        world.outcome(
+        harness.request(req, UNSAFE)
+        failing = harness.port.sends(req)[0] == "s3" and (failing_count := failing_count + 1) % 2
+        harness.outcome(
             req,
             0,
             AttemptOutcome.RESET if failing else AttemptOutcome.OK,
             closed=not failing,
             latency=20 * MS,
         )
-        world.run(world.now + 20 * MS - START)
-    assert bad < 30  # of 300 to 6 servers, 50 were its share
+        harness.run(harness.now + 20 * MS - START)
+    assert failing_count < 30  # its share of 300 requests to 6 servers would be 50
 
 
-def refused(full: int) -> int:
-    """Of a hundred requests, when every fifth finds so many servers full before one takes it.
+def rejected_count(full: int) -> int:
+    """Rejections among 100 requests, if each fifth is first rejected by `full` servers.
 
-    More often than that one full server each would use up what further attempts may cost.
+    If more of the requests met even one full server, the retry budget would be used up.
     """
-    world = fleet(12)
-    answer_all_but(world, "", range(300))
+    harness = fleet(12)
+    send_one_by_one(harness, "", range(300))
     for req in range(1000, 1100):
-        world.request(req)
+        harness.request(req)
         for attempt in range(0 if req % 5 else full):
-            if attempt < len(world.port.sends(req)):
-                world.outcome(req, attempt, AttemptOutcome.BUSY, latency=1 * MS)
-        last = len(world.port.sends(req)) - 1
-        if last >= 0 and not world.port.ends(req):
-            world.outcome(req, last, AttemptOutcome.OK, closed=True, latency=20 * MS)
-        world.run(world.now + 20 * MS - START)
-    return sum(bool(world.port.ends(req)) for req in range(1000, 1100))
-
-
-def test_one_full_server_is_no_overload_and_two_in_a_row_are() -> None:
-    assert refused(1) == 0
-    assert refused(3) > 5
-
-
-def test_a_cut_after_a_time_without_requests_is_no_cut_to_nothing() -> None:
-    world = fleet()
-    answer_all_but(world, "", range(300))
-    name = world.port.sends(299)[0]
-    one = world.gateway.endpoint_table.servers[name]
-    one.rate.receive_rate = 0.1  # as after a long shun
-    world.gateway.health.saturated(world.now, one)
-    assert one.rate.send_rate > 0.3 * world.gateway.overload.fleet.receive_rate / 6
-
-
-def silent_first(cls: int, **changes: Any) -> World:
-    """One request whose first attempt stays silent, after many that were answered."""
-    world = fleet() if not changes else World(*(server(f"s{i}") for i in range(6)), **changes)
-    answer_all_but(world, "", range(200))
-    world.request(1000, cls)
-    world.run(world.now + 30 * MS - START)
-    burst(world, "", 2000)  # its server answers what was sent later
-    world.run(world.now + 200 * MS - START)
-    return world
-
-
-def test_a_silent_attempt_of_a_repeatable_request_gets_a_second_copy_elsewhere() -> None:
-    world = silent_first(SAFE)
-    first, second = world.port.sends(1000)
+            if attempt < len(harness.port.sends(req)):
+                harness.outcome(req, attempt, AttemptOutcome.BUSY, latency=1 * MS)
+        last = len(harness.port.sends(req)) - 1
+        if last >= 0 and not harness.port.final_actions(req):
+            harness.outcome(req, last, AttemptOutcome.OK, closed=True, latency=20 * MS)
+        harness.run(harness.now + 20 * MS - START)
+    return sum(bool(harness.port.final_actions(req)) for req in range(1000, 1100))
+
+
+def test_one_full_server_is_no_overload_and_three_in_a_row_are() -> None:
+    assert rejected_count(1) == 0
+    assert rejected_count(3) > 5
+
+
+def test_a_rate_cut_after_an_idle_period_does_not_go_to_zero() -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(300))
+    name = harness.port.sends(299)[0]
+    target = harness.gateway.endpoint_table.servers[name]
+    target.rate.receive_rate = 0.1  # as after a long ejection
+    harness.gateway.health.on_saturated(harness.now, target)
+    assert target.rate.send_rate > 0.3 * harness.gateway.overload.fleet.receive_rate / 6
+
+
+def unanswered_first_attempt(cls: int, **changes: Any) -> World:
+    """Send a request whose first attempt gets no response, after many that got one."""
+    harness = fleet() if not changes else World(*(server(f"s{i}") for i in range(6)), **changes)
+    send_one_by_one(harness, "", range(200))
+    harness.request(1000, cls)
+    harness.run(harness.now + 30 * MS - START)
+    burst(harness, "", 2000)  # its server answers requests sent later
+    harness.run(harness.now + 200 * MS - START)
+    return harness
+
+
+def test_an_unanswered_repeatable_request_is_hedged_at_another_server() -> None:
+    harness = unanswered_first_attempt(SAFE)
+    first, second = harness.port.sends(1000)
     assert first != second
-    world.outcome(1000, 1, AttemptOutcome.OK, closed=True)
-    world.outcome(1000, 0, AttemptOutcome.TIMEOUT, closed=True)
-    world.run(world.now + 3 * S - START)
-    assert len(world.port.sends(1000)) == 2
-    assert world.port.ends(1000) == []
-
-
-def test_a_silent_attempt_is_not_doubled_where_that_could_do_harm() -> None:
-    assert len(silent_first(UNSAFE).port.sends(1000)) == 1
-    assert len(silent_first(SAFE, limits={"mayDuplicate": False}).port.sends(1000)) == 1
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    world.gateway.overload.fleet.cut(world.now, 10.0, 3e6)  # overload
+    harness.outcome(1000, 1, AttemptOutcome.OK, closed=True)
+    harness.outcome(1000, 0, AttemptOutcome.TIMEOUT, closed=True)
+    harness.run(harness.now + 3 * S - START)
+    assert len(harness.port.sends(1000)) == 2
+    assert harness.port.final_actions(1000) == []
+
+
+def test_no_hedge_if_unsafe_or_forbidden_or_overloaded() -> None:
+    assert len(unanswered_first_attempt(UNSAFE).port.sends(1000)) == 1
+    assert len(unanswered_first_attempt(SAFE, limits={"mayDuplicate": False}).port.sends(1000)) == 1
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    harness.gateway.overload.fleet.cut(harness.now, 10.0, 3e6)  # overload
     for req in range(1000, 1010):
-        world.request(req)
-    world.run(world.now + 200 * MS - START)
-    assert all(len(world.port.sends(req)) <= 1 for req in range(1000, 1010))
+        harness.request(req)
+    harness.run(harness.now + 200 * MS - START)
+    assert all(len(harness.port.sends(req)) <= 1 for req in range(1000, 1010))
 
 
-def test_second_copies_are_bounded_where_many_are_silent() -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    silent: list[int] = []
+def test_hedges_are_limited_by_the_retry_budget() -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    unanswered: list[int] = []
     for first in range(1000, 3000, 100):
-        silent += range(first, first + 12)
+        unanswered += range(first, first + 12)
         for req in range(first, first + 12):
-            world.request(req)
-        world.run(world.now + 30 * MS - START)
-        burst(world, "", first + 20, 24)
-        world.run(world.now + 200 * MS - START)
-    doubled = sum(len(world.port.sends(req)) > 1 for req in silent)
-    assert 5 < doubled <= 10 + 0.15 * 20 * 36  # what was saved up and what is earned
+            harness.request(req)
+        harness.run(harness.now + 30 * MS - START)
+        burst(harness, "", first + 20, 24)
+        harness.run(harness.now + 200 * MS - START)
+    hedged = sum(len(harness.port.sends(req)) > 1 for req in unanswered)
+    assert 5 < hedged <= 10 + 0.15 * 20 * 36  # the saved budget, and what the requests add to it
 
 
-def test_slowness_of_all_is_no_silence_of_one() -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
+def test_no_hedges_if_all_servers_are_slow() -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
     for req in range(1000, 1030):
-        world.request(req)
-    world.run(world.now + 500 * MS - START)  # nobody answers
-    assert all(len(world.port.sends(req)) <= 1 for req in range(1000, 1030))
+        harness.request(req)
+    harness.run(harness.now + 500 * MS - START)  # no server responds
+    assert all(len(harness.port.sends(req)) <= 1 for req in range(1000, 1030))
 
 
-def test_a_rush_before_anything_is_measured_cuts_no_rate() -> None:
-    world = fleet(12)
-    for req in range(40):  # a rush at the start finds servers full
-        world.request(req)
-        world.outcome(req, 0, AttemptOutcome.BUSY, latency=1 * MS)
-    assert all(s.rate.send_rate == math.inf for s in world.gateway.endpoint_table.servers.values())
-    assert world.gateway.overload.fleet.send_rate == math.inf
+def test_rejections_before_the_first_response_cut_no_rate() -> None:
+    harness = fleet(12)
+    for req in range(40):  # all servers are full in a burst at the start
+        harness.request(req)
+        harness.outcome(req, 0, AttemptOutcome.BUSY, latency=1 * MS)
+    assert all(
+        s.rate.send_rate == math.inf for s in harness.gateway.endpoint_table.servers.values()
+    )
+    assert harness.gateway.overload.fleet.send_rate == math.inf
 
 
-def test_a_rate_is_read_from_as_much_of_its_window_as_there_was() -> None:
+def test_a_rate_estimate_is_corrected_for_a_window_that_is_not_full() -> None:
     rate = CubicRate()
     for i in range(50):
         rate.received(START + i * 20 * MS)
@@ -303,17 +307,17 @@
     assert rate.receive_rate < 25
 
 
-def test_a_failing_server_gets_nothing_that_may_not_be_repeated_while_sound_ones_wait() -> None:
-    world = fleet()
-    answer_all_but(world, "", range(200))
-    for name, one in world.gateway.endpoint_table.servers.items():
+def test_no_unsafe_request_to_an_ejected_server_while_healthy_ones_lack_tokens() -> None:
+    harness = fleet()
+    send_one_by_one(harness, "", range(200))
+    for name, target in harness.gateway.endpoint_table.servers.items():
         if name == "s0":
-            one.ejections, one.ejected_until = 1, world.now + 5 * S
+            target.ejections, target.ejected_until = 1, harness.now + 5 * S
         else:
-            one.rate.cut(world.now, 5.0, 100 * MS)
-            one.tokens, one.tokens_at = 0.0, world.now
-    world.request(1000, UNSAFE)
-    assert world.port.sends(1000) == []
-    world.run(world.now + 400 * MS - START)
-    assert world.port.sends(1000)
-    assert world.port.sends(1000)[0] != "s0"
+            target.rate.cut(harness.now, 5.0, 100 * MS)
+            target.tokens, target.tokens_at = 0.0, harness.now
+    harness.request(1000, UNSAFE)
+    assert harness.port.sends(1000) == []
+    harness.run(harness.now + 400 * MS - START)
+    assert harness.port.sends(1000)
+    assert harness.port.sends(1000)[0] != "s0"
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Shedding follows overload, and ends with it."""
+"""Load shedding starts under overload, and ends with it."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from tests.fake import MS, SAFE, START, UNSAFE, S, World, server, settings_value
 
 
-def drive(world: World, first: int, count: int, latency: int, step: int = 10 * MS) -> int:
-    """Requests at a steady pace, each answered after that latency; how many were refused."""
+def drive(harness: World, first: int, count: int, latency: int, step: int = 10 * MS) -> int:
+    """Send requests at a steady rate, each answered after `latency`; return the number rejected."""
     due: list[tuple[int, int]] = []
-    refused = 0
+    rejected = 0
     for req in range(first, first + count):
-        while due and due[0][0] <= world.now:
+        while due and due[0][0] <= harness.now:
             at, old = due.pop(0)
-            world.now = max(at, world.now)
-            world.outcome(
+            harness.now = max(at, harness.now)
+            harness.outcome(
                 old,
                 0,
                 AttemptOutcome.OK,
@@ -33,59 +33,59 @@
                 latency=latency,
                 report=LoadReport(0.0, 50.0 * MS),
             )
-        world.request(req, SAFE, lasts=4 * S)
-        if world.port.ends(req):
-            refused += 1
-        elif world.port.sends(req):
-            due.append((world.now + latency, req))
-        world.run(world.now + step - START)
+        harness.request(req, SAFE, time_limit=4 * S)
+        if harness.port.final_actions(req):
+            rejected += 1
+        elif harness.port.sends(req):
+            due.append((harness.now + latency, req))
+        harness.run(harness.now + step - START)
     for _, old in due:
-        world.outcome(old, 0, AttemptOutcome.OK, closed=True, latency=latency)
-    return refused
+        harness.outcome(old, 0, AttemptOutcome.OK, closed=True, latency=latency)
+    return rejected
 
 
 def fleet(**changes: Any) -> World:
     return World(*(server(f"s{i}") for i in range(20)), **changes)
 
 
-def test_late_answers_make_it_shed_and_it_takes_all_again_when_they_are_in_time() -> None:
-    world = fleet()
-    assert drive(world, 0, 300, 50 * MS) == 0
-    assert drive(world, 1000, 600, 1500 * MS) > 60
-    # Nothing is refused any more some seconds after the answers are quick again: a level that
-    # hangs on served answers alone stays up for good.
-    drive(world, 2000, 1500, 50 * MS)
-    assert drive(world, 4000, 300, 50 * MS) == 0
+def test_late_responses_cause_shedding_that_ends_when_responses_are_fast_again() -> None:
+    harness = fleet()
+    assert drive(harness, 0, 300, 50 * MS) == 0
+    assert drive(harness, 1000, 600, 1500 * MS) > 60
+    # Shedding ends some seconds after responses are fast again. If the limit depended on served
+    # responses alone, it would never be lifted.
+    drive(harness, 2000, 1500, 50 * MS)
+    assert drive(harness, 4000, 300, 50 * MS) == 0
 
 
-def test_a_few_late_answers_are_no_overload() -> None:
-    world = fleet()
+def test_a_few_late_responses_cause_no_shedding() -> None:
+    harness = fleet()
     for i in range(40):
-        assert drive(world, i * 100, 19, 50 * MS) == 0
-        assert drive(world, i * 100 + 50, 1, 1500 * MS) == 0
-
-
-def test_a_cut_right_after_the_start_does_not_refuse_most() -> None:
-    world = fleet()
-    refused = drive(world, 0, 100, 700 * MS)  # the first second, while windows are not full
-    refused += drive(world, 1000, 100, 50 * MS)
-    assert refused < 10
-
-
-def test_a_pause_of_the_gateways_own_is_no_sign_of_overload() -> None:
-    for told in (True, False):
-        world = fleet()
-        drive(world, 0, 300, 50 * MS)
-        for req in range(1000, 1030):  # out when the pause begins
-            world.request(req, SAFE, lasts=4 * S)
-        world.run(world.now + 900 * MS - START)
-        if told:
-            world.gateway.on_stall(world.now)
-        for req in range(2000, 2030):  # had come meanwhile, and are read at once
-            world.request(req, SAFE, lasts=4 * S)
+        assert drive(harness, i * 100, 19, 50 * MS) == 0
+        assert drive(harness, i * 100 + 50, 1, 1500 * MS) == 0
+
+
+def test_a_cut_right_after_the_start_sheds_few_requests() -> None:
+    harness = fleet()
+    rejected = drive(harness, 0, 100, 700 * MS)  # the first second: windows are not full yet
+    rejected += drive(harness, 1000, 100, 50 * MS)
+    assert rejected < 10
+
+
+def test_a_stall_of_the_gateway_itself_is_no_sign_of_overload() -> None:
+    for reported in (True, False):
+        harness = fleet()
+        drive(harness, 0, 300, 50 * MS)
+        for req in range(1000, 1030):  # in flight when the stall begins
+            harness.request(req, SAFE, time_limit=4 * S)
+        harness.run(harness.now + 900 * MS - START)
+        if reported:
+            harness.gateway.on_stall(harness.now)
+        for req in range(2000, 2030):  # arrived during the stall, and are read at its end
+            harness.request(req, SAFE, time_limit=4 * S)
         for req in [*range(1000, 1030), *range(2000, 2030)]:
-            if world.port.sends(req):
-                world.outcome(
+            if harness.port.sends(req):
+                harness.outcome(
                     req,
                     0,
                     AttemptOutcome.OK,
@@ -93,46 +93,46 @@
                     latency=900 * MS,
                     report=LoadReport(0.0, 1.0),
                 )
-        assert (world.gateway.overload.fleet.send_rate == math.inf) == told
+        assert (harness.gateway.overload.fleet.send_rate == math.inf) == reported
 
 
-def test_a_long_wait_for_the_first_client_does_not_make_a_cut_too_deep() -> None:
-    refused = []
+def test_an_idle_period_before_the_first_request_makes_no_cut_too_deep() -> None:
+    rejected = []
     for wait in (0, 3 * S):
-        world = fleet()
-        world.run(wait)
-        refused.append(drive(world, 0, 150, 650 * MS))
-    assert refused[1] <= refused[0] + 10
+        harness = fleet()
+        harness.run(wait)
+        rejected.append(drive(harness, 0, 150, 650 * MS))
+    assert rejected[1] <= rejected[0] + 10
 
 
-def test_the_least_worth_is_shed_first() -> None:
-    world = fleet()
-    drive(world, 0, 900, 1500 * MS)
-    cheap = dear = 0
+def test_low_priority_is_shed_first() -> None:
+    harness = fleet()
+    drive(harness, 0, 900, 1500 * MS)
+    shed_low = shed_high = 0
     for i in range(300):
-        world.request(5000 + i, SAFE)
-        world.request(6000 + i, UNSAFE)
-        cheap += len(world.port.ends(5000 + i))
-        dear += len(world.port.ends(6000 + i))
-        world.run(world.now + 5 * MS - START)
-    assert cheap > 3 * dear
+        harness.request(5000 + i, SAFE)
+        harness.request(6000 + i, UNSAFE)
+        shed_low += len(harness.port.final_actions(5000 + i))
+        shed_high += len(harness.port.final_actions(6000 + i))
+        harness.run(harness.now + 5 * MS - START)
+    assert shed_low > 3 * shed_high
 
 
-def test_a_hot_key_does_not_jam_its_replicas() -> None:
-    world = World(*(server(f"s{i}") for i in range(20)), familyInfo={"warmKeys": True})
+def test_a_hot_key_is_spread_over_more_servers_than_its_replicas() -> None:
+    harness = World(*(server(f"s{i}") for i in range(20)), familyInfo={"warmKeys": True})
     for req in range(100):
-        world.request(req, key=77)
-    sent = world.port.sends()
-    assert len(set(sent)) > 6  # more than the three that may have the key
+        harness.request(req, key=77)
+    sent = harness.port.sends()
+    assert len(set(sent)) > 6  # more than the three replicas of the key
     busiest = max(sent.count(s) for s in set(sent))
     assert busiest <= 20
 
 
-def test_an_ordinary_key_stays_with_its_server() -> None:
-    world = World(*(server(f"s{i}") for i in range(20)), familyInfo={"warmKeys": True})
+def test_a_key_with_little_traffic_stays_with_its_server() -> None:
+    harness = World(*(server(f"s{i}") for i in range(20)), familyInfo={"warmKeys": True})
     for req in range(3000):
-        world.request(req, key=req % 100)
-        world.outcome(
+        harness.request(req, key=req % 100)
+        harness.outcome(
             req,
             0,
             AttemptOutcome.OK,
@@ -140,17 +140,17 @@
             latency=50 * MS,
             report=LoadReport(0.0, 50.0 * MS),
         )
-        world.run(world.now + 20 * MS - START)
-    sent = [world.port.sends(req)[0] for req in range(1000, 3000) if req % 100 == 77]
+        harness.run(harness.now + 20 * MS - START)
+    sent = [harness.port.sends(req)[0] for req in range(1000, 3000) if req % 100 == 77]
     assert max(sent.count(s) for s in set(sent)) > 0.6 * len(sent)
 
 
-def test_where_most_are_cold_the_few_warm_ones_still_get_their_part() -> None:
+def test_a_few_warm_servers_among_many_cold_ones_get_their_part() -> None:
     cold = [server(f"c{i}", boot=START - 1) for i in range(8)]
-    world = World(server("w0"), server("w1"), *cold, rules={"cold": 60 * S})
+    harness = World(server("w0"), server("w1"), *cold, rules={"cold": 60 * S})
     for req in range(6000):
-        world.request(req)
-        world.outcome(
+        harness.request(req)
+        harness.outcome(
             req,
             0,
             AttemptOutcome.OK,
@@ -158,108 +158,112 @@
             latency=50 * MS,
             report=LoadReport(0.0, 50.0 * MS),
         )
-    late = [world.port.sends(req)[0] for req in range(2000, 6000)]
-    warm = sum(name.startswith("w") for name in late) / len(late)
-    # Eight cold ones, of a fifth of their capacity each, are as good as 1.6 warm ones.
-    assert 0.8 * 2 / 3.6 < warm < 1.2 * 2 / 3.6
+    destinations = [harness.port.sends(req)[0] for req in range(2000, 6000)]
+    warm_share = sum(name.startswith("w") for name in destinations) / len(destinations)
+    # Eight servers in slow start, each with a fifth of its capacity, are worth 1.6 warm ones.
+    assert 0.8 * 2 / 3.6 < warm_share < 1.2 * 2 / 3.6
 
 
-def test_servers_that_come_back_raise_what_the_fleet_takes() -> None:
-    refused = []
-    for back in (False, True):
-        world = World(
+def test_returning_servers_raise_the_fleet_rate_limit() -> None:
+    rejected = []
+    for servers_return in (False, True):
+        harness = World(
             *(
                 server(f"s{i}", state=EndpointState.READY if i < 8 else EndpointState.DRAINING)
                 for i in range(20)
             )
         )
-        drive(world, 0, 900, 1500 * MS)
-        if back:
+        drive(harness, 0, 900, 1500 * MS)
+        if servers_return:
             entries = [server(f"s{i}") for i in range(20)]
-            world.gateway.on_watch_event(world.now, WatchEventKind.CHANGES, entries)
-        refused.append(drive(world, 2000, 300, 50 * MS, 4 * MS))
-    assert refused[1] < refused[0] / 2
+            harness.gateway.on_watch_event(harness.now, WatchEventKind.CHANGES, entries)
+        rejected.append(drive(harness, 2000, 300, 50 * MS, 4 * MS))
+    assert rejected[1] < rejected[0] / 2
 
 
-def test_quick_classes_are_shed_for_no_longer_than_slow_ones_in_proportion() -> None:
+def test_recovery_from_a_cut_scales_with_the_latency_objectives() -> None:
     for scale in (1, 10):
         classes = [
             {**one, "goalTime": S // scale, "deadline": 3 * S // scale}
             for one in settings_value()["classes"]
         ]
-        world = fleet(classes=classes)
-        drive(world, 0, 900, 1500 * MS // scale)
-        assert world.gateway.overload.fleet.send_rate != math.inf
-        begin = world.now
-        while world.gateway.overload.fleet.send_rate != math.inf:
-            drive(world, world.now, 20, 50 * MS // scale)
-        assert world.now - begin < 20 * S // scale
+        harness = fleet(classes=classes)
+        drive(harness, 0, 900, 1500 * MS // scale)
+        assert harness.gateway.overload.fleet.send_rate != math.inf
+        begin = harness.now
+        while harness.gateway.overload.fleet.send_rate != math.inf:
+            drive(harness, harness.now, 20, 50 * MS // scale)
+        assert harness.now - begin < 20 * S // scale
 
 
-def test_half_of_what_comes_is_held_to_half_of_the_limits_also_when_they_are_cut() -> None:
+def test_rate_limits_follow_the_share_of_clients_also_after_a_new_cut() -> None:
     for shared in (False, True):
-        world = fleet()
-        drive(world, 0, 900, 1500 * MS)
-        limit = world.gateway.overload.fleet.rate_at_cut
+        harness = fleet()
+        drive(harness, 0, 900, 1500 * MS)
+        limit = harness.gateway.overload.fleet.rate_at_cut
         assert 0.0 < limit < math.inf
         if shared:
-            world.gateway.set_share(0.5)
-            assert world.gateway.overload.fleet.rate_at_cut == 0.5 * limit
-            # Cut anew by what half of the clients bring, it is half still, and not a quarter.
-            drive(world, 2000, 450, 1500 * MS, 20 * MS)
-            assert 0.3 * limit < world.gateway.overload.fleet.rate_at_cut < 0.7 * limit
-            world.gateway.set_share(1.0)
-        drive(world, 4000, 900, 1500 * MS)
-        assert 0.6 * limit < world.gateway.overload.fleet.rate_at_cut < 1.4 * limit
-    whole = fleet()
-    whole.gateway.set_share(0.5)
-    assert whole.gateway.overload.fleet.send_rate == math.inf
-
-
-def test_a_server_that_turns_away_with_no_queue_drains_and_is_no_sign_of_overload() -> None:
-    world = World(*(server(f"s{i}") for i in range(20)))
-    drive(world, 0, 200, 50 * MS)
+            harness.gateway.set_share(0.5)
+            assert harness.gateway.overload.fleet.rate_at_cut == 0.5 * limit
+            # A new cut at the rate of half of the clients leaves half the limit, not a quarter.
+            drive(harness, 2000, 450, 1500 * MS, 20 * MS)
+            assert 0.3 * limit < harness.gateway.overload.fleet.rate_at_cut < 0.7 * limit
+            harness.gateway.set_share(1.0)
+        drive(harness, 4000, 900, 1500 * MS)
+        assert 0.6 * limit < harness.gateway.overload.fleet.rate_at_cut < 1.4 * limit
+    unlimited = fleet()
+    unlimited.gateway.set_share(0.5)
+    assert unlimited.gateway.overload.fleet.send_rate == math.inf
+
+
+def test_a_rejection_with_an_empty_queue_is_no_sign_of_overload() -> None:
+    harness = World(*(server(f"s{i}") for i in range(20)))
+    drive(harness, 0, 200, 50 * MS)
     empty = LoadReport(0.0, 50.0 * MS)
     for req in range(1000, 1005):
-        world.request(req)
+        harness.request(req)
         for attempt in range(2):
-            world.outcome(req, attempt, AttemptOutcome.BUSY, latency=1 * MS, report=empty)
-    assert world.gateway.overload.fleet.send_rate == math.inf
-    # Each is left alone after it has turned one away, while others are there.
-    turned = [name for req in range(1000, 1005) for name in world.port.sends(req)[:2]]
-    assert len(set(turned)) == len(turned)
+            harness.outcome(req, attempt, AttemptOutcome.BUSY, latency=1 * MS, report=empty)
+    assert harness.gateway.overload.fleet.send_rate == math.inf
+    # After a rejection a server gets no more requests while there are others.
+    rejecting_servers = [name for req in range(1000, 1005) for name in harness.port.sends(req)[:2]]
+    assert len(set(rejecting_servers)) == len(rejecting_servers)
 
 
 @pytest.mark.parametrize(("queue", "limited"), [(3.0, True), (0.0, False)])
-def test_full_servers_are_a_sign_of_overload_before_answers_are_late(
+def test_full_servers_are_a_sign_of_overload_before_responses_are_late(
     queue: float, limited: bool
 ) -> None:
-    world = fleet()
-    drive(world, 0, 100, 50 * MS)
+    harness = fleet()
+    drive(harness, 0, 100, 50 * MS)
     for req in range(1000, 1060):
-        world.request(req, SAFE)
-        if req % 3 == 0 and world.port.sends(req):
-            world.outcome(
+        harness.request(req, SAFE)
+        if req % 3 == 0 and harness.port.sends(req):
+            harness.outcome(
                 req, 0, AttemptOutcome.BUSY, latency=MS, report=LoadReport(queue, 50.0 * MS)
             )
-        last = len(world.port.sends(req)) - 1
-        if last >= 0 and not world.port.ends(req):
-            world.outcome(req, last, AttemptOutcome.OK, True, 50 * MS, LoadReport(0.0, 50.0 * MS))
-        world.run(world.now + 20 * MS - START)
-    assert (world.gateway.counters["cuts"] > 0) == limited
+        last = len(harness.port.sends(req)) - 1
+        if last >= 0 and not harness.port.final_actions(req):
+            harness.outcome(req, last, AttemptOutcome.OK, True, 50 * MS, LoadReport(0.0, 50.0 * MS))
+        harness.run(harness.now + 20 * MS - START)
+    assert (harness.gateway.counters["cuts"] > 0) == limited
 
 
-def test_refused_clients_are_told_to_come_back_when_there_is_room_and_not_together() -> None:
-    world = fleet(limits={"maxRetryAfter": 4 * S})
-    drive(world, 0, 900, 1500 * MS)
-    load, said = world.gateway.overload, []
+def test_retry_after_is_not_before_recovery_and_spread_out() -> None:
+    harness = fleet(limits={"maxRetryAfter": 4 * S})
+    drive(harness, 0, 900, 1500 * MS)
+    overload, delays = harness.gateway.overload, []
     for req in range(5000, 5400):
-        world.request(req, SAFE)
-        room = load.fleet.cut_at + load.fleet_saddle - world.now
-        said += [(max(room, S), a[2]) for a in world.port.actions[-1:] if a[:2] == ("refuse", req)]
-        world.run(world.now + MS - START)
-    assert len(said) > 50
-    assert all(room <= after <= 4 * S for room, after in said)
-    # No tenth of what is left holds more than a quarter of them.
-    tenths = Counter(int(10 * (after - room) / (4 * S - room + 1)) for room, after in said)
-    assert max(tenths.values()) < 0.25 * len(said)
+        harness.request(req, SAFE)
+        min_delay = overload.fleet.cut_at + overload.fleet_saddle - harness.now
+        delays += [
+            (max(min_delay, S), a[2]) for a in harness.port.actions[-1:] if a[:2] == ("refuse", req)
+        ]
+        harness.run(harness.now + MS - START)
+    assert len(delays) > 50
+    assert all(min_delay <= after <= 4 * S for min_delay, after in delays)
+    # Spread out: no tenth of the possible range contains more than a quarter of the delays.
+    tenths = Counter(
+        int(10 * (after - min_delay) / (4 * S - min_delay + 1)) for min_delay, after in delays
+    )
+    assert max(tenths.values()) < 0.25 * len(delays)
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -1,4 +1,4 @@
-"""Which servers a gateway uses: evenly shared out, few changes, replaced when they fail."""
+"""Subsetting: servers are evenly distributed, change rarely, and are replaced when they fail."""
 
 from __future__ import annotations
 
@@ -14,214 +14,214 @@
 
 from sailhitch.reach import Reach
 from sailhitch.reach.ring import Ring, ring_position
-from sailhitch.reach.width import COVER, MIN_SERVERS, Width
+from sailhitch.reach.width import GATEWAYS_PER_SERVER, MIN_SERVERS, SubsetSizer
 from tests.fake import MS, S, World, server
 
 SIZES = [(5, 1), (5, 12), (40, 60), (214, 145), (214, 12), (1000, 12), (1000, 1000), (35, 1000)]
 
 
 @dataclass(eq=False)
-class Spot:
-    """A server as reach knows it."""
+class FakeServer:
+    """A server as subsetting needs it."""
 
     hash: int
     full: bool = field(default=False)
-    dead: bool = field(default=False)
+    failing: bool = field(default=False)
 
     def is_available(self, now: int) -> bool:
-        return not (self.full or self.dead)
+        return not (self.full or self.failing)
 
     def is_responding(self) -> bool:
-        return not self.dead
+        return not self.failing
 
 
-def spots(count: int, seed: int = 1) -> list[Spot]:
-    draws = random.Random(seed)
-    return [Spot(draws.getrandbits(64)) for _ in range(count)]
+def fake_servers(count: int, seed: int = 1) -> list[FakeServer]:
+    rng = random.Random(seed)
+    return [FakeServer(rng.getrandbits(64)) for _ in range(count)]
 
 
-def tier(
-    numbers: range, gateways: int, own: list[Spot], others: list[Spot] | None = None
-) -> list[Reach[Spot]]:
-    found: list[Reach[Spot]] = [Reach(me, gateways) for me in numbers]
-    for one in found:
-        one.sort(own, others or [])
-        one.select(0)
-    return found
+def subsetters_for(
+    indices: range, gateways: int, own: list[FakeServer], others: list[FakeServer] | None = None
+) -> list[Reach[FakeServer]]:
+    subsetters: list[Reach[FakeServer]] = [Reach(index, gateways) for index in indices]
+    for subsetter in subsetters:
+        subsetter.sort(own, others or [])
+        subsetter.select(0)
+    return subsetters
 
 
-def cover(reaches: list[Reach[Spot]]) -> Counter[int]:
-    return Counter(s.hash for one in reaches for part in one.subset for s in part)
+def subset_counts(subsetters: list[Reach[FakeServer]]) -> Counter[int]:
+    return Counter(s.hash for subsetter in subsetters for part in subsetter.subset for s in part)
 
 
 @pytest.mark.parametrize(("gateways", "servers"), SIZES)
-def test_every_server_is_in_the_reach_of_about_as_many_gateways(
-    gateways: int, servers: int
-) -> None:
-    there = spots(servers)
-    reaches = tier(range(gateways), gateways, there)
-    counts = cover(reaches)
-    width = reaches[0].width.wanted(servers)
-    mean = gateways * width / servers
+def test_every_server_is_in_about_the_same_number_of_subsets(gateways: int, servers: int) -> None:
+    all_servers = fake_servers(servers)
+    subsetters = subsetters_for(range(gateways), gateways, all_servers)
+    counts = subset_counts(subsetters)
+    size = subsetters[0].sizer.target_size(servers)
+    mean = gateways * size / servers
     assert len(counts) == servers
-    assert mean >= min(gateways, COVER)
-    # The radical inverse's discrepancy grows as the logarithm of the number of gateways.
+    assert mean >= min(gateways, GATEWAYS_PER_SERVER)
+    # The discrepancy of the radical inverse grows with the logarithm of the number of gateways.
     slack = 1 + math.log(gateways, 7)
     assert max(abs(count - mean) for count in counts.values()) <= slack
 
 
 @given(st.integers(2, 300), st.integers(0, 50), st.sampled_from([1, 2, 3, 4, 5, 6, 8]))
-def test_places_of_a_zones_gateways_are_spread_evenly(count: int, first: int, step: int) -> None:
-    """Whether a zone has every n-th number or a run of them."""
-    places = [ring_position(first + step * i) for i in range(count)]
+def test_ring_positions_of_a_zone_are_spread_evenly(count: int, first: int, step: int) -> None:
+    """A zone may have every n-th index, or consecutive ones."""
+    positions = [ring_position(first + step * i) for i in range(count)]
     for arc in (0.1, 0.3, 0.5):
-        for begin in (0.0, 0.15, 0.4):
-            inside = sum(begin <= place < begin + arc for place in places)
+        for start in (0.0, 0.15, 0.4):
+            inside = sum(start <= position < start + arc for position in positions)
             assert abs(inside - arc * count) <= 2 + 2 * math.log(count, 7)
 
 
-def test_gateways_with_one_number_reach_the_same_and_do_no_harm() -> None:
-    there = spots(60)
-    one, other = tier(range(3, 4), 40, there) + tier(range(3, 4), 40, list(reversed(there)))
-    assert one.subset == other.subset
+def test_gateways_with_the_same_index_have_the_same_subset() -> None:
+    all_servers = fake_servers(60)
+    subsetter, other = subsetters_for(range(3, 4), 40, all_servers) + subsetters_for(
+        range(3, 4), 40, list(reversed(all_servers))
+    )
+    assert subsetter.subset == other.subset
 
 
 @given(st.integers(0, 10_000), st.integers(30, 150))
-def test_what_comes_and_goes_moves_few_others(seed: int, servers: int) -> None:
-    """Half of the servers are replaced one by one; a change is a server that comes into reach."""
-    draws = random.Random(seed)
-    there = spots(servers, seed)
-    reaches = tier(range(40), 40, there)
-    for one in reaches:
-        one.width.gateways = 10 * COVER  # so that all have the least width
-        one.sort(there, [])
-        one.select(0)
-        one.changes = 0
-    due = 0
-    for old in draws.sample(there, servers // 2):
-        due += cover(reaches)[old.hash]
-        there.remove(old)
-        fresh = Spot(draws.getrandbits(64))
-        there.append(fresh)
-        for one in reaches:
-            one.sort(there, [])
-            one.select(0)
-        due += cover(reaches)[fresh.hash]
-    # By rank alone, with no anchor, it is four times what is due and more.
-    assert sum(one.changes for one in reaches) <= 2.2 * due
-
-
-def test_the_own_zone_comes_first_and_a_few_are_of_others() -> None:
-    own, others = spots(30, 1), spots(120, 2)
-    (one,) = tier(range(7, 8), 214, own, others)
-    mine, rest = one.subset
-    assert set(map(id, mine)) <= set(map(id, own))
-    assert len(mine) + len(rest) == one.width.wanted(150)
-    assert len(mine) > 2 * len(rest) > 0
-    # A zone with fewer servers than its part: the rest is taken from others.
-    (small,) = tier(range(7, 8), 214, own[:3], others)
+def test_replacing_servers_changes_few_other_subset_members(seed: int, servers: int) -> None:
+    """Half of the servers are replaced one by one; a change is a server added to a subset."""
+    rng = random.Random(seed)
+    all_servers = fake_servers(servers, seed)
+    subsetters = subsetters_for(range(40), 40, all_servers)
+    for subsetter in subsetters:
+        subsetter.sizer.gateway_count = 10 * GATEWAYS_PER_SERVER  # so all have the minimum size
+        subsetter.sort(all_servers, [])
+        subsetter.select(0)
+        subsetter.changes = 0
+    needed = 0
+    for old in rng.sample(all_servers, servers // 2):
+        needed += subset_counts(subsetters)[old.hash]
+        all_servers.remove(old)
+        added = FakeServer(rng.getrandbits(64))
+        all_servers.append(added)
+        for subsetter in subsetters:
+            subsetter.sort(all_servers, [])
+            subsetter.select(0)
+        needed += subset_counts(subsetters)[added.hash]
+    # Without anchors, by rank alone, there are more than four times as many changes as needed.
+    assert sum(subsetter.changes for subsetter in subsetters) <= 2.2 * needed
+
+
+def test_most_of_the_subset_is_in_the_own_zone() -> None:
+    own, others = fake_servers(30, 1), fake_servers(120, 2)
+    (subsetter,) = subsetters_for(range(7, 8), 214, own, others)
+    own_subset, other_subset = subsetter.subset
+    assert set(map(id, own_subset)) <= set(map(id, own))
+    assert len(own_subset) + len(other_subset) == subsetter.sizer.target_size(150)
+    assert len(own_subset) > 2 * len(other_subset) > 0
+    # If the own zone has fewer servers than its share, the rest is taken from other zones.
+    (small,) = subsetters_for(range(7, 8), 214, own[:3], others)
     assert len(small.subset[0]) == 3
-    assert sum(map(len, small.subset)) == small.width.wanted(123)
-
-
-@pytest.mark.parametrize("sign", ["dead", "full"])
-def test_what_fails_in_reach_is_replaced_at_once_and_comes_back(sign: str) -> None:
-    there = spots(145)
-    (one,) = tier(range(9, 10), 214, there)
-    before = one.subset[0]
-    for bad in before[2:8]:
-        setattr(bad, sign, True)
-    one.review_at = 0  # as the module says when it shuns or rests one
-    able = [s for s in one.select(1)[0] if s.is_available(1)]
-    assert len(able) == len(before)
-    for bad in before:
-        setattr(bad, sign, False)
-    assert one.select(1 + S)[0] == before
-
-
-def test_where_all_are_full_it_gets_no_wider_than_twice() -> None:
-    there = spots(145)
-    (one,) = tier(range(9, 10), 214, there)
-    width = len(one.subset[0])
-    for spot in there:
-        spot.full = True
-    one.review_at = 0
-    assert len(one.select(1)[0]) <= 2 * width
-    # Dead ones are no reason to stop: those that idle are behind them.
-    for spot in there[:140]:
-        spot.full, spot.dead = False, True
-    for spot in there[140:]:
-        spot.full = False
-    assert {s.hash for s in there[140:]} <= {s.hash for s in one.select(S)[0]}
-
-
-@pytest.mark.parametrize(("me", "gateways"), [(-1, 214), (214, 214), (0, 1), (3, 5)])
-def test_without_a_number_or_with_few_gateways_all_are_in_reach_as_they_came(
-    me: int, gateways: int
+    assert sum(map(len, small.subset)) == small.sizer.target_size(123)
+
+
+@pytest.mark.parametrize("fault", ["failing", "full"])
+def test_unavailable_servers_are_replaced_at_once_and_return(fault: str) -> None:
+    all_servers = fake_servers(145)
+    (subsetter,) = subsetters_for(range(9, 10), 214, all_servers)
+    before = subsetter.subset[0]
+    for faulty in before[2:8]:
+        setattr(faulty, fault, True)
+    subsetter.review_at = 0  # as the decision module does after an ejection or a rejection
+    available = [s for s in subsetter.select(1)[0] if s.is_available(1)]
+    assert len(available) == len(before)
+    for faulty in before:
+        setattr(faulty, fault, False)
+    assert subsetter.select(1 + S)[0] == before
+
+
+def test_if_all_servers_are_full_the_subset_at_most_doubles() -> None:
+    all_servers = fake_servers(145)
+    (subsetter,) = subsetters_for(range(9, 10), 214, all_servers)
+    size = len(subsetter.subset[0])
+    for fake_server in all_servers:
+        fake_server.full = True
+    subsetter.review_at = 0
+    assert len(subsetter.select(1)[0]) <= 2 * size
+    # Failing servers do not limit the size: the available ones are behind them.
+    for fake_server in all_servers[:140]:
+        fake_server.full, fake_server.failing = False, True
+    for fake_server in all_servers[140:]:
+        fake_server.full = False
+    assert {s.hash for s in all_servers[140:]} <= {s.hash for s in subsetter.select(S)[0]}
+
+
+@pytest.mark.parametrize(("index", "gateways"), [(-1, 214), (214, 214), (0, 1), (3, 5)])
+def test_without_a_valid_index_or_with_few_gateways_all_servers_are_used(
+    index: int, gateways: int
 ) -> None:
-    own, others = spots(12), spots(30, 2)
-    one: Reach[Spot] = Reach(me, gateways)
-    one.sort(own, others)
-    near = one.select(0)
-    assert near[0] is own
-    assert near[1] is others
+    own, others = fake_servers(12), fake_servers(30, 2)
+    subsetter: Reach[FakeServer] = Reach(index, gateways)
+    subsetter.sort(own, others)
+    subset = subsetter.select(0)
+    assert subset[0] is own
+    assert subset[1] is others
 
 
-def test_a_gateway_with_much_traffic_reaches_further_at_once_and_narrows_slowly() -> None:
-    width = Width(214)
+def test_the_subset_grows_at_once_with_traffic_and_shrinks_slowly() -> None:
+    sizer = SubsetSizer(214)
     now = 100 * S
     for _ in range(200):
         now += 100 * MS
-        width.on_request(now)
-    usual = width.wanted(145)
-    assert usual == max(MIN_SERVERS, math.ceil(COVER * 145 / 214))
+        sizer.on_request(now)
+    usual_size = sizer.target_size(145)
+    assert usual_size == max(MIN_SERVERS, math.ceil(GATEWAYS_PER_SERVER * 145 / 214))
     for _ in range(100):
         now += 10 * MS
-        width.on_request(now)
-    wide = width.wanted(145)
-    assert wide > 1.2 * usual
+        sizer.on_request(now)
+    peak_size = sizer.target_size(145)
+    assert peak_size > 1.2 * usual_size
     for _ in range(100):
         now += 100 * MS
-        width.on_request(now)
-    assert width.wanted(145) > 0.6 * wide
+        sizer.on_request(now)
+    assert sizer.target_size(145) > 0.6 * peak_size
     for _ in range(1000):
         now += 100 * MS
-        width.on_request(now)
-    assert width.wanted(145) == usual
+        sizer.on_request(now)
+    assert sizer.target_size(145) == usual_size
 
 
-def test_a_gateway_whose_traffic_falls_off_begins_at_its_own_place() -> None:
-    there = spots(145)
-    near = []
-    for me in (1, 2):
-        one: Reach[Spot] = Reach(me, 214)
-        one.width.peak = 1e6
-        one.sort(there, [])
-        assert len(one.select(0)[0]) == 145
-        one.width.peak = 0.0  # with no news of the list since
-        near.append({s.hash for s in one.select(S)[0]})
-    assert not near[0] & near[1]
+def test_a_subset_that_shrinks_starts_at_the_gateways_own_position() -> None:
+    all_servers = fake_servers(145)
+    subsets = []
+    for index in (1, 2):
+        subsetter: Reach[FakeServer] = Reach(index, 214)
+        subsetter.sizer.peak = 1e6
+        subsetter.sort(all_servers, [])
+        assert len(subsetter.select(0)[0]) == 145
+        subsetter.sizer.peak = 0.0  # without a change of the list since then
+        subsets.append({s.hash for s in subsetter.select(S)[0]})
+    assert not subsets[0] & subsets[1]
 
 
-def test_a_ring_keeps_its_first_until_that_has_drifted() -> None:
-    there = sorted(spots(100), key=lambda s: s.hash)
+def test_a_ring_keeps_its_anchor_until_that_has_drifted_too_far() -> None:
+    all_servers = sorted(fake_servers(100), key=lambda s: s.hash)
     ring = Ring(0.5)
-    first = ring.rotate(there)[0]
-    assert first is there[50]
-    assert ring.rotate(there[1:])[0] is first
-    assert ring.rotate(there[10:])[0] is there[10 + 45]
+    first = ring.rotate(all_servers)[0]
+    assert first is all_servers[50]
+    assert ring.rotate(all_servers[1:])[0] is first
+    assert ring.rotate(all_servers[10:])[0] is all_servers[10 + 45]
     assert ring.rotate([]) == []
 
 
 @pytest.mark.parametrize(
-    "told", [{"me": None}, {"me": 214, "balancers": 214}, {"balancers": 0}, {"me": 3}]
+    "changes", [{"me": None}, {"me": 214, "balancers": 214}, {"balancers": 0}, {"me": 3}]
 )
-def test_a_number_that_is_none_gives_the_full_view_and_one_line_in_the_log(
-    told: dict[str, Any],
+def test_an_invalid_index_uses_all_servers_and_logs_one_line(
+    changes: dict[str, Any],
 ) -> None:
-    world = World(*(server(f"s{i}") for i in range(300)), **told)
-    said = [action for action in world.port.actions if action[0] == "log"]
-    near, _ = world.gateway.endpoint_table.reach.select(world.now)
-    good = told == {"me": 3}
-    assert len(said) == (not good)
-    assert len(near) == 300
+    harness = World(*(server(f"s{i}") for i in range(300)), **changes)
+    log_lines = [action for action in harness.port.actions if action[0] == "log"]
+    subset, _ = harness.gateway.endpoint_table.reach.select(harness.now)
+    is_valid = changes == {"me": 3}
+    assert len(log_lines) == (not is_valid)
+    assert len(subset) == 300
