--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,8 +1,9 @@
-"""Many module instances and the hosts they share, in virtual time: no sockets, fixed seeds.
+"""A simulation of many gateways and the hosts they share, in virtual time and with fixed seeds.
 
-A host is one core with a waiting room: what it holds it works off in turn, slower while it is
-cold, and it turns away what comes beyond. One answer in fifty is spoilt; the request has run.
-Requests are spread over the gateways at random; one in five may not be repeated.
+A host has one core and a bounded queue. It serves requests in order, more slowly while it is in
+slow start, and rejects requests when the queue is full. One response in fifty is an error although
+the request has run. Requests are distributed over the gateways at random; one in five is unsafe to
+repeat.
 """
 
 from __future__ import annotations
@@ -24,23 +25,23 @@
 from sailhitch.settings import parse_settings
 from tests.fake import MS, SAFE, UNSAFE, S, settings_value
 
-WORK = 40 * MS  # mean of a request on a warm host
+WORK = 40 * MS  # mean service time of a request on a warm host
 COLD = 4 * S
 COLD_SHARE = 0.33
 
 
 class Host:
-    """One core, with room for so many requests; `boot` is 0 for long ago."""
+    """A host with one core that holds up to `max_held` requests. `boot` 0 means long ago."""
 
-    def __init__(self, name: str, boot: int = 0, room: int = 12) -> None:
-        self.name, self.boot, self.room = name, boot, room
+    def __init__(self, name: str, boot: int = 0, max_held: int = 12) -> None:
+        self.name, self.boot, self.max_held = name, boot, max_held
         self.held, self.free_at = 0, 0
         self.draining = False
-        self.came: list[int] = []  # when requests were sent here, turned away or not
-        self.turned_away = 0
+        self.arrivals: list[int] = []  # times of all requests sent here, rejected ones included
+        self.rejections = 0
 
     def capacity(self, now: int) -> float:
-        """The share of its speed that it has."""
+        """The share of its full speed that it currently has."""
         age = min(1.0, (now - self.boot) / COLD) if self.boot else 1.0
         return COLD_SHARE + (1.0 - COLD_SHARE) * age
 
@@ -57,14 +58,14 @@
 
 
 class Member:
-    """One gateway of the fleet: a `Port` that carries sends to the hosts."""
+    """One gateway of the fleet: a `Port` that passes requests to the hosts."""
 
-    def __init__(self, fleet: Fleet, number: int) -> None:
-        self.fleet, self.number = fleet, number
+    def __init__(self, fleet: Fleet, index: int) -> None:
+        self.fleet, self.index = fleet, index
         self.attempts: dict[int, int] = {}
-        me = number if fleet.numbered else fleet.size
-        value = settings_value(balancers=fleet.size, me=me, rules=fleet.rules)
-        self.gateway = Gateway(self, parse_settings(value), seed=1000 + number)
+        me = index if fleet.is_indexed else fleet.size
+        settings = settings_value(balancers=fleet.size, me=me, rules=fleet.rules)
+        self.gateway = Gateway(self, parse_settings(settings), seed=1000 + index)
 
     def send(self, req: int, server: str, timeout: int) -> None:
         attempt = self.attempts.get(req, 0)
@@ -72,10 +73,10 @@
         self.fleet.arrive(self, req, attempt, self.fleet.hosts[server], timeout)
 
     def refuse(self, req: int, retry_after: int) -> None:
-        self.fleet.ends[req] += 1
+        self.fleet.responses[req] += 1
 
     def fail(self, req: int) -> None:
-        self.fleet.ends[req] += 1
+        self.fleet.responses[req] += 1
 
     def cancel(self, req: int, attempt: int) -> None: ...
 
@@ -88,56 +89,56 @@
 
 
 class Fleet:
-    """`size` gateways in front of `hosts`, with the clock of all of them.
+    """`size` gateways in front of `hosts`, with a common virtual clock.
 
-    Gateways that are not numbered have all hosts in reach.
+    If the gateways are not indexed, each of them uses all hosts.
     """
 
     def __init__(
-        self, size: int, hosts: Iterable[Host], seed: int = 7, numbered: bool = True
+        self, size: int, hosts: Iterable[Host], seed: int = 7, is_indexed: bool = True
     ) -> None:
-        self.size, self.numbered, self.now = size, numbered, 100 * S
-        self.pairs: Counter[tuple[int, str]] = Counter()  # sends, by gateway and host
+        self.size, self.is_indexed, self.now = size, is_indexed, 100 * S
+        self.sends_by_pair: Counter[tuple[int, str]] = Counter()  # attempts by gateway and host
         self.rules = {"cold": COLD, "coldShare": COLD_SHARE}
         self.random = random.Random(seed)
         self.hosts = {host.name: host for host in hosts}
-        self.ends: Counter[int] = Counter()  # final answers to each request
-        self.effects: Counter[int] = Counter()  # how often each that may not be repeated has run
+        self.responses: Counter[int] = Counter()  # number of final responses, by request
+        self.executions: Counter[int] = Counter()  # number of executions, by unsafe request
         self.unsafe: set[int] = set()
-        self._due: list[tuple[int, int, Callable[[], None]]] = []
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._order, self._requests = count(), count(1)
-        self.members = [Member(self, number) for number in range(size)]
+        self.members = [Member(self, index) for index in range(size)]
         entries = [host.listed() for host in self.hosts.values()]
         for member in self.members:
             member.gateway.start(self.now)
             member.gateway.on_watch_event(self.now, WatchEventKind.RESTORED, entries)
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (max(when, self.now), next(self._order), what))
+    def at(self, time: int, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (max(time, self.now), next(self._order), callback))
 
     def add(self, hosts: Iterable[Host]) -> None:
-        """New hosts, which every gateway hears of now."""
-        fresh = list(hosts)
-        self.hosts |= {host.name: host for host in fresh}
-        self.tell(fresh)
+        """Add hosts and announce them to all gateways."""
+        new_hosts = list(hosts)
+        self.hosts |= {host.name: host for host in new_hosts}
+        self.announce(new_hosts)
 
-    def tell(self, hosts: Iterable[Host]) -> None:
+    def announce(self, hosts: Iterable[Host]) -> None:
         entries = [host.listed() for host in hosts]
         for member in self.members:
             member.gateway.on_watch_event(self.now, WatchEventKind.CHANGES, entries)
 
     def arrive(self, member: Member, req: int, attempt: int, host: Host, timeout: int) -> None:
         sent = self.now
-        host.came.append(sent)
-        self.pairs[member.number, host.name] += 1
-        full = host.draining or host.held >= host.room
+        host.arrivals.append(sent)
+        self.sends_by_pair[member.index, host.name] += 1
+        full = host.draining or host.held >= host.max_held
         queue = 0.0 if host.draining else float(max(0, host.held - 8))
         if full:
-            host.turned_away += 1
+            host.rejections += 1
             done, status = sent + MS, AttemptOutcome.BUSY
         else:
             host.held += 1
-            self.effects[req] += req in self.unsafe
+            self.executions[req] += req in self.unsafe
             work = self.random.expovariate(1.0 / WORK) / host.capacity(sent)
             host.free_at = max(host.free_at, sent) + int(work)
             done, status = (
@@ -150,7 +151,7 @@
 
         def end() -> None:
             gateway = member.gateway
-            self.ends[req] += status == AttemptOutcome.OK and req in gateway.open_requests
+            self.responses[req] += status == AttemptOutcome.OK and req in gateway.open_requests
             closed = status == AttemptOutcome.OK or req not in gateway.open_requests
             gateway.outcome(
                 self.now,
@@ -169,24 +170,24 @@
         self.at(done, end)
 
     def run(self, seconds: float, rate: float) -> None:
-        """So many requests a second come to the fleet, for so long."""
+        """Send `rate` requests per second to the fleet for `seconds`."""
         end = self.now + int(seconds * S)
         arrival = self.now + int(self.random.expovariate(rate) * S)
         while True:
-            due = self._due[0][0] if self._due else end
+            due = self._events[0][0] if self._events else end
             if min(due, arrival) >= end:
                 break
             if arrival < due:
                 self.now = arrival
                 member = self.random.choice(self.members)
                 req = next(self._requests)
-                kind = SAFE if self.random.random() < 0.8 else UNSAFE
-                self.ends[req] = 0
-                if kind == UNSAFE:
+                class_index = SAFE if self.random.random() < 0.8 else UNSAFE
+                self.responses[req] = 0
+                if class_index == UNSAFE:
                     self.unsafe.add(req)
-                member.gateway.request(self.now, req, kind, self.now + 3 * S, 0, None, 0)
+                member.gateway.request(self.now, req, class_index, self.now + 3 * S, 0, None, 0)
                 arrival += int(self.random.expovariate(rate) * S)
             else:
-                self.now, _, what = heapq.heappop(self._due)
-                what()
+                self.now, _, callback = heapq.heappop(self._events)
+                callback()
         self.now = end
