--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -1,4 +1,4 @@
-"""A repeat that hosts would no longer know as one is not written, whenever it was chosen."""
+"""No repeat is sent after the idempotency window, even if it was scheduled within the window."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 from tests.sockets import Server, Writer, answer, gate, request
 from tests.virtual import eventually, play
 
-SHORT = PATIENT | {"classes": [one | {"memorySpan": 1_000_000} for one in BASE["classes"]]}
+SHORT_WINDOW = PATIENT | {"classes": [one | {"memorySpan": 1_000_000} for one in BASE["classes"]]}
 
 
-@pytest.mark.parametrize("late", [True, False])
+@pytest.mark.parametrize("after_window", [True, False])
 @pytest.mark.parametrize("kind", ["token-all", "token-zone", "token-cell"])
-def test_a_keys_memory_that_ends_while_a_connection_comes_up(kind: str, late: bool) -> None:
-    asked, go = asyncio.Event(), asyncio.Event()
+def test_the_idempotency_window_ends_while_a_connection_is_established(
+    kind: str, after_window: bool
+) -> None:
+    received, go = asyncio.Event(), asyncio.Event()
 
     async def reset(message: bytes, writer: Writer) -> None:
-        if asked.is_set():
+        if received.is_set():
             writer.write(answer(b"served"))
             return
-        asked.set()
+        received.set()
         await go.wait()
         writer.transport.abort()
 
-    async def story() -> None:
-        async with Server(reset) as host, gate(("a", host.addr), settings=SHORT) as it:
+    async def scenario() -> None:
+        async with Server(reset) as host, gate(("a", host.addr), settings=SHORT_WINDOW) as it:
             client = await it.client()
             keyed = b"Idempotency-Key: k1\r\n"
             client.send(request("r1", b"pay", fields=keyed, kind=kind))
-            await asked.wait()
+            await received.wait()
             async with held_connects(host.addr) as held:
                 go.set()
                 await eventually(lambda: held.waiting == 1)
-                await asyncio.sleep(0.95 if late else 0.5)  # the settings' memory is 1 s
+                await asyncio.sleep(0.95 if after_window else 0.5)  # the idempotency window is 1 s
                 held.go.set()
                 status, _ = await client.answer()
-            assert len(host.seen) == (1 if late else 2)
-            assert (status == 200) != late
-            if late and kind != "token-all":
-                assert status in (502, 504)  # nobody is told that a repeat is harmless
+            assert len(host.seen) == (1 if after_window else 2)
+            assert (status == 200) != after_window
+            if after_window and kind != "token-all":
+                assert status in (502, 504)  # a 503 would say that a repeat is safe
 
-    play(story())
+    play(scenario())
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""The four rules over random legal sequences of events."""
+"""Property test of the four rules, over random valid sequences of events."""
 
 from __future__ import annotations
 
@@ -53,74 +53,78 @@
 
 
 class Checker(FakePort):
-    """Plays the world for one gateway and checks each action against the rules as worded."""
+    """Simulates the environment of one gateway and checks each action against the rules."""
 
-    def __init__(self, duplicates: bool, ask: bool) -> None:
+    def __init__(self, duplicates: bool, needs_watch: bool) -> None:
         super().__init__()
         self.now = START
         self.duplicates = duplicates
         value = settings_value(
             limits={"mayDuplicate": duplicates},
-            discovery="subscribe" if ask else "automatic",
+            discovery="subscribe" if needs_watch else "automatic",
             familyInfo={"warmKeys": True},
         )
         self.settings = parse_settings(value)
         self.classes: dict[int, RequestClass] = {}
         self.deadline: dict[int, int] = {}
-        self.owed: set[int] = set()
-        self.out: list[tuple[int, int, str, int]] = []  # req, attempt, server, when sent
+        self.unanswered: set[int] = set()
+        self.in_flight: list[tuple[int, int, str, int]] = []  # request, attempt, server, send time
         self.count: dict[int, int] = {}
-        self.ran: dict[int, list[tuple[str, int]]] = {}  # attempts that may have run
+        self.possible_runs: dict[int, list[tuple[str, int]]] = {}  # attempts that may have run
         self.zone = {n: i % 2 for i, n in enumerate(NAMES)}
         self.cell = {n: i // 2 + 3 * (i % 2) for i, n in enumerate(NAMES)}
-        self.not_ready: dict[str, int] = dict.fromkeys(NAMES, 0)  # since when; -1 is ready
+        self.not_ready: dict[str, int] = dict.fromkeys(NAMES, 0)  # since when; -1 if ready
         self.timers: list[tuple[int, int]] = []
 
     def send(self, req: int, server: str, timeout: int) -> None:
-        assert req in self.owed, "sent for a request that ended"
+        assert req in self.unanswered, "attempt for a request that has ended"
         assert timeout >= 0
         since = self.not_ready[server]
-        assert since < 0 or self.now - since <= self.settings.rules.drain_grace, "drain"
+        assert since < 0 or self.now - since <= self.settings.rules.drain_grace, "draining"
         cls = self.classes[req]
-        mine = [(s, at) for r, _, s, at in self.out if r == req]
-        assert self.duplicates or not mine, "two attempts out"
-        earlier = self.ran[req] + mine
+        own_attempts = [(s, sent_at) for r, _, s, sent_at in self.in_flight if r == req]
+        assert self.duplicates or not own_attempts, "two attempts in flight"
+        earlier = self.possible_runs[req] + own_attempts
         if earlier and cls.idempotency == Idempotency.UNSAFE:
             raise AssertionError("an unsafe request sent again")
         if earlier and cls.idempotency == Idempotency.KEYED:
-            for where, at in earlier:
-                assert self.now <= at + cls.idempotency_window, "outside the window"
+            for previous, sent_at in earlier:
+                assert self.now <= sent_at + cls.idempotency_window, "outside the window"
                 assert (
                     cls.idempotency_scope == "all"
-                    or (cls.idempotency_scope == "zone" and self.zone[where] == self.zone[server])
-                    or (cls.idempotency_scope == "cell" and self.cell[where] == self.cell[server])
-                ), "outside the group"
-        self.out.append((req, self.count[req], server, self.now))
+                    or (
+                        cls.idempotency_scope == "zone" and self.zone[previous] == self.zone[server]
+                    )
+                    or (
+                        cls.idempotency_scope == "cell" and self.cell[previous] == self.cell[server]
+                    )
+                ), "outside the scope"
+        self.in_flight.append((req, self.count[req], server, self.now))
         self.count[req] += 1
         assert self.count[req] <= self.settings.limits.max_attempts
 
-    def _end(self, req: int) -> None:
-        assert req in self.owed, "two answers"
-        assert self.now <= self.deadline[req] + self.settings.rules.answer_slack, "too late"
-        self.owed.discard(req)
+    def _finish(self, req: int) -> None:
+        assert req in self.unanswered, "two responses"
+        assert self.now <= self.deadline[req] + self.settings.rules.answer_slack, "late response"
+        self.unanswered.discard(req)
 
     def refuse(self, req: int, retry_after: int) -> None:
         cls = self.classes[req]
-        maybe = bool(self.ran[req]) or any(r == req for r, *_ in self.out)
+        may_have_run = bool(self.possible_runs[req]) or any(r == req for r, *_ in self.in_flight)
         assert (
             cls.idempotency == Idempotency.SAFE
             or (cls.idempotency == Idempotency.KEYED and cls.idempotency_scope == "all")
-            or not maybe
-        ), "a refusal that lies"
-        self._end(req)
+            or not may_have_run
+        ), "rejected although a repeat is not safe"
+        self._finish(req)
 
     def fail(self, req: int) -> None:
-        self._end(req)
+        self._finish(req)
 
     def set_timer(self, token: int, at: int) -> None:
         self.timers.append((at, token))
 
-    # --- The world's side
+    # --- Simulation of the environment
 
     def listed(self, name: str, state: EndpointState, boot: int = 0) -> Endpoint:
         if state == EndpointState.READY:
@@ -132,22 +136,22 @@
     def end_attempt(
         self, gateway: Gateway, i: int, status: AttemptOutcome, report: LoadReport | None
     ) -> None:
-        req, attempt, server, at = self.out.pop(i)
-        owed = req in self.owed
-        closed = status == AttemptOutcome.OK or not owed
+        req, attempt, server, sent_at = self.in_flight.pop(i)
+        unanswered = req in self.unanswered
+        closed = status == AttemptOutcome.OK or not unanswered
         if status == AttemptOutcome.OK:
-            self.owed.discard(req)
+            self.unanswered.discard(req)
         if status not in NEVER_RAN:
-            self.ran[req].append((server, at))
-        gateway.outcome(self.now, req, attempt, status, closed, self.now - at, server, report)
+            self.possible_runs[req].append((server, sent_at))
+        gateway.outcome(self.now, req, attempt, status, closed, self.now - sent_at, server, report)
 
     def advance(self, gateway: Gateway, to: int) -> None:
-        """Timers, the end of attempts at their client's deadline, in order of time."""
+        """Advance the clock, firing timers and timing out attempts at the client's deadline."""
         while True:
             nearest = [(at, 0, token) for at, token in self.timers if at <= to]
             nearest += [
                 (self.deadline[r], 1, i)
-                for i, (r, *_) in enumerate(self.out)
+                for i, (r, *_) in enumerate(self.in_flight)
                 if self.deadline[r] <= to
             ]
             if not nearest:
@@ -160,40 +164,42 @@
             else:
                 self.end_attempt(gateway, which, AttemptOutcome.TIMEOUT, None)
         self.now = to
-        for req in self.owed:
-            assert to <= self.deadline[req] + self.settings.rules.answer_slack, "no answer"
+        for req in self.unanswered:
+            assert to <= self.deadline[req] + self.settings.rules.answer_slack, "no response"
 
 
-@given(steps=st.lists(STEP, max_size=60), duplicates=st.booleans(), ask=st.booleans())
+@given(steps=st.lists(STEP, max_size=60), duplicates=st.booleans(), needs_watch=st.booleans())
 @settings(
     max_examples=200,
     database=None,
     suppress_health_check=[HealthCheck.too_slow],
 )
 def test_the_rules_hold_over_any_legal_events(
-    steps: list[tuple[object, ...]], duplicates: bool, ask: bool
+    steps: list[tuple[object, ...]], duplicates: bool, needs_watch: bool
 ) -> None:
-    world = Checker(duplicates, ask)
-    gateway = Gateway(world, world.settings, 11)
-    gateway.start(world.now)
+    checker = Checker(duplicates, needs_watch)
+    gateway = Gateway(checker, checker.settings, 11)
+    gateway.start(checker.now)
     gateway.on_watch_event(
-        world.now,
+        checker.now,
         WatchEventKind.RESTORED,
-        [world.listed(n, EndpointState.READY) for n in NAMES[:4]],
+        [checker.listed(n, EndpointState.READY) for n in NAMES[:4]],
     )
     req = 0
     for step in steps:
         match step:
-            case ("request", int(cls), int(lasts), int(key)):
+            case ("request", int(cls), int(time_limit), int(key)):
                 req += 1
-                world.classes[req] = world.settings.classes[cls]
-                world.deadline[req] = world.now + lasts * MS
-                world.owed.add(req)
-                world.count[req], world.ran[req] = 0, []
-                gateway.request(world.now, req, cls, world.deadline[req], 0, key or None, 0)
-            case ("outcome", int(i), str(status), report) if world.out:
+                checker.classes[req] = checker.settings.classes[cls]
+                checker.deadline[req] = checker.now + time_limit * MS
+                checker.unanswered.add(req)
+                checker.count[req], checker.possible_runs[req] = 0, []
+                gateway.request(checker.now, req, cls, checker.deadline[req], 0, key or None, 0)
+            case ("outcome", int(i), str(status), report) if checker.in_flight:
                 assert report is None or isinstance(report, LoadReport)
-                world.end_attempt(gateway, i % len(world.out), AttemptOutcome(status), report)
+                checker.end_attempt(
+                    gateway, i % len(checker.in_flight), AttemptOutcome(status), report
+                )
             case ("list", list(changes)):
                 states = [
                     EndpointState.READY,
@@ -201,25 +207,25 @@
                     EndpointState.GONE,
                     EndpointState.READY,
                 ]
-                news = [
-                    world.listed(NAMES[n], states[s], world.now if s == 3 else 0)
+                entries = [
+                    checker.listed(NAMES[n], states[s], checker.now if s == 3 else 0)
                     for n, s in changes
                 ]
-                gateway.on_watch_event(world.now, WatchEventKind.CHANGES, news)
+                gateway.on_watch_event(checker.now, WatchEventKind.CHANGES, entries)
             case ("full", list(names)):
                 for n, name in enumerate(NAMES):
                     if n not in names:
-                        world.listed(name, EndpointState.GONE)
-                full = [world.listed(NAMES[n], EndpointState.READY) for n in names]
-                gateway.on_watch_event(world.now, WatchEventKind.SNAPSHOT, full)
-            case ("lost", _) if ask:
-                gateway.on_watch_event(world.now, WatchEventKind.FAILED, [])
+                        checker.listed(name, EndpointState.GONE)
+                full = [checker.listed(NAMES[n], EndpointState.READY) for n in names]
+                gateway.on_watch_event(checker.now, WatchEventKind.SNAPSHOT, full)
+            case ("lost", _) if needs_watch:
+                gateway.on_watch_event(checker.now, WatchEventKind.FAILED, [])
             case ("wait", int(ms)):
-                world.advance(gateway, world.now + ms * MS)
-            case ("leave", int(i)) if world.owed:
-                who = sorted(world.owed)[i % len(world.owed)]
-                world.owed.discard(who)
-                gateway.client_disconnected(world.now, who)
-                gateway.client_disconnected(world.now, who)  # it may be named again
-    world.advance(gateway, world.now + 20 * S)
-    assert not world.owed
+                checker.advance(gateway, checker.now + ms * MS)
+            case ("leave", int(i)) if checker.unanswered:
+                request_id = sorted(checker.unanswered)[i % len(checker.unanswered)]
+                checker.unanswered.discard(request_id)
+                gateway.client_disconnected(checker.now, request_id)
+                gateway.client_disconnected(checker.now, request_id)  # may be repeated
+    checker.advance(gateway, checker.now + 20 * S)
+    assert not checker.unanswered
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is missing or bad is named, what is unknown is ignored."""
+"""Settings: errors name the missing or invalid key, unknown keys are ignored."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         ("rules", "drainGrace", "rules.drainGrace"),
     ],
 )
-def test_what_is_missing_is_named(part: str | None, key: str, path: str) -> None:
+def test_a_missing_key_is_named(part: str | None, key: str, path: str) -> None:
     value = settings_value()
     del (value if part is None else value[part])[key]
     with pytest.raises(SettingsError, match=f"^{path}: required"):
@@ -31,12 +31,12 @@
 
 
 @pytest.mark.parametrize("bad", ["4", -1, 1.5, True, [2]])
-def test_what_is_bad_is_named(bad: Any) -> None:
+def test_an_invalid_value_is_named(bad: Any) -> None:
     with pytest.raises(SettingsError, match=r"^rules\.drainGrace: not"):
         parse_settings(settings_value(rules={"drainGrace": bad}))
 
 
-def test_a_keyed_class_must_say_its_group_and_window() -> None:
+def test_a_keyed_class_requires_its_window() -> None:
     value = settings_value()
     del value["classes"][2]["memorySpan"]
     with pytest.raises(SettingsError, match=r"^classes\[2\]\.memorySpan"):
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -1,4 +1,4 @@
-"""What an attempt tells its host is at most what is left to the client when it is written."""
+"""The time limit that an attempt sends to its host never exceeds the client's remaining time."""
 
 from __future__ import annotations
 
@@ -13,103 +13,103 @@
 
 DEADLINE = re.compile(rb"Req-Deadline-Ms: (\d+)")
 BUSY = b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
-WAIT = 1400  # ms that a client waits
+CLIENT_TIMEOUT_MS = 1400
 
 
-def told(message: bytes) -> int:
-    """How long the gateway will wait, in ms, as a host reads it."""
-    found = DEADLINE.findall(message)
-    assert len(found) == 1
-    return int(found[0])
+def time_limit(message: bytes) -> int:
+    """The time limit in a request to a host, in ms."""
+    limits = DEADLINE.findall(message)
+    assert len(limits) == 1
+    return int(limits[0])
 
 
 class Host(Server):
-    """Notes when each request came, and what it was told."""
+    """Records the arrival time and the time limit of each request."""
 
     def __init__(self, delay: float = 0.0, busy: int = 0) -> None:
         super().__init__()
         self.delay, self.busy = delay, busy
-        self.told: list[tuple[float, int]] = []
+        self.limits_received: list[tuple[float, int]] = []
 
     async def reply(self, message: bytes, writer: Writer) -> None:
-        self.told.append((asyncio.get_running_loop().time(), told(message)))
+        self.limits_received.append((asyncio.get_running_loop().time(), time_limit(message)))
         await asyncio.sleep(self.delay)
         self.busy -= 1
         writer.write(BUSY if self.busy >= 0 else answer(b"served"))
 
 
-def check(hosts: tuple[Host, ...], asked: float, attempts: int) -> None:
-    """No attempt was told more than was left, to a millisecond."""
-    found = [one for host in hosts for one in host.told]
-    assert len(found) == attempts
-    for at, left in found:
-        assert left <= WAIT - (at - asked) * 1000 + 1
+def check(hosts: tuple[Host, ...], asked_at: float, attempts: int) -> None:
+    """No attempt got more than the remaining time, to a millisecond."""
+    limits = [entry for host in hosts for entry in host.limits_received]
+    assert len(limits) == attempts
+    for at, limit in limits:
+        assert limit <= CLIENT_TIMEOUT_MS - (at - asked_at) * 1000 + 1
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_further_attempts(body: bytes | None) -> None:
-    async def story() -> None:
+def test_retries(body: bytes | None) -> None:
+    async def scenario() -> None:
         async with (
-            Host(0.4, busy=1) as one,
-            Host(0.4, busy=1) as two,
-            gate(("a", one.addr), ("b", two.addr)) as it,
+            Host(0.4, busy=1) as host_a,
+            Host(0.4, busy=1) as host_b,
+            gate(("a", host_a.addr), ("b", host_b.addr)) as it,
         ):
             client = await it.client()
-            asked = asyncio.get_running_loop().time()
-            await client.ask(request("r1", body, wait_ms=WAIT))
-            check((one, two), asked, 3)
+            asked_at = asyncio.get_running_loop().time()
+            await client.ask(request("r1", body, wait_ms=CLIENT_TIMEOUT_MS))
+            check((host_a, host_b), asked_at, 3)
 
-    play(story())
+    play(scenario())
 
 
-def test_one_that_waited_for_a_connection() -> None:
-    async def story() -> None:
+def test_a_request_that_waited_for_a_connection() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         connect = loop.sock_connect
 
-        async def late(*args: object) -> None:
+        async def slow_connect(*args: object) -> None:
             await asyncio.sleep(0.3)
             await connect(*args)  # type: ignore[arg-type]
 
         async with Host() as host, gate(("a", host.addr), settings=PATIENT) as it:
             client = await it.client()
-            loop.sock_connect = late  # type: ignore[method-assign, assignment]
-            asked = loop.time()
-            assert await client.ask(request("r1", wait_ms=WAIT)) == (200, b"served")
-            check((host,), asked, 1)
-            assert host.told[0][0] - asked >= 0.3
+            loop.sock_connect = slow_connect  # type: ignore[method-assign, assignment]
+            asked_at = loop.time()
+            assert await client.ask(request("r1", wait_ms=CLIENT_TIMEOUT_MS)) == (200, b"served")
+            check((host,), asked_at, 1)
+            assert host.limits_received[0][0] - asked_at >= 0.3
 
-    play(story())
+    play(scenario())
 
 
-async def _ahead(it: Gate, first: float) -> tuple[Client, float]:
-    """A request that its host answers after so long, and one more right behind it."""
+async def _pipeline_two(it: Gate, first_delay: float) -> tuple[Client, float]:
+    """Pipeline two requests; the host answers the first one after this time."""
     client = await it.client()
-    asked = asyncio.get_running_loop().time()
-    client.send(request("r1", wait_ms=3000) + request("r2", wait_ms=WAIT))
+    asked_at = asyncio.get_running_loop().time()
+    client.send(request("r1", wait_ms=3000) + request("r2", wait_ms=CLIENT_TIMEOUT_MS))
     assert await client.answer() == (200, b"served")
-    assert asyncio.get_running_loop().time() - asked >= first
-    return client, asked
+    assert asyncio.get_running_loop().time() - asked_at >= first_delay
+    return client, asked_at
 
 
-def test_one_that_was_sent_ahead_of_the_answer_before_it() -> None:
-    """Its time runs from its last byte, not from its turn."""
+def test_a_pipelined_request() -> None:
+    """Its deadline counts from its last byte, not from when the first one is finished."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Host(0.5) as host, gate(("a", host.addr)) as it:
-            client, asked = await _ahead(it, 0.5)
+            client, asked_at = await _pipeline_two(it, 0.5)
             assert await client.answer() == (200, b"served")
-            host.told = host.told[1:]
-            check((host,), asked, 1)
+            host.limits_received = host.limits_received[1:]
+            check((host,), asked_at, 1)
 
-    play(story())
+    play(scenario())
 
 
-def test_one_whose_time_is_over_before_its_turn_is_not_sent() -> None:
-    async def story() -> None:
+def test_a_pipelined_request_that_expires_before_its_turn_is_not_sent() -> None:
+    async def scenario() -> None:
         async with Host(1.45) as host, gate(("a", host.addr)) as it:
-            client, _ = await _ahead(it, 1.45)
+            client, _ = await _pipeline_two(it, 1.45)
             assert (await client.answer())[0] == 503
-            assert len(host.told) == 1
+            assert len(host.limits_received) == 1
 
-    play(story())
+    play(scenario())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: what is out of form ends the adapter with one plain line, never a guess."""
+"""The adapter's line protocol: a malformed line ends the process with one line of error."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 JOB = "job_in\tgateway_0\t9\t1\t12000\t3000000\t0\t91f03b7c55d20a64\t0\n"
 
 
-def play(text: str | bytes) -> tuple[int, str, str]:
+def run_adapter(text: str | bytes) -> tuple[int, str, str]:
     raw = text if isinstance(text, bytes) else text.encode()
     sink, errors = io.BytesIO(), io.StringIO()
     code = main(io.BytesIO(raw), sink, errors)
     return code, sink.getvalue().decode(), errors.getvalue()
 
 
-def test_a_batch_is_answered() -> None:
-    code, out, err = play("mark\t5\nflush\n" + INIT + JOB + "flush\n")
+def test_a_batch_is_acknowledged_after_its_actions() -> None:
+    code, out, err = run_adapter("mark\t5\nflush\n" + INIT + JOB + "flush\n")
     assert code == 0
     assert err == ""
     first, second = out.split("ack\n")[:2]
@@ -63,9 +63,9 @@
         ("attach\tgateway_2\t5\t{}\n", "limits"),
     ],
 )
-def test_a_malformed_line_ends_it_naming_line_and_field(lines: str, field: str) -> None:
+def test_a_malformed_line_ends_the_adapter_naming_line_and_field(lines: str, field: str) -> None:
     end = "" if "hosts" in field else "flush\n"
-    code, _, err = play(INIT + lines + end)
+    code, _, err = run_adapter(INIT + lines + end)
     assert code == 2
     assert err.startswith("sailhitch: line ")
     assert field in err
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         (INIT.encode() + b"flush\nmark\t999999\nflush\n", "clock went back"),
         (INIT.encode(), "ended inside a batch"),
@@ -82,10 +82,10 @@
         (b"flush\n", "expected mark"),
     ],
 )
-def test_a_broken_stream_ends_it(text: bytes, says: str) -> None:
-    code, _, err = play(text)
+def test_a_malformed_stream_ends_the_adapter(text: bytes, message: str) -> None:
+    code, _, err = run_adapter(text)
     assert code == 2
-    assert says in err
+    assert message in err
     assert err.count("\n") == 1
 
 
