--- a/sailhitch/policy/health.py
+++ b/sailhitch/policy/health.py
@@ -78,8 +78,8 @@
     def _on_success(
         self, now: int, server: Server, latency: int, report: LoadReport | None, sent: int | None
     ) -> None:
-        server.rate.received(now)
-        self.overload.fleet.received(now)
+        server.rate.count_response(now)
+        self.overload.fleet.count_response(now)
         server.answered_sent_at = max(server.answered_sent_at, sent or 0)
         server.consecutive_failures = 0
         server.error_ewma *= 1.0 - ERROR_ALPHA
--- a/sailhitch/policy/rate.py
+++ b/sailhitch/policy/rate.py
@@ -39,7 +39,7 @@
         self.cut_at = 0
         self.saddle = float(SADDLE_MIN)
 
-    def received(self, now: int) -> None:
+    def count_response(self, now: int) -> None:
         """Count a response."""
         if not self.first_received_at:
             self.first_received_at = now
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -81,7 +81,7 @@
     before = World(server("a"), server("b"))
     overload = before.gateway.overload
     overload.fleet.cut(before.now, 100.0, 3.0 * S)
-    overload.fleet.received(before.now)
+    overload.fleet.count_response(before.now)
     known = before.gateway.endpoint_table.servers["a"]
     known.ejections, known.ejected_until = 1, before.now + S
     legacy = ProcessSnapshot(
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -302,7 +302,7 @@
 def test_a_rate_estimate_is_corrected_for_a_window_that_is_not_full() -> None:
     rate = CubicRate()
     for i in range(50):
-        rate.received(START + i * 20 * MS)
+        rate.count_response(START + i * 20 * MS)
     assert rate.estimate(START + 1 * S) == pytest.approx(50, rel=0.15)
     assert rate.receive_rate < 25
 
