--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -97,7 +97,7 @@
 
     def tell() -> None:
         for one in reaches:
-            one.sort(there, [])
+            one.set_servers(there, [])
             one.select(0)
 
     tell()
--- a/benchmarks/scale/gateway_slopes.py
+++ b/benchmarks/scale/gateway_slopes.py
@@ -221,7 +221,7 @@
     width = 0
     for me in range(int(gateways)):
         reach: Reach[_Host] = Reach(me, int(gateways))
-        reach.sort(hosts, [])
+        reach.set_servers(hosts, [])
         reach.select(0)
         width = max(width, reach.size())
         for part in reach.subset:
--- a/sailhitch/policy/endpoint_table.py
+++ b/sailhitch/policy/endpoint_table.py
@@ -113,7 +113,7 @@
             if server.state == READY and not self.slow_start.classify(now, server):
                 (own if server.zone == zone else others).append(server)
         self.warm = [own, others]
-        self.reach.sort(own, others)
+        self.reach.set_servers(own, others)
         self.replicas_by_key.clear()
 
     def warm_count(self) -> int:
--- a/sailhitch/reach/reach.py
+++ b/sailhitch/reach/reach.py
@@ -40,7 +40,7 @@
         position = ring_position(max(0, index))
         self.rings = Ring(position), Ring(position)
 
-    def sort(self, own: list[T], others: list[T]) -> None:
+    def set_servers(self, own: list[T], others: list[T]) -> None:
         """Set the ready servers of the own zone and of other zones, in any order."""
         self.servers = (own, others)
         self.ordered = None
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -45,7 +45,7 @@
 ) -> list[Reach[FakeServer]]:
     subsetters: list[Reach[FakeServer]] = [Reach(index, gateways) for index in indices]
     for subsetter in subsetters:
-        subsetter.sort(own, others or [])
+        subsetter.set_servers(own, others or [])
         subsetter.select(0)
     return subsetters
 
@@ -94,7 +94,7 @@
     subsetters = subsetters_for(range(40), 40, all_servers)
     for subsetter in subsetters:
         subsetter.sizer.gateway_count = 10 * GATEWAYS_PER_SERVER  # so all have the minimum size
-        subsetter.sort(all_servers, [])
+        subsetter.set_servers(all_servers, [])
         subsetter.select(0)
         subsetter.changes = 0
     needed = 0
@@ -104,7 +104,7 @@
         added = FakeServer(rng.getrandbits(64))
         all_servers.append(added)
         for subsetter in subsetters:
-            subsetter.sort(all_servers, [])
+            subsetter.set_servers(all_servers, [])
             subsetter.select(0)
         needed += subset_counts(subsetters)[added.hash]
     # Without anchors, by rank alone, there are more than four times as many changes as needed.
@@ -161,7 +161,7 @@
 ) -> None:
     own, others = fake_servers(12), fake_servers(30, 2)
     subsetter: Reach[FakeServer] = Reach(index, gateways)
-    subsetter.sort(own, others)
+    subsetter.set_servers(own, others)
     subset = subsetter.select(0)
     assert subset[0] is own
     assert subset[1] is others
@@ -196,7 +196,7 @@
     for index in (1, 2):
         subsetter: Reach[FakeServer] = Reach(index, 214)
         subsetter.sizer.peak = 1e6
-        subsetter.sort(all_servers, [])
+        subsetter.set_servers(all_servers, [])
         assert len(subsetter.select(0)[0]) == 145
         subsetter.sizer.peak = 0.0  # without a change of the list since then
         subsets.append({s.hash for s in subsetter.select(S)[0]})
