--- a/sailhitch/adapter.py
+++ b/sailhitch/adapter.py
@@ -149,7 +149,7 @@
         raise WireError(f"field {field}: not base64") from None
 
 
-def _load(field: str, text: str) -> LoadReport | None:
+def _load_report(field: str, text: str) -> LoadReport | None:
     """Return the load report, in microseconds. Unknown values are checked and ignored."""
     if text == "-":
         return None
@@ -349,7 +349,7 @@
         status = _choice("code", code, CODES)
         is_closed = _choice("closed", closed, FLAGS)
         latency = _optional_integer("lag", lag)
-        report = _load("load", load)
+        report = _load_report("load", load)
         try:
             gateway.outcome(
                 self._now, request_id, attempt_number, status, is_closed, latency, host, report
@@ -377,7 +377,7 @@
         """Ignore a probe's result: no probes are sent, as responses carry the same report."""
         _choice("code", parts[3], CODES)
         _optional_integer("lag", parts[4])
-        _load("load", parts[5])
+        _load_report("load", parts[5])
 
     def _peer_data(self, gateway: Gateway, parts: list[str]) -> None:
         """Ignore data from another gateway: each decides by its own observations only."""
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from sailhitch.adapter import _load
+from sailhitch.adapter import _load_report
 from sailhitch.net.config import parse_load_report
 from sailhitch.policy_interface import LoadReport
 from tests.sockets import Server, Writer, answer, config_value, gate, request
@@ -26,7 +26,7 @@
             client = await it.client()
             assert (await client.ask(request("r1")))[0] == 200
             # The simulator's wire says the same in its own form.
-            told = _load("load", "depth:1.5,concurrent:4,mean_ms:20")
+            told = _load_report("load", "depth:1.5,concurrent:4,mean_ms:20")
             assert told == LoadReport(1.5, 20_000.0, 4.0)
             server = it.pool.policy.endpoint_table.servers["a"]
             assert (server.queue_ewma, server.service_time_ewma) == (
