--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -25,7 +25,7 @@
     LoadReport,
     WatchEventKind,
 )
-from sailhitch.reach import Reach
+from sailhitch.reach import Subsetter
 from sailhitch.settings import parse_settings
 
 SIZES = [(5, 12), (40, 60), (214, 12), (214, 145), (1000, 145), (1000, 1000)]
@@ -84,7 +84,7 @@
     def log(self, text: str) -> None: ...
 
 
-def cover(reaches: list[Reach[Spot]]) -> Counter[int]:
+def cover(reaches: list[Subsetter[Spot]]) -> Counter[int]:
     """In whose reach each server is, by its hash."""
     return Counter(s.hash for one in reaches for part in one.subset for s in part)
 
@@ -93,7 +93,7 @@
     """Cover at the start, and changes while half of the servers are replaced."""
     draws = random.Random(1)
     there = [Spot(draws.getrandbits(64)) for _ in range(servers)]
-    reaches = [Reach[Spot](me, gateways) for me in range(gateways)]
+    reaches = [Subsetter[Spot](me, gateways) for me in range(gateways)]
 
     def tell() -> None:
         for one in reaches:
--- a/benchmarks/scale/gateway_slopes.py
+++ b/benchmarks/scale/gateway_slopes.py
@@ -31,7 +31,7 @@
     EndpointState,
     WatchEventKind,
 )
-from sailhitch.reach import Reach
+from sailhitch.reach import Subsetter
 from sailhitch.settings import Settings, Tenant
 
 from . import full_state
@@ -220,7 +220,7 @@
     counts = dict.fromkeys((host.hash for host in hosts), 0)
     width = 0
     for me in range(int(gateways)):
-        reach: Reach[_Host] = Reach(me, int(gateways))
+        reach: Subsetter[_Host] = Subsetter(me, int(gateways))
         reach.set_servers(hosts, [])
         reach.select(0)
         width = max(width, reach.size())
--- a/sailhitch/core/pool.py
+++ b/sailhitch/core/pool.py
@@ -361,7 +361,7 @@
 
     def summary(self) -> str:
         """Return the module's counters, for the log."""
-        counters = self.policy.counters | self.policy.endpoint_table.reach.summary()
+        counters = self.policy.counters | self.policy.endpoint_table.subsetter.summary()
         return " ".join(f"{name}={count}" for name, count in counters.items())
 
     def take_snapshot(self) -> PolicySnapshot:
--- a/sailhitch/policy/endpoint_table.py
+++ b/sailhitch/policy/endpoint_table.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from ..policy_interface import Endpoint, EndpointState, WatchEventKind
-from ..reach import Reach
+from ..reach import Subsetter
 from ..settings import Settings
 from .request import Request
 from .server import Server
@@ -43,7 +43,9 @@
         self.servers: dict[str, Server] = {}
         self.warm: list[list[Server]] = []  # ready and warm servers: own zone, other zones
         self.slow_start = SlowStartShares(settings.rules)
-        self.reach: Reach[Server] = Reach(settings.gateway_index, settings.gateway_count)
+        self.subsetter: Subsetter[Server] = Subsetter(
+            settings.gateway_index, settings.gateway_count
+        )
         self.key_count: dict[int, int] = {}
         self.key_total = 0
         self.replicas_by_key: dict[int, list[Server]] = {}  # cache; cleared when the list changes
@@ -56,7 +58,7 @@
             self.settings.gateway_index,
             self.settings.gateway_count,
         ):
-            self.reach.configure(settings.gateway_index, settings.gateway_count)
+            self.subsetter.configure(settings.gateway_index, settings.gateway_count)
         self.settings = settings
         self.slow_start.rules = settings.rules
 
@@ -113,7 +115,7 @@
             if server.state == READY and not self.slow_start.classify(now, server):
                 (own if server.zone == zone else others).append(server)
         self.warm = [own, others]
-        self.reach.set_servers(own, others)
+        self.subsetter.set_servers(own, others)
         self.replicas_by_key.clear()
 
     def warm_count(self) -> int:
@@ -141,7 +143,7 @@
         Ranking the whole fleet would cost CPU in proportion to its size, and all gateways would
         pick the same server that looks idle.
         """
-        own, others = self.reach.select(now)
+        own, others = self.subsetter.select(now)
         if request.key is not None and self.settings.has_key_affinity and not request.attempts:
             found = self._replicas(request.key)
             count = min(self._replica_count(request.key), len(found))
--- a/sailhitch/policy/gateway.py
+++ b/sailhitch/policy/gateway.py
@@ -143,7 +143,7 @@
         request.is_uploading = uploading
         self.open_requests[req] = request
         self.retries.on_request()
-        self.endpoint_table.reach.sizer.on_request(now)
+        self.endpoint_table.subsetter.sizer.on_request(now)
         if self.overload.should_shed(now, request_class, tenant, repeat):
             self._finish(now, request, "shed")
             return
--- a/sailhitch/policy/health.py
+++ b/sailhitch/policy/health.py
@@ -103,7 +103,7 @@
         self.on_saturated(now, server)
         cooldown = int(BUSY_COOLDOWN * self._jitter())
         server.cooldown_until = now + cooldown
-        self.endpoint_table.reach.review_at = 0
+        self.endpoint_table.subsetter.review_at = 0
         self.counters["rests"] += 1
 
     def _on_error(self, now: int, server: Server) -> None:
@@ -136,7 +136,7 @@
             return
         # A server that was sent little, as after an ejection, has answered little whatever its
         # capacity. A rate cut to that would take many saddles to recover.
-        fair_rate = self.overload.fleet.estimate(now) / max(1, self.endpoint_table.reach.size())
+        fair_rate = self.overload.fleet.estimate(now) / max(1, self.endpoint_table.subsetter.size())
         rate_at_cut = max(rate.estimate(now), FAIR_SHARE * fair_rate, 1e6 / RATE_TAU)
         if rate.send_rate != math.inf and rate.send_rate < rate_at_cut:
             return
@@ -153,7 +153,7 @@
         if now < server.ejected_until:
             return
         self.counters["shuns"] += 1
-        self.endpoint_table.reach.review_at = 0
+        self.endpoint_table.subsetter.review_at = 0
         server.ejections = min(server.ejections + 1, MAX_EJECTIONS)
         duration = min(EJECTION_MIN << (server.ejections - 1), EJECTION_MAX)
         server.ejected_until = now + int(duration * self._jitter())
--- a/sailhitch/reach/__init__.py
+++ b/sailhitch/reach/__init__.py
@@ -6,6 +6,6 @@
 alternatives.
 """
 
-from .reach import Reach
+from .reach import Subsetter
 
-__all__ = ["Reach"]
+__all__ = ["Subsetter"]
--- a/sailhitch/reach/reach.py
+++ b/sailhitch/reach/reach.py
@@ -16,7 +16,7 @@
 REVIEW_INTERVAL: Final = 500_000  # us between reviews of the subset, if nothing else causes one
 
 
-class Reach(Generic[T]):
+class Subsetter(Generic[T]):
     """The subset of servers that this gateway uses, with replacements for those that fail.
 
     Failing servers are replaced one for one, however many there are. Full servers are replaced
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailhitch.reach import Reach
+from sailhitch.reach import Subsetter
 from sailhitch.reach.ring import Ring, ring_position
 from sailhitch.reach.width import GATEWAYS_PER_SERVER, MIN_SERVERS, SubsetSizer
 from tests.fake import MS, S, World, server
@@ -42,15 +42,15 @@
 
 def subsetters_for(
     indices: range, gateways: int, own: list[FakeServer], others: list[FakeServer] | None = None
-) -> list[Reach[FakeServer]]:
-    subsetters: list[Reach[FakeServer]] = [Reach(index, gateways) for index in indices]
+) -> list[Subsetter[FakeServer]]:
+    subsetters: list[Subsetter[FakeServer]] = [Subsetter(index, gateways) for index in indices]
     for subsetter in subsetters:
         subsetter.set_servers(own, others or [])
         subsetter.select(0)
     return subsetters
 
 
-def subset_counts(subsetters: list[Reach[FakeServer]]) -> Counter[int]:
+def subset_counts(subsetters: list[Subsetter[FakeServer]]) -> Counter[int]:
     return Counter(s.hash for subsetter in subsetters for part in subsetter.subset for s in part)
 
 
@@ -160,7 +160,7 @@
     index: int, gateways: int
 ) -> None:
     own, others = fake_servers(12), fake_servers(30, 2)
-    subsetter: Reach[FakeServer] = Reach(index, gateways)
+    subsetter: Subsetter[FakeServer] = Subsetter(index, gateways)
     subsetter.set_servers(own, others)
     subset = subsetter.select(0)
     assert subset[0] is own
@@ -194,7 +194,7 @@
     all_servers = fake_servers(145)
     subsets = []
     for index in (1, 2):
-        subsetter: Reach[FakeServer] = Reach(index, 214)
+        subsetter: Subsetter[FakeServer] = Subsetter(index, 214)
         subsetter.sizer.peak = 1e6
         subsetter.set_servers(all_servers, [])
         assert len(subsetter.select(0)[0]) == 145
@@ -221,7 +221,7 @@
 ) -> None:
     harness = World(*(server(f"s{i}") for i in range(300)), **changes)
     log_lines = [action for action in harness.port.actions if action[0] == "log"]
-    subset, _ = harness.gateway.endpoint_table.reach.select(harness.now)
+    subset, _ = harness.gateway.endpoint_table.subsetter.select(harness.now)
     is_valid = changes == {"me": 3}
     assert len(log_lines) == (not is_valid)
     assert len(subset) == 300
