--- a/tests/fake.py
+++ b/tests/fake.py
@@ -129,7 +129,7 @@
         return [a[0] for a in self.actions if a[0] in ("refuse", "fail") and a[1] == req]
 
 
-class World:
+class GatewayHarness:
     """One gateway with its port, and a virtual clock that fires the timers it has set."""
 
     def __init__(self, *servers: Endpoint, seed: int = 1, **changes: Any) -> None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -25,7 +25,7 @@
 )
 from sailhitch.handover.takeover import Takeover
 from sailhitch.policy_interface import WatchEventKind
-from tests.fake import START, S, World, server
+from tests.fake import START, GatewayHarness, S, server
 from tests.generations import hosted, told
 from tests.sockets import Registry, Server, gate, until
 
@@ -34,7 +34,7 @@
 WARM_AT = 2 * COLD  # by then it has also left its share
 
 
-def is_cold(world: World, name: str) -> bool:
+def is_cold(world: GatewayHarness, name: str) -> bool:
     roster = world.gateway.endpoint_table
     roster.regroup(world.now)
     return any(one.name == name for one in roster.slow_start.servers)
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("ahead", [2 * S, HOUR])
 def test_a_host_that_seems_to_start_later_than_now_turns_warm_in_its_time(ahead: int) -> None:
-    world = World(server("a", boot=START + ahead), server("b"))
+    world = GatewayHarness(server("a", boot=START + ahead), server("b"))
     assert is_cold(world, "a")
     world.run(COLD // 2)
     assert is_cold(world, "a")
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("mode", [WatchEventKind.CHANGES, WatchEventKind.SNAPSHOT])
 def test_what_is_listed_again_with_such_a_start_has_not_started_anew(mode: WatchEventKind) -> None:
     entries = [server("a", boot=START + HOUR), server("b")]
-    world = World(*entries)
+    world = GatewayHarness(*entries)
     world.request(1)
     known = world.gateway.endpoint_table.servers["a"]
     known.answered_at = world.now
@@ -65,7 +65,7 @@
 
 
 def test_another_start_is_one_though_both_seem_to_lie_ahead() -> None:
-    world = World(server("a", boot=START + HOUR), server("b"))
+    world = GatewayHarness(server("a", boot=START + HOUR), server("b"))
     world.run(WARM_AT + S)
     assert not is_cold(world, "a")
     world.gateway.on_watch_event(
@@ -78,7 +78,7 @@
 
 def test_what_is_handed_on_is_taken_by_the_clock_of_who_takes_it() -> None:
     """The wall clock was set back by an hour between the starts of the two processes."""
-    before = World(server("a"), server("b"))
+    before = GatewayHarness(server("a"), server("b"))
     overload = before.gateway.overload
     overload.fleet.cut(before.now, 100.0, 3.0 * S)
     overload.fleet.count_response(before.now)
@@ -92,7 +92,7 @@
         clock_epoch=5 * HOUR,
     )
     taken = translate_clock(decode_snapshot(encode_snapshot(legacy)), 4 * HOUR)
-    after = World(server("a"), server("b"))
+    after = GatewayHarness(server("a"), server("b"))
     after.now -= HOUR
     assert taken.policy is not None
     restore_snapshot(after.gateway, taken.policy)
@@ -164,7 +164,7 @@
 
     The list held a second ago with another start, so the host can't have run for longer.
     """
-    world = World(server("a", boot=START - HOUR), server("b", boot=START - HOUR))
+    world = GatewayHarness(server("a", boot=START - HOUR), server("b", boot=START - HOUR))
     world.run(WARM_AT + S)
     assert not is_cold(world, "a")
     started = world.now - HOUR
@@ -182,7 +182,7 @@
 
 
 def test_a_host_that_restarted_while_discovery_was_silent_is_as_old_as_it_is_told() -> None:
-    world = World(server("a", boot=START - HOUR), server("b"))
+    world = GatewayHarness(server("a", boot=START - HOUR), server("b"))
     world.run(2 * WARM_AT)
     entries = [server("a", boot=START + S), server("b")]
     world.gateway.on_watch_event(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -30,7 +30,7 @@
     encode_snapshot,
 )
 from sailhitch.policy_interface import AttemptOutcome, LoadReport
-from tests.fake import MS, World, server
+from tests.fake import MS, GatewayHarness, server
 from tests.generations import ConfigPipe, Site, hosted, site, told
 from tests.sockets import Server, Writer, answer, config_value, request, until
 
@@ -308,7 +308,7 @@
 
 def test_what_was_learned_goes_on_and_what_is_of_another_life_does_not() -> None:
     hosts = [server("a", boot=1), server("b", boot=1), server("c")]
-    old, new = World(*hosts), World(*hosts[:1], server("b", boot=2), server("c"))
+    old, new = GatewayHarness(*hosts), GatewayHarness(*hosts[:1], server("b", boot=2), server("c"))
     for i in range(200):
         old.request(i)
         status = AttemptOutcome.OK if i % 7 else AttemptOutcome.ERROR
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -12,15 +12,15 @@
     AttemptOutcome,
     LoadReport,
 )
-from tests.fake import MS, SAFE, START, UNSAFE, S, World, server
+from tests.fake import MS, SAFE, START, UNSAFE, GatewayHarness, S, server
 
 
-def fleet(n: int = 6) -> World:
-    return World(*(server(f"s{i}") for i in range(n)))
+def fleet(n: int = 6) -> GatewayHarness:
+    return GatewayHarness(*(server(f"s{i}") for i in range(n)))
 
 
 def send_one_by_one(
-    harness: World, unresponsive: str, reqs: range, gap: int = 20 * MS
+    harness: GatewayHarness, unresponsive: str, reqs: range, gap: int = 20 * MS
 ) -> list[str]:
     """Send requests one by one; all servers but one respond. Returns the server of each request."""
     destinations = []
@@ -64,7 +64,7 @@
     assert len(burst(harness, "s3", 3000)) > 1
 
 
-def burst(harness: World, unresponsive: str, first: int, count: int = 24) -> list[int]:
+def burst(harness: GatewayHarness, unresponsive: str, first: int, count: int = 24) -> list[int]:
     """Send requests at once; return those sent to one server, which gets no response."""
     for req in range(first, first + count):
         harness.request(req)
@@ -230,9 +230,11 @@
     assert target.rate.send_rate > 0.3 * harness.gateway.overload.fleet.receive_rate / 6
 
 
-def unanswered_first_attempt(cls: int, **changes: Any) -> World:
+def unanswered_first_attempt(cls: int, **changes: Any) -> GatewayHarness:
     """Send a request whose first attempt gets no response, after many that got one."""
-    harness = fleet() if not changes else World(*(server(f"s{i}") for i in range(6)), **changes)
+    harness = (
+        fleet() if not changes else GatewayHarness(*(server(f"s{i}") for i in range(6)), **changes)
+    )
     send_one_by_one(harness, "", range(200))
     harness.request(1000, cls)
     harness.run(harness.now + 30 * MS - START)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -14,10 +14,12 @@
     LoadReport,
     WatchEventKind,
 )
-from tests.fake import MS, SAFE, START, UNSAFE, S, World, server, settings_value
+from tests.fake import MS, SAFE, START, UNSAFE, GatewayHarness, S, server, settings_value
 
 
-def drive(harness: World, first: int, count: int, latency: int, step: int = 10 * MS) -> int:
+def drive(
+    harness: GatewayHarness, first: int, count: int, latency: int, step: int = 10 * MS
+) -> int:
     """Send requests at a steady rate, each answered after `latency`; return the number rejected."""
     due: list[tuple[int, int]] = []
     rejected = 0
@@ -44,8 +46,8 @@
     return rejected
 
 
-def fleet(**changes: Any) -> World:
-    return World(*(server(f"s{i}") for i in range(20)), **changes)
+def fleet(**changes: Any) -> GatewayHarness:
+    return GatewayHarness(*(server(f"s{i}") for i in range(20)), **changes)
 
 
 def test_late_responses_cause_shedding_that_ends_when_responses_are_fast_again() -> None:
@@ -119,7 +121,7 @@
 
 
 def test_a_hot_key_is_spread_over_more_servers_than_its_replicas() -> None:
-    harness = World(*(server(f"s{i}") for i in range(20)), familyInfo={"warmKeys": True})
+    harness = GatewayHarness(*(server(f"s{i}") for i in range(20)), familyInfo={"warmKeys": True})
     for req in range(100):
         harness.request(req, key=77)
     sent = harness.port.sends()
@@ -129,7 +131,7 @@
 
 
 def test_a_key_with_little_traffic_stays_with_its_server() -> None:
-    harness = World(*(server(f"s{i}") for i in range(20)), familyInfo={"warmKeys": True})
+    harness = GatewayHarness(*(server(f"s{i}") for i in range(20)), familyInfo={"warmKeys": True})
     for req in range(3000):
         harness.request(req, key=req % 100)
         harness.outcome(
@@ -147,7 +149,7 @@
 
 def test_a_few_warm_servers_among_many_cold_ones_get_their_part() -> None:
     cold = [server(f"c{i}", boot=START - 1) for i in range(8)]
-    harness = World(server("w0"), server("w1"), *cold, rules={"cold": 60 * S})
+    harness = GatewayHarness(server("w0"), server("w1"), *cold, rules={"cold": 60 * S})
     for req in range(6000):
         harness.request(req)
         harness.outcome(
@@ -167,7 +169,7 @@
 def test_returning_servers_raise_the_fleet_rate_limit() -> None:
     rejected = []
     for servers_return in (False, True):
-        harness = World(
+        harness = GatewayHarness(
             *(
                 server(f"s{i}", state=EndpointState.READY if i < 8 else EndpointState.DRAINING)
                 for i in range(20)
@@ -217,7 +219,7 @@
 
 
 def test_a_rejection_with_an_empty_queue_is_no_sign_of_overload() -> None:
-    harness = World(*(server(f"s{i}") for i in range(20)))
+    harness = GatewayHarness(*(server(f"s{i}") for i in range(20)))
     drive(harness, 0, 200, 50 * MS)
     empty = LoadReport(0.0, 50.0 * MS)
     for req in range(1000, 1005):
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -15,7 +15,7 @@
 from sailhitch.reach import Subsetter
 from sailhitch.reach.ring import Ring, ring_position
 from sailhitch.reach.width import GATEWAYS_PER_SERVER, MIN_SERVERS, SubsetSizer
-from tests.fake import MS, S, World, server
+from tests.fake import MS, GatewayHarness, S, server
 
 SIZES = [(5, 1), (5, 12), (40, 60), (214, 145), (214, 12), (1000, 12), (1000, 1000), (35, 1000)]
 
@@ -219,7 +219,7 @@
 def test_an_invalid_index_uses_all_servers_and_logs_one_line(
     changes: dict[str, Any],
 ) -> None:
-    harness = World(*(server(f"s{i}") for i in range(300)), **changes)
+    harness = GatewayHarness(*(server(f"s{i}") for i in range(300)), **changes)
     log_lines = [action for action in harness.port.actions if action[0] == "log"]
     subset, _ = harness.gateway.endpoint_table.subsetter.select(harness.now)
     is_valid = changes == {"me": 3}
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -22,7 +22,7 @@
     Idempotency,
     parse_settings,
 )
-from tests.fake import S, World, settings_value
+from tests.fake import GatewayHarness, S, settings_value
 from tests.sockets import Server, Writer, config_value, gate, hosted_process, request, until
 
 TENANTS = [{"name": "a", "portion": 0.5, "quotaPerS": 5.0}]
@@ -211,7 +211,7 @@
 
 
 def test_learned_state_is_kept_across_new_settings() -> None:
-    harness = World(tenants=TENANTS)
+    harness = GatewayHarness(tenants=TENANTS)
     gateway = harness.gateway
     gateway.overload.class_latency[:] = [1.0, 2.0, 3.0, 4.0, 5.0]
     gateway.overload.arrivals[:] = [float(i) for i in range(len(gateway.overload.arrivals))]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,14 +9,25 @@
     EndpointState,
     WatchEventKind,
 )
-from tests.fake import KEYED_ALL, KEYED_CELL, KEYED_ZONE, MS, SAFE, START, UNSAFE, S, World, server
+from tests.fake import (
+    KEYED_ALL,
+    KEYED_CELL,
+    KEYED_ZONE,
+    MS,
+    SAFE,
+    START,
+    UNSAFE,
+    GatewayHarness,
+    S,
+    server,
+)
 
 TWO_CELLS = [server("a", 0, 1), server("b", 0, 2), server("c", 1, 3)]
 
 
 @pytest.mark.parametrize("cls", [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL])
 def test_every_request_gets_one_response_before_its_deadline(cls: int) -> None:
-    harness = World()  # nothing to send to
+    harness = GatewayHarness()  # nothing to send to
     harness.request(7, cls)
     harness.run(4 * S)
     assert harness.port.final_actions(7) == ["refuse"]
@@ -26,14 +37,14 @@
 
 
 def test_a_held_request_is_answered_before_its_deadline() -> None:
-    harness = World()
+    harness = GatewayHarness()
     harness.request(7, SAFE, time_limit=300 * MS)
     harness.run(320 * MS)
     assert harness.port.final_actions(7) == ["refuse"]
 
 
 def test_nothing_is_sent_for_a_request_that_ended() -> None:
-    harness = World(*TWO_CELLS)
+    harness = GatewayHarness(*TWO_CELLS)
     harness.request(7)
     harness.gateway.client_disconnected(harness.now, 7)
     harness.outcome(7, 0, AttemptOutcome.CONNECT_FAILED, closed=True)
@@ -46,7 +57,7 @@
     "status", [AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT]
 )
 def test_an_unsafe_request_that_may_have_run_is_failed_not_repeated(status: AttemptOutcome) -> None:
-    harness = World(*TWO_CELLS)
+    harness = GatewayHarness(*TWO_CELLS)
     harness.request(7, UNSAFE)
     harness.outcome(7, 0, status)
     assert len(harness.port.sends(7)) == 1
@@ -55,7 +66,7 @@
 
 @pytest.mark.parametrize("status", [AttemptOutcome.BUSY, AttemptOutcome.CONNECT_FAILED])
 def test_an_unsafe_request_that_never_ran_is_retried(status: AttemptOutcome) -> None:
-    harness = World(*TWO_CELLS)
+    harness = GatewayHarness(*TWO_CELLS)
     harness.request(7, UNSAFE)
     harness.outcome(7, 0, status, latency=5 * MS)
     assert len(harness.port.sends(7)) == 2
@@ -67,7 +78,7 @@
 )
 def test_a_keyed_request_is_retried_only_within_its_scope(cls: int, allowed: str) -> None:
     for seed in range(20):
-        harness = World(server("a", 0, 1), seed=seed)
+        harness = GatewayHarness(server("a", 0, 1), seed=seed)
         harness.request(7, cls)
         harness.gateway.on_watch_event(harness.now, WatchEventKind.SNAPSHOT, TWO_CELLS)
         harness.outcome(7, 0, AttemptOutcome.RESET, latency=5 * MS)
@@ -77,7 +88,7 @@
 
 
 def test_a_keyed_request_is_not_retried_after_its_window() -> None:
-    harness = World(
+    harness = GatewayHarness(
         *TWO_CELLS,
         classes=[
             {
@@ -102,7 +113,7 @@
 def test_a_keyed_request_of_limited_scope_that_may_have_run_is_failed(
     cls: int,
 ) -> None:
-    harness = World(server("a", 0, 1))
+    harness = GatewayHarness(server("a", 0, 1))
     harness.request(7, cls)
     harness.gateway.on_watch_event(
         harness.now, WatchEventKind.CHANGES, [server("a", 0, 1, state=EndpointState.GONE)]
@@ -114,7 +125,7 @@
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_nothing_new_goes_to_a_server_known_to_drain_or_be_gone(state: EndpointState) -> None:
-    harness = World(server("a"), server("b"))
+    harness = GatewayHarness(server("a"), server("b"))
     harness.gateway.on_watch_event(harness.now, WatchEventKind.CHANGES, [server("a", state=state)])
     for req in range(50):
         harness.request(req)
@@ -122,7 +133,7 @@
 
 
 def test_a_server_missing_from_a_full_list_gets_no_requests() -> None:
-    harness = World(server("a"), server("b"))
+    harness = GatewayHarness(server("a"), server("b"))
     harness.gateway.on_watch_event(harness.now, WatchEventKind.SNAPSHOT, [server("b")])
     for req in range(50):
         harness.request(req)
@@ -131,7 +142,7 @@
 
 def test_a_cold_server_gets_no_more_than_its_share() -> None:
     warm = [server(f"w{i}") for i in range(9)]
-    harness = World(*warm, server("cold", boot=START - 1))
+    harness = GatewayHarness(*warm, server("cold", boot=START - 1))
     for req in range(2000):
         harness.request(req)
         harness.outcome(req, 0, AttemptOutcome.OK, closed=True, latency=20 * MS)
@@ -141,7 +152,7 @@
 
 
 def test_a_cold_server_does_not_get_all_requests_when_the_others_are_gone() -> None:
-    harness = World(server("a"), server("cold", boot=START - 1))
+    harness = GatewayHarness(server("a"), server("cold", boot=START - 1))
     harness.gateway.on_watch_event(
         harness.now, WatchEventKind.CHANGES, [server("a", state=EndpointState.GONE)]
     )
@@ -152,7 +163,7 @@
 
 
 def test_retire_answers_held_requests_at_once_and_holds_no_more() -> None:
-    harness = World()
+    harness = GatewayHarness()
     harness.request(7, SAFE)
     harness.request(8, KEYED_ALL)
     assert harness.port.final_actions(7) == harness.port.final_actions(8) == []
@@ -165,7 +176,7 @@
 
 
 def test_requests_in_flight_at_retire_are_finished() -> None:
-    harness = World(server("a"))
+    harness = GatewayHarness(server("a"))
     harness.request(7, UNSAFE)
     harness.gateway.retire(harness.now)
     assert harness.port.final_actions(7) == []
