--- a/sailhitch/adapter.py
+++ b/sailhitch/adapter.py
@@ -153,7 +153,7 @@
     """Return the load report, in microseconds. Unknown values are checked and ignored."""
     if text == "-":
         return None
-    queue = service = inflight = None
+    queue = service = in_flight = None
     for pair in text.split(","):
         name, _, value = pair.partition(":")
         if name == "depth":
@@ -161,10 +161,10 @@
         elif name == "mean_ms":
             service = _number(field, value) * 1000.0
         elif name == "concurrent":
-            inflight = _number(field, value)
+            in_flight = _number(field, value)
         else:
             _number(field, value)
-    return LoadReport(queue, service, inflight)
+    return LoadReport(queue, service, in_flight)
 
 
 def _endpoint(parts: list[str]) -> Endpoint:
--- a/sailhitch/policy/backlog.py
+++ b/sailhitch/policy/backlog.py
@@ -10,9 +10,9 @@
 
 DRAIN_INTERVAL: Final = 10_000  # us between two attempts to drain the backlog
 DRAIN_BATCH: Final = 8  # requests that may fail to be placed before a drain stops
-# A repeatable request is hedged after this multiple of its class's usual latency...
+# A repeatable request may be hedged after this multiple of its class's usual latency.
 HEDGE_LATENCY_MULTIPLE: Final = 4.0
-HEDGE_DELAY_MIN: Final = 20_000  # ...but not before this many microseconds
+HEDGE_DELAY_MIN: Final = 20_000  # us; lower bound of that delay
 HEDGE_MAX_QUEUE: Final = 0.5  # no hedges while the typical queue length is at or above this
 RETRIES_PER_REQUEST: Final = 0.15  # what each request adds to the retry budget
 RETRY_BUDGET_MAX: Final = 10.0
--- a/sailhitch/policy/counters.py
+++ b/sailhitch/policy/counters.py
@@ -15,9 +15,14 @@
     "may_have_run",  # unsafe to repeat
     "retired",  # the pool was removed
 )
-# Retries; hedged requests; cuts of the fleet's rate; cooldowns after a rejection; ejections of
-# servers; requests sent to servers in slow start.
-EVENTS: Final = ("retries", "hedges", "cuts", "rests", "shuns", "cold")
+EVENTS: Final = (
+    "retries",
+    "hedges",
+    "cuts",  # of the fleet's rate
+    "rests",  # cooldowns of servers after a rejection
+    "shuns",  # ejections of servers
+    "cold",  # requests sent to servers in slow start
+)
 
 
 def new_counters() -> dict[str, int]:
--- a/sailhitch/reach/reach.py
+++ b/sailhitch/reach/reach.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from typing import Final, Generic, TypeVar
 
-from .ring import Ranked, Ring, ring_position
+from .ring import Ring, SubsetServer, ring_position
 from .width import SubsetSizer
 
-T = TypeVar("T", bound=Ranked)
+T = TypeVar("T", bound=SubsetServer)
 
 # Share of the subset that is in the own zone; the rest takes the load that the own zone can't.
 OWN_ZONE_SHARE: Final = 11 / 16
@@ -31,7 +31,7 @@
         self.subset = self.servers
         self.review_at = 0
         self.changes = 0  # number of servers added to the subset so far
-        self.wide = 0  # number of reviews that left the subset above its target size
+        self.oversized_reviews = 0  # number of reviews that left the subset above its target size
 
     def configure(self, index: int, gateway_count: int) -> None:
         """Set this gateway's index. With an invalid one, such as -1, it uses all servers."""
@@ -58,7 +58,7 @@
 
     def summary(self) -> dict[str, int]:
         """Return counters for the log."""
-        return {"reach": self.size(), "wide": self.wide, "changes": self.changes}
+        return {"reach": self.size(), "wide": self.oversized_reviews, "changes": self.changes}
 
     def _review(self, now: int) -> None:
         self.review_at = now + REVIEW_INTERVAL
@@ -80,7 +80,7 @@
         before = {server.hash for servers in self.subset for server in servers}
         self.changes += sum(server.hash not in before for server in [*own_taken, *other_taken])
         self.subset = own_taken, other_taken
-        self.wide += self.size() > target
+        self.oversized_reviews += self.size() > target
 
     def _take(self, servers: Iterable[T], quota: int, now: int) -> tuple[list[T], int]:
         """Return leading servers until `quota` are available, and the number of available ones.
--- a/sailhitch/reach/ring.py
+++ b/sailhitch/reach/ring.py
@@ -10,14 +10,13 @@
 # Base of the radical inverse. A zone often has every n-th gateway. If n and the base are coprime,
 # the zone's positions are as evenly spread as those of all gateways. Few sites have 7 zones.
 BASE: Final = 7
-# A gateway's first server may be off the gateway's position by the square root of the number of
-# servers, divided by this, but by at least 1. Ranks in a list that changes at random drift by about
-# its square root. With a larger divisor gateways move often, with a smaller one servers are in very
-# different numbers of subsets.
+# Ranks in a list of n servers that changes at random drift by about sqrt(n). An anchor may drift
+# from its ideal rank by sqrt(n) / DRIFT, and by at least 1. A larger divisor makes gateways move
+# often; a smaller one puts servers in very different numbers of subsets.
 DRIFT: Final = 4
 
 
-class Ranked(Protocol):
+class SubsetServer(Protocol):
     """The interface of a server that subsetting needs."""
 
     @property
@@ -47,7 +46,7 @@
     return position
 
 
-T = TypeVar("T", bound=Ranked)
+T = TypeVar("T", bound=SubsetServer)
 
 
 class Ring:
--- a/sailhitch/settings.py
+++ b/sailhitch/settings.py
@@ -101,17 +101,17 @@
         self.value = value
         self.path = path
 
-    def _at(self, key: str) -> str:
+    def _path_of(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
     def _get(self, key: str, default: Any, is_valid: Callable[[Any], bool], expected: str) -> Any:
         value = self.value.get(key)
         if value is None:
             if default is None:
-                raise SettingsError(f"{self._at(key)}: required and missing")
+                raise SettingsError(f"{self._path_of(key)}: required and missing")
             return default
         if not is_valid(value):
-            raise SettingsError(f"{self._at(key)}: not {expected}: {value!r}")
+            raise SettingsError(f"{self._path_of(key)}: not {expected}: {value!r}")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -137,11 +137,11 @@
         return str(self._get(key, default, is_valid, expected))
 
     def node(self, key: str, default: Mapping[str, Any] | None = None) -> _Node:
-        return _Node(self._get(key, default, lambda v: True, "an object"), self._at(key))
+        return _Node(self._get(key, default, lambda v: True, "an object"), self._path_of(key))
 
     def nodes(self, key: str, default: list[Any] | None = None) -> list[_Node]:
         items = self._get(key, default, lambda v: isinstance(v, list), "a list")
-        return [_Node(item, f"{self._at(key)}[{i}]") for i, item in enumerate(items)]
+        return [_Node(item, f"{self._path_of(key)}[{i}]") for i, item in enumerate(items)]
 
 
 def _request_class(node: _Node) -> RequestClass:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -81,7 +81,7 @@
     def cancel(self, req: int, attempt: int) -> None: ...
 
     def set_timer(self, token: int, at: int) -> None:
-        self.fleet.at(at, lambda: self.gateway.timer(self.fleet.now, token))
+        self.fleet.schedule(at, lambda: self.gateway.timer(self.fleet.now, token))
 
     def watch(self, on: bool) -> None: ...
 
@@ -113,7 +113,7 @@
             member.gateway.start(self.now)
             member.gateway.on_watch_event(self.now, WatchEventKind.RESTORED, entries)
 
-    def at(self, time: int, callback: Callable[[], None]) -> None:
+    def schedule(self, time: int, callback: Callable[[], None]) -> None:
         heapq.heappush(self._events, (max(time, self.now), next(self._order), callback))
 
     def add(self, hosts: Iterable[Host]) -> None:
@@ -146,10 +146,10 @@
                 AttemptOutcome.OK if self.random.random() < 0.98 else AttemptOutcome.ERROR,
             )
 
-        def leave() -> None:
+        def finish_work() -> None:
             host.held -= not full
 
-        def end() -> None:
+        def report_outcome() -> None:
             gateway = member.gateway
             self.responses[req] += status == AttemptOutcome.OK and req in gateway.open_requests
             closed = status == AttemptOutcome.OK or req not in gateway.open_requests
@@ -164,10 +164,10 @@
                 LoadReport(queue, float(WORK), float(host.held)),
             )
 
-        self.at(done, leave)
+        self.schedule(done, finish_work)
         if timeout and done > sent + timeout:
             done, status = sent + timeout, AttemptOutcome.TIMEOUT
-        self.at(done, end)
+        self.schedule(done, report_outcome)
 
     def run(self, seconds: float, rate: float) -> None:
         """Send `rate` requests per second to the fleet for `seconds`."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,12 +28,12 @@
     """A fleet that has run for 20 s; then 18 of its 30 hosts are replaced at once."""
     fleet = Fleet(size, [Host(f"s{i}") for i in range(30)])
     fleet.run(20.0, 0.55 * 30 * FULL_RATE)
-    gone = [fleet.hosts[f"s{i}"] for i in range(18)]
-    for host in gone:
+    removed = [fleet.hosts[f"s{i}"] for i in range(18)]
+    for host in removed:
         host.draining = True
     new_hosts = [Host(f"c{i}", boot=fleet.now) for i in range(18)]
     fleet.add(new_hosts)
-    fleet.announce(gone)
+    fleet.announce(removed)
     return fleet, new_hosts
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -32,13 +32,13 @@
 def key_paths(value: Any, before: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
     """The path of each key that a later version of the file must also have."""
     if isinstance(value, dict):
-        for key, under in value.items():
+        for key, child in value.items():
             if key not in ("known", "warmKeys"):
                 yield (*before, key)
-                yield from key_paths(under, (*before, key))
+                yield from key_paths(child, (*before, key))
     elif isinstance(value, list):
-        for i, under in enumerate(value):
-            yield from key_paths(under, (*before, i))
+        for i, child in enumerate(value):
+            yield from key_paths(child, (*before, i))
 
 
 def at(value: Any, path: tuple[Any, ...]) -> Any:
@@ -104,25 +104,25 @@
     async def play() -> None:
         path = tmp_path / "config.json"
         async with hosted_process(path, Server()) as (program, client):
-            good = json.loads(path.read_text())
-            text = json.dumps(good)
-            broken = ["", text[: len(text) // 2], "[]", json.dumps({**good, "settings": {}})]
-            invalid = copy.deepcopy(good)
+            valid = json.loads(path.read_text())
+            text = json.dumps(valid)
+            broken = ["", text[: len(text) // 2], "[]", json.dumps({**valid, "settings": {}})]
+            invalid = copy.deepcopy(valid)
             invalid["settings"]["classes"][0]["deadline"] = 0
             for i, bad in enumerate([*broken, json.dumps(invalid)]):
                 path.write_text(bad)
                 program.send_signal(signal.SIGHUP)
                 for j in range(20):
                     assert await client.ask(request(f"r{i}-{j}")) == (200, b"served")
-            good["settings"]["classes"][0]["name"] = "renamed"
-            path.write_text(json.dumps(good))
+            valid["settings"]["classes"][0]["name"] = "renamed"
+            path.write_text(json.dumps(valid))
             program.send_signal(signal.SIGHUP)
             async with asyncio.timeout(30):
                 n = 0
-                asking = client
-                while (await asking.ask(request(f"n{n}", kind="renamed")))[0] != 200:
+                current_client = client
+                while (await current_client.ask(request(f"n{n}", kind="renamed")))[0] != 200:
                     n += 1
-                    asking = await asking.again()
+                    current_client = await current_client.again()
 
     asyncio.run(play())
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,7 @@
     server,
 )
 
-TWO_CELLS = [server("a", 0, 1), server("b", 0, 2), server("c", 1, 3)]
+THREE_CELLS = [server("a", 0, 1), server("b", 0, 2), server("c", 1, 3)]
 
 
 @pytest.mark.parametrize("cls", [SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL])
@@ -44,7 +44,7 @@
 
 
 def test_nothing_is_sent_for_a_request_that_ended() -> None:
-    harness = GatewayHarness(*TWO_CELLS)
+    harness = GatewayHarness(*THREE_CELLS)
     harness.request(7)
     harness.gateway.client_disconnected(harness.now, 7)
     harness.outcome(7, 0, AttemptOutcome.CONNECT_FAILED, closed=True)
@@ -57,7 +57,7 @@
     "status", [AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT]
 )
 def test_an_unsafe_request_that_may_have_run_is_failed_not_repeated(status: AttemptOutcome) -> None:
-    harness = GatewayHarness(*TWO_CELLS)
+    harness = GatewayHarness(*THREE_CELLS)
     harness.request(7, UNSAFE)
     harness.outcome(7, 0, status)
     assert len(harness.port.sends(7)) == 1
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("status", [AttemptOutcome.BUSY, AttemptOutcome.CONNECT_FAILED])
 def test_an_unsafe_request_that_never_ran_is_retried(status: AttemptOutcome) -> None:
-    harness = GatewayHarness(*TWO_CELLS)
+    harness = GatewayHarness(*THREE_CELLS)
     harness.request(7, UNSAFE)
     harness.outcome(7, 0, status, latency=5 * MS)
     assert len(harness.port.sends(7)) == 2
@@ -80,7 +80,7 @@
     for seed in range(20):
         harness = GatewayHarness(server("a", 0, 1), seed=seed)
         harness.request(7, cls)
-        harness.gateway.on_watch_event(harness.now, WatchEventKind.SNAPSHOT, TWO_CELLS)
+        harness.gateway.on_watch_event(harness.now, WatchEventKind.SNAPSHOT, THREE_CELLS)
         harness.outcome(7, 0, AttemptOutcome.RESET, latency=5 * MS)
         harness.run(900 * MS)
         assert set(harness.port.sends(7)) <= set(allowed)
@@ -89,7 +89,7 @@
 
 def test_a_keyed_request_is_not_retried_after_its_window() -> None:
     harness = GatewayHarness(
-        *TWO_CELLS,
+        *THREE_CELLS,
         classes=[
             {
                 "importance": 1,
