--- a/sailhitch/__init__.py
+++ b/sailhitch/__init__.py
@@ -1,4 +1,4 @@
-"""sailhitch: the decisions of a reverse proxy over HTTP servers, which it ranks by C3."""
+"""sailhitch: an HTTP/1.1 gateway that balances load over hosts, which it ranks by C3."""
 
 from .policy import Gateway
 from .policy_interface import (
--- a/sailhitch/__main__.py
+++ b/sailhitch/__main__.py
@@ -1,4 +1,4 @@
-"""The real gateway's process: configuration, loop, signals and exit."""
+"""The gateway process: configuration, event loop, signals and exit status."""
 
 from __future__ import annotations
 
@@ -25,49 +25,49 @@
 
 USAGE = """usage: python -m sailhitch [--help | --version]
 
-One real gateway. It is told all it needs by the environment: EDGE_CONFIG (a JSON file), EDGE_NAME,
-EDGE_LISTEN and EDGE_DISCOVERY; EDGE_OPERATOR is where staff call, and EDGE_SOCKET_FD a descriptor
-that clients come to, held by whoever starts it. SIGHUP makes it read EDGE_CONFIG anew; SIGTERM
-drains it."""
+Run one gateway. The environment configures it: EDGE_CONFIG (a JSON file), EDGE_NAME, EDGE_LISTEN
+and EDGE_DISCOVERY; optionally EDGE_OPERATOR, the address of the operators' endpoint, and
+EDGE_SOCKET_FD, the descriptor of a listening socket that the parent process opened. SIGHUP reloads
+EDGE_CONFIG; SIGTERM drains the gateway."""
 BACKLOG: Final = 4096
-FIRST_LIST: Final = 0.5  # s; with discovery silent until then it serves by the known list
-MAX_ERROR_LINES: Final = 12  # about one file
-REREAD_AFTER: Final = (0.1, 0.4, 1.0)  # s; a file that is still being written is read again
+FIRST_LIST_TIMEOUT: Final = 0.5  # s; without an answer of discovery the known list is used
+MAX_ERROR_LINES: Final = 12  # logged for one invalid file
+REREAD_DELAYS: Final = (0.1, 0.4, 1.0)  # s; the file may still be being written
 
 
 class Reloader:
-    """Applies the file again on SIGHUP, or keeps the old configuration if it can't be read."""
+    """Reloads the configuration on SIGHUP; keeps the current one if the file is invalid."""
 
     def __init__(self, platform: Platform, log: Log) -> None:
         self.platform = platform
         self.log = log
-        self._again: asyncio.TimerHandle | None = None
+        self._retry: asyncio.TimerHandle | None = None
 
     def reload(self, tries: int = 0) -> None:
-        """Read the file and apply it; on an error keep the old configuration and try again soon."""
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
+        """Read and apply the file; on an error keep the old configuration and retry soon."""
+        if self._retry is not None:
+            self._retry.cancel()
+            self._retry = None
         try:
             config = reload_config(os.environ, self.platform.config)
             self.platform.reconfigure(config)
         except Exception as error:
-            # Whatever is wrong with the file, the gateway goes on as it was.
-            wrong = str(error).splitlines() or [type(error).__name__]
-            more = f" ({len(wrong)} things are wrong)" if len(wrong) > 1 else ""
-            self.log.write(f"SIGHUP: the old configuration stays{more}: {wrong[0]:.200}")
-            for line in wrong[1:MAX_ERROR_LINES]:
-                self.log.write(f"SIGHUP: also {line:.200}")
-            if tries < len(REREAD_AFTER):
+            # No error in the file may stop the gateway.
+            errors = str(error).splitlines() or [type(error).__name__]
+            count = f" ({len(errors)} errors)" if len(errors) > 1 else ""
+            self.log.write(f"SIGHUP: keeping the old configuration{count}: {errors[0]:.200}")
+            for line in errors[1:MAX_ERROR_LINES]:
+                self.log.write(f"SIGHUP: further error: {line:.200}")
+            if tries < len(REREAD_DELAYS):
                 loop = asyncio.get_running_loop()
-                self._again = loop.call_later(REREAD_AFTER[tries], self.reload, tries + 1)
+                self._retry = loop.call_later(REREAD_DELAYS[tries], self.reload, tries + 1)
             return
         host, port = config.discovery
-        self.log.write(f"SIGHUP: new configuration, discovery at {host}:{port}")
+        self.log.write(f"SIGHUP: configuration reloaded, discovery at {host}:{port}")
 
 
-async def serve(config: Config, log: Log, held: socket.socket | None = None) -> None:
-    """Run one gateway until SIGTERM has been honoured; `held` is the clients' socket, if passed."""
+async def serve(config: Config, log: Log, inherited: socket.socket | None = None) -> None:
+    """Run one gateway until it has drained; `inherited` is a listening socket of the parent."""
     loop = asyncio.get_running_loop()
     platform = Platform(config, loop, log)
     stop = asyncio.Event()
@@ -77,21 +77,21 @@
     platform.begin()
 
     async def listen() -> Listener:
-        return platform.listen(config.listen, BACKLOG, held)
+        return platform.listen(config.listen, BACKLOG, inherited)
 
     listener = await retry_shortage(listen)
-    takeover = await _take_over(platform, listener) if held is not None else None
+    takeover = await _take_over(platform, listener) if inherited is not None else None
     operator_server = await _open_operator_server(config, platform, takeover)
     watch = loop.create_task(platform.discovery.run())
     loop.add_signal_handler(signal.SIGHUP, Reloader(platform, log).reload)
     unblock_signals(signal.SIGHUP)
-    if held is None:
+    if inherited is None:
         listener.start()
     _log_start(config, log)
     freeze_startup_objects()
     await _wait_for_list(platform, stop)
-    if held is not None:
-        listener.start()  # until now new clients were served by the predecessor
+    if inherited is not None:
+        listener.start()  # until now the predecessor has accepted new clients
     platform.core.ready = not stop.is_set()
     if takeover is not None:
         takeover.ready()
@@ -101,7 +101,7 @@
     await _drain(platform, listener, takeover)
     watch.cancel()
     _close(platform, operator_server, takeover)
-    # The loop takes its handlers with it, and a signal that comes after it would kill.
+    # The signal handlers end with the loop; a later signal would kill the process.
     block_signals()
     log.write("drained")
 
@@ -116,14 +116,14 @@
 
 
 async def _wait_for_list(platform: Platform, stop: asyncio.Event) -> None:
-    """Wait for the first list of discovery, or for the end, but not for long."""
+    """Wait for discovery's first answer or a stop signal, for at most FIRST_LIST_TIMEOUT."""
     loop = asyncio.get_running_loop()
     waits = [loop.create_task(event.wait()) for event in (platform.discovery.settled, stop)]
-    await asyncio.wait(waits, timeout=FIRST_LIST, return_when=asyncio.FIRST_COMPLETED)
+    await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT, return_when=asyncio.FIRST_COMPLETED)
 
 
 async def _drain(platform: Platform, listener: Listener, takeover: Takeover | None) -> None:
-    """Pass connections on to a successor, or serve them until they may be closed."""
+    """Pass connections on to a successor; without one, serve them until they may be closed."""
     core = platform.core
     if takeover is not None and takeover.can_pass_on():
         await takeover.pass_on()
@@ -145,12 +145,12 @@
 
 
 async def _take_over(platform: Platform, listener: Listener) -> Takeover | None:
-    """Connect to a predecessor, where the platform may start one process beside another."""
+    """Take over from a predecessor process, if there is one; needs TMPDIR to find it."""
     folder = os.environ.get("TMPDIR")
     if not folder:
-        platform.core.logger.write("TMPDIR: not set, so no process before or after is known")
+        platform.core.logger.write("TMPDIR is not set: no handover from or to another process")
         return None
-    # Imported here, so that a gateway without a clients' socket does not load it.
+    # Imported here, so that a gateway without an inherited socket does not load it.
     from .handover.files import HandoverFiles
     from .handover.takeover import Takeover
 
@@ -177,7 +177,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the gateway; 0 after a drain, 2 where it is told something bad."""
+    """Run the gateway; return 0 after a drain, 2 for a bad argument, setting or address."""
     if arguments in (["--help"], ["-h"]):
         print(USAGE)
         return 0
@@ -190,13 +190,13 @@
     block_signals()
     try:
         config = load_config(os.environ)
-        held = None if config.held_socket is None else adopt_socket(config.held_socket)
+        inherited = None if config.held_socket is None else adopt_socket(config.held_socket)
     except ConfigError as error:
         for line in str(error).splitlines():
             print(f"sailhitch: {line}", file=sys.stderr)
         return 2
     try:
-        uvloop.run(serve(config, Log(config.name), held))
+        uvloop.run(serve(config, Log(config.name), inherited))
     except OSError as error:
         print(f"sailhitch: can't listen: {error}", file=sys.stderr)
         return 2
