--- a/sailhitch/core/connection_settings.py
+++ b/sailhitch/core/connection_settings.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from typing import Final
 
-IDLE_MARGIN: Final = 3_000_000  # a connection is closed this long before its host would
+IDLE_MARGIN: Final = 3_000_000  # a connection is closed this long before its host closes it
 
 
 def idle_lifetime(idle_timeout: int) -> int:
-    """Return how long a connection is reused whose host closes it after `idle_timeout`."""
+    """Return how long a connection may be idle and be reused, if its host has `idle_timeout`."""
     return max(idle_timeout // 2, idle_timeout - IDLE_MARGIN)
 
 
@@ -18,6 +18,6 @@
     """The settings of connections to the hosts of a pool."""
 
     connect_timeout: int
-    idle_lifetime: int  # a connection that has been idle for so long is not used again
-    # Whether responses other than 200 are passed on too. If not, they count as failures.
+    idle_lifetime: int  # a connection idle for longer is not reused
+    # Whether responses other than 200 are forwarded; otherwise they count as failures.
     passes_any_status: bool = False
--- a/sailhitch/core/core.py
+++ b/sailhitch/core/core.py
@@ -1,7 +1,7 @@
-"""Request lifecycle: what all fronts and pools share, from a complete request to its response.
+"""Request lifecycle, shared by all fronts and pools: from a complete request to its response.
 
-Owns the one final response to each request: when it is due, that it is sent once, and what is
-released after it. It knows fronts and transports by the protocols in `interfaces.py`.
+Ensures that each request gets exactly one final response in time, and releases its resources after
+it. Fronts and transports are known only by the protocols in `interfaces.py`.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
 from .resource_limits import ResourceLimits
 from .response import Response
 from .statistics import write_statistics
-from .timer_wheel import LATE, MS, NEVER, TIMER_DELAY, TimerWheel
+from .timer_wheel import LATE, MS, NEVER, TIMER_DELAY, TimerQueue
 
 __all__ = ["CLIENT_SWEEP_INTERVAL", "PERIODIC_INTERVAL", "Counters", "GatewayCore"]
 
-# A response is due this long before the client stops waiting for it...
+# A response is due this long before the client stops waiting, or by a tenth of a short wait...
 RESPONSE_MARGIN: Final = 10 * MS
-# ...and at least by what a timer may be late.
+# ...but at least by the delay that a timer may have.
 TIMER_GRANULARITY: Final = 2 * MS
-OVERDUE_AFTER: Final = 25 * MS  # after the deadline; the decision module has lost the request
+# After the deadline. The core then responds itself, as the decision module failed to.
+OVERDUE_AFTER: Final = 25 * MS
 
-# What a timer is for: a request, a timer of a pool's module, or (None) the periodic work.
+# What a timer is for: a request, a token of a pool's decision module, or None for periodic work.
 TimerTarget = RequestContext | tuple[Pool, int] | None
 
 
 class GatewayCore:
-    """The process's requests, from all fronts and to all pools."""
+    """The requests of one process, from all its fronts to all its pools."""
 
     def __init__(
         self, limits: ResourceLimits, loop: asyncio.AbstractEventLoop, logger: Log
@@ -48,32 +49,32 @@
         self.limits = limits
         self.loop = loop
         self.logger = logger
-        # One clock for all: it runs evenly and starts from the time of day, so that a host's
-        # `started_ms` compares with it.
+        # Offset of the monotonic clock to the time of day at the start, so that times of `clock`
+        # are comparable with a host's `started_ms`.
         self.epoch = (time.time_ns() - time.monotonic_ns()) // 1000  # us
         self.budget = Budget(limits.memory_mb)
         self.invariants = Invariants(logger)
         self.pools: list[Pool] = []
         self.clients: dict[Connection, None] = {}
         self.admission = ConnectionAdmission(limits.connection_budget(), self.clock())
-        self.arriving: set[Connection] = set()  # accepted, not yet among `clients`
-        # Listeners that close once their queues are empty.
+        self.arriving: set[Connection] = set()  # accepted, not yet in `clients`
+        # Listeners that close once their accept queues are empty.
         self.draining_listeners: set[object] = set()
-        # Requests that await a response, or an attempt's outcome.
+        # Requests that await a response or the outcome of an attempt.
         self.request_by_name: dict[bytes, RequestContext] = {}
         self.open_requests: dict[int, RequestContext] = {}
         self.counters = Counters()
         self.ready = False
         self.drain_since = 0
-        self.drain_until = 0  # when the last response is out
+        self.drain_until = 0  # when the last response is sent
         self.closing_clients = False  # each response closes its connection
         # Passes connections that become idle to this process's successor, if there is one.
         self.pass_on_connection: PassOnConnection | None = None
-        self.timers: TimerWheel[TimerTarget] = TimerWheel(
+        self.timers: TimerQueue[TimerTarget] = TimerQueue(
             loop, self.clock, self._fire, self._fire_failed, self._on_stall, _is_stale
         )
         self.stalled_until = 0  # end of the event loop's last stall
-        self.catching_up = False  # what was decided elsewhere in a stall is not applied yet
+        self.catching_up = False  # configuration that arrived during a stall is not applied yet
         self.periodic = PeriodicTasks(self)
         self._descriptors = DescriptorManager(self)
         self._next_id = 1
@@ -87,7 +88,7 @@
     def may_be_outdated(self, now: int) -> bool:
         """Return whether updates may have arrived that the pools' choices don't reflect.
 
-        The event loop is late, and what has arrived meanwhile is unread, or a source catches up.
+        Either the event loop is late, and what arrived meanwhile is unread, or `catching_up`.
         """
         return self.catching_up or now - self.periodic.last_tick_at > PERIODIC_INTERVAL + LATE
 
@@ -96,7 +97,7 @@
         self.periodic.start(self.clock())
 
     def finish(self) -> None:
-        """Stop at once: cancel the timers and close all connections."""
+        """Stop at once: cancel the timers and abort all connections."""
         self.timers.stop()
         for client in list(self.clients):
             client.abort()
@@ -125,17 +126,17 @@
             self.respond_failed(target)
 
     def detect_stall(self, now: int) -> None:
-        """Tell the pools of a stall that has ended and whose timers have not run yet.
+        """Report a stall of the event loop to the pools before its delayed timers have run.
 
-        The event loop may read sockets before its timers, and the decision module must not judge a
-        response that a stall has delayed without knowing of it.
+        The event loop may read sockets before it runs timers, and the decision module must know of
+        the stall before it evaluates a response that was delayed by it.
         """
         due = self.periodic.next_tick_at
         if now - due > LATE and self.stalled_until < due:
             self._on_stall(now, now - due)
 
     def _on_stall(self, now: int, late: int) -> None:
-        self.logger.write_limited("stall", f"held up for {late // MS} ms")
+        self.logger.write_limited("stall", f"event loop stalled for {late // MS} ms")
         self.stalled_until = now
         for pool in self.pools:
             pool.on_stall(now)
@@ -144,13 +145,13 @@
         """Count and log an unexpected exception; the caller continues."""
         self.counters.faults += 1
         self.logger.write_limited(
-            f"fault {where}", f"{where} failed: {error!r:.100}, {_raised_at(error)}"
+            f"fault {where}", f"{where} failed: {error!r:.100}, {_origin(error)}"
         )
 
     def policy_failed(self, error: Exception) -> None:
         """Count and log an exception of a pool's decision module."""
         self.counters.panics += 1
-        details = f"{type(error).__name__}: {error}, {_raised_at(error)}"
+        details = f"{type(error).__name__}: {error}, {_origin(error)}"
         self.logger.write_limited("panic", f"the module failed: {details}")
 
     def schedule(self, request: RequestContext) -> None:
@@ -171,14 +172,14 @@
         for attempt in list(request.open_attempts):
             pool.check_timeouts(attempt, now)
         if not request.closed and now >= request.deadline + OVERDUE_AFTER:
-            # The module has not decided: the client must not be left without a response.
+            # The module has not decided, but the client must get a response.
             self.counters.overdue += 1
-            self.logger.write_limited("overdue", "a request was still held after its deadline")
+            self.logger.write_limited("overdue", "a request had no response after its deadline")
             pool.client_disconnected(request, now)
             if request.attempts:
                 self.respond_failed(request)
             else:
-                self.respond_rejected(request, 0)  # it was never sent
+                self.respond_rejected(request, 0)  # no attempt was made
         self.schedule(request)
 
     # --- Requests
@@ -204,10 +205,10 @@
             self.schedule(request)
 
     def arrival(self, now: int) -> int:
-        """Return when bytes read now arrived, at the earliest: after a stall they are read late.
+        """Return the earliest time at which bytes that are read now may have arrived.
 
-        The stall's length is by how much the periodic tick is overdue. The tick after a stall runs
-        once the sockets were read, so what is read after it arrived after the stall.
+        After a stall they are read late, by as much as the periodic tick is overdue. The first tick
+        after a stall runs once the sockets were read: what is read later arrived after the stall.
         """
         due = self.periodic.next_tick_at
         return due if now - due > TIMER_DELAY else now
@@ -245,8 +246,8 @@
         request.closed = True
         if request.pool is not None:
             request.pool.client_disconnected(request, self.clock())
-            # An attempt whose last byte was not sent never ran, and says nothing of its host. Its
-            # result is not needed any more.
+            # An attempt whose last byte was not sent never ran, says nothing about its host, and is
+            # no longer needed.
             for attempt in list(request.open_attempts):
                 unsent = attempt.connection is not None and attempt.connection.has_unsent_bytes()
                 if request.is_uploading() or unsent:
@@ -305,7 +306,7 @@
         return client
 
     def respond_rejected(self, request: RequestContext, retry_after: int) -> None:
-        """Reject a request; this promises that a retry is harmless."""
+        """Reject a request, which tells the client that a retry is safe."""
         if not self.invariants.before_refusal(request):
             self.respond_failed(request)
             return
@@ -333,7 +334,7 @@
         return self._descriptors.upstream_count()
 
     def free_descriptor(self) -> bool:
-        """Return whether one more connection to a host may be opened; closes others if need be."""
+        """Return whether one more connection to a host may be opened; closes others if needed."""
         return self._descriptors.free_descriptor()
 
     def admission_verdict(self) -> Verdict:
@@ -341,11 +342,11 @@
         return self._descriptors.admission_verdict()
 
     def on_descriptors_exhausted(self, own_limit: bool = True) -> None:
-        """Handle a descriptor that the system refused (`DescriptorManager.on_exhausted`)."""
+        """Handle the system's refusal of a descriptor (`DescriptorManager.on_exhausted`)."""
         self._descriptors.on_exhausted(own_limit)
 
     def release(self, slots: list[ConnectionSlot], reason: Reason) -> int:
-        """Close connections, except where unread bytes arrived; return how many were closed."""
+        """Close connections, except those with unread bytes; return how many were closed."""
         return self._descriptors.release(slots, reason)
 
     def retry_after(self) -> int:
@@ -357,30 +358,30 @@
     # --- Drain, log
 
     def last_response_after(self) -> int:
-        """Return how long after SIGTERM the last response is out: SIGKILL comes soon after."""
+        """Return how long after SIGTERM the last response is sent; SIGKILL follows soon after."""
         return drain.last_response_after(self.limits.longest_deadline)
 
     def drain(self) -> None:
-        """Begin to drain: advertise as not ready, but serve connections on, for `drain_hold`.
+        """Begin to drain: report not ready, but keep serving open connections for `drain_hold`.
 
-        The load balancer takes new connections elsewhere within moments, and may find that the
-        other gateways are being restarted too. Its clients go on using the connections that they
-        have, so closing each with its next response would leave them without any service.
+        The load balancer directs new connections elsewhere almost at once, but the other gateways
+        may be restarting too. Clients then depend on the connections that they have; closing each
+        with its next response would leave them without any service.
         """
         self.drain_since = self.clock()
-        # Fixed now: later settings don't change when this process ends.
+        # Fixed now: a later change of settings must not move the end of this process.
         self.drain_until = self.drain_since + self.last_response_after()
         self.ready = False
         drain.shorten_deadlines(self)
 
     def drain_hold(self) -> int:
-        """Return how long after SIGTERM connections are kept; requests until then have time."""
+        """Return how long after SIGTERM connections are kept open for further requests."""
         return min(drain.MAX_DRAIN_HOLD, (self.drain_until - self.drain_since) // 2)
 
     def close_idle_clients(self) -> bool:
-        """Close each connection with its next response, and now those that await none.
+        """Close idle connections now, and the others with their next response.
 
-        Returns whether any is left: one that awaits a response, or has unread bytes.
+        Returns whether any is left that awaits a response or has unread bytes.
         """
         self.closing_clients = True
         return drain.close_idle_clients(self)
@@ -395,9 +396,9 @@
     return isinstance(target, RequestContext) and target.wake_at != at
 
 
-def _raised_at(error: Exception) -> str:
-    """Return the function and line that an exception comes from."""
-    where = error.__traceback__
-    while where is not None and where.tb_next is not None:
-        where = where.tb_next
-    return "line 0" if where is None else f"{where.tb_frame.f_code.co_name} line {where.tb_lineno}"
+def _origin(error: Exception) -> str:
+    """Return the function and line that raised an exception."""
+    frame = error.__traceback__
+    while frame is not None and frame.tb_next is not None:
+        frame = frame.tb_next
+    return "line 0" if frame is None else f"{frame.tb_frame.f_code.co_name} line {frame.tb_lineno}"
--- a/sailhitch/core/descriptors.py
+++ b/sailhitch/core/descriptors.py
@@ -1,4 +1,4 @@
-"""Share the process's descriptors between connections of clients and connections to hosts."""
+"""Divides the process's descriptors between client connections and connections to hosts."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
         return sum([pool.transport.size() for pool in self._core.pools])
 
     def free_descriptor(self) -> bool:
-        """Return whether one more connection to a host may be opened; closes others if need be.
+        """Return whether one more connection to a host may be opened; closes others if needed.
 
-        Guards against either side taking all descriptors: connections of many clients must not
-        keep requests from hosts, and the other way round. Each side has a share reserved for it,
-        which is unused while that side is idle. What is closed here is free in the loop's next
-        iteration; the reserve covers the few that are opened until then.
+        Neither side may take all descriptors: many clients must not leave none for connections to
+        hosts, nor the other way round. Each side has a reserved share, which stays unused while
+        that side is idle. A descriptor closed here is free in the event loop's next iteration;
+        RESERVED_DESCRIPTORS covers the few that are opened until then.
         """
         admission = self._core.admission
         descriptors = admission.descriptors()
@@ -48,7 +48,7 @@
             return Verdict.WAIT
         if admission.held < admission.budget.max_client_descriptors and self._close_oldest_idle():
             return Verdict.WAIT
-        # A connection that is being accepted or closed only needs the loop's next iterations.
+        # Connections that are being accepted or closed are done within a few loop iterations.
         in_transition = bool(core.arriving) or any(c.is_closed() for c in core.clients)
         return Verdict.WAIT if in_transition else Verdict.REJECT
 
@@ -56,8 +56,8 @@
         """Handle a descriptor that the system refused although the settings allow it.
 
         `own_limit`: this process has reached its own limit (EMFILE), and assumes a lower one for a
-        while. A shortage of the whole system says nothing of how many this process may hold: with
-        a limit of what it held, it would go on closing nearly all clients after the shortage.
+        while. A shortage of the whole system does not tell how many this process may hold; a limit
+        at its current number would make it close nearly all clients even after the shortage.
         """
         admission = self._core.admission
         now = self._core.clock()
@@ -67,7 +67,7 @@
             self._close_oldest_idle()
 
     def release(self, slots: list[ConnectionSlot], reason: Reason) -> int:
-        """Close connections, except where unread bytes arrived; return how many were closed."""
+        """Close connections, except those with unread bytes; return how many were closed."""
         closed = 0
         for slot in slots:
             if slot.owner is not None and slot.owner.close_unless_unread(reason):
@@ -77,7 +77,7 @@
         return closed
 
     def _close_oldest_idle(self) -> bool:
-        """Close the connection to a host that has been idle longest; return whether one was."""
+        """Close the longest idle connection to a host; return whether there was one."""
         pools = self._core.pools
         idle = [(since, i) for i, p in enumerate(pools) if (since := p.transport.oldest_idle())]
         return bool(idle) and pools[min(idle)[1]].transport.close_oldest_idle()
--- a/sailhitch/core/drain.py
+++ b/sailhitch/core/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: the time left to open requests, and closing connections between requests."""
+"""Graceful shutdown: deadlines of open requests, and closing of connections between requests."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 if TYPE_CHECKING:
     from .core import GatewayCore
 
-MAX_DRAIN_HOLD: Final = 1500 * MS  # connections are kept no longer than this while draining
+MAX_DRAIN_HOLD: Final = 1500 * MS  # longest time that connections are kept open while draining
 MAX_RESPONSE_WAIT: Final = 3000 * MS  # longest time to a response, whatever the settings allow
 RESPONSE_MARGIN: Final = 550 * MS  # after SIGTERM, on top of the longest deadline
 
 
 def last_response_after(longest_deadline: int) -> int:
-    """Return how long after SIGTERM the last response is surely out, in microseconds."""
+    """Return the time from SIGTERM by which the last response is sent, in microseconds."""
     return min(MAX_RESPONSE_WAIT, longest_deadline) + RESPONSE_MARGIN
 
 
 def shorten_deadlines(core: GatewayCore) -> None:
-    """Limit open requests, which may have been promised more time than this process has."""
+    """Limit the deadlines of open requests to the time that this process has left."""
     drain_until = core.drain_until
     for request in list(core.open_requests.values()):
         if request.closed or request.is_uploading() or request.deadline <= drain_until:
@@ -33,9 +33,9 @@
 
 
 def close_idle_clients(core: GatewayCore) -> bool:
-    """Close connections that await no response; return whether any other is left.
+    """Close idle connections; return whether any is left.
 
-    A connection is left whose client awaits a response, or has sent bytes that are unread.
+    Those whose client awaits a response, or has sent bytes that are unread, are left.
     """
     remaining = bool(core.arriving) or bool(core.draining_listeners)
     for client in list(core.clients):
--- a/sailhitch/core/endpoints.py
+++ b/sailhitch/core/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints as a source of endpoints lists them, with their addresses."""
+"""Entries and updates of an endpoint list, as received from its source."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """An endpoint as the decision module has it, and the address to connect to."""
+    """An endpoint in the decision module's form, and the address to connect to."""
 
     endpoint: Endpoint
     address: Address
@@ -39,4 +39,4 @@
     is_snapshot: bool
     entries: tuple[EndpointAddress, ...]
     invalid_count: int  # entries that could not be read
-    invalid_names: frozenset[str]  # of those, as far as they had one
+    invalid_names: frozenset[str]  # names of those entries, where readable
--- a/sailhitch/core/interfaces.py
+++ b/sailhitch/core/interfaces.py
@@ -22,7 +22,7 @@
         """Refuse the request; `retry_after` in microseconds, 0 for no advice."""
 
     def fail(self, request: RequestContext, late: bool) -> None:
-        """Report a failure, or a time-out (`late`); the request may have taken effect."""
+        """Report a failure, or a timeout (`late`); the request may have taken effect."""
 
     def begin(
         self,
@@ -31,9 +31,9 @@
         length: int | None,
         source: ResponseSource,
     ) -> None:
-        """Send the head of a host's response; its body follows by `more` until `end` or `cut`.
+        """Send the head of a host's response; `more` sends its body, until `end` or `cut`.
 
-        `length` is that of the body; None if unknown.
+        `length` is the length of the body; None if unknown.
         """
 
     def more(self, data: bytes) -> None:
@@ -46,7 +46,7 @@
         """Abort the response, so that the client can tell that it is incomplete."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed its connection, even if that is unread."""
+        """Return whether the client has disconnected, even if that has not been read yet."""
 
 
 class ResponseSource(Protocol):
@@ -56,7 +56,7 @@
         """Pause: the client reads more slowly than the host sends."""
 
     def resume_reading(self) -> None:
-        """Resume: the client has read all that was sent."""
+        """Resume: the client has read everything that was sent."""
 
     def cancelled(self) -> None:
         """Cancel: the client has disconnected."""
@@ -66,10 +66,10 @@
     """A front's connection, as admission control and the drain use it."""
 
     def close_unless_unread(self, reason: Reason) -> bool:
-        """Close now; return False, and don't close, if bytes of a request are here unread."""
+        """Close now, unless unread bytes of a request have arrived; return whether it is closed."""
 
     def close_idle(self, reason: Reason) -> bool:
-        """Close between two requests; return False if the next one is here, unread."""
+        """Close between two requests; return False if bytes of the next have arrived unread."""
 
     def sweep(self, now: int) -> None:
         """Close it if it makes no progress; called several times a second."""
@@ -78,18 +78,19 @@
         """Return whether no response is pending and nothing of a request has been read."""
 
     def is_closed(self) -> bool:
-        """Return whether this side has closed it and written all: its descriptor is freed next."""
+        """Return whether it is closed and all is written, so that its descriptor is freed next."""
 
     def has_unanswered_request(self) -> bool:
-        """Return whether the client may still get a response, or bytes already written."""
+        """Return whether a response, or bytes already written, may still reach the client."""
 
     def abort(self) -> None:
-        """Close at once, whatever is open."""
+        """Close at once, even with requests open."""
 
     def detach(self) -> int | None:
-        """Hand the connection over between two requests: return a duplicate of its descriptor.
+        """Detach the connection between two requests; return a duplicate of its descriptor.
 
-        The caller closes it. Returns None while a response is pending or part of a request is read.
+        The caller closes the descriptor. Returns None while a response is pending or part of a
+        request has been read.
         """
 
 
@@ -108,34 +109,34 @@
 
 
 class MayWrite(Protocol):
-    """Asked right before an attempt's first byte is written, as rules may have changed since."""
+    """Checks an attempt right before its first byte is written, as rules may have changed."""
 
     def __call__(self, attempt: Attempt, /) -> bool:
         """Return whether the rules in force allow the attempt."""
 
 
 class HasUnreadEvent(Protocol):
-    """Asked of a source of endpoints, where its updates are read with a delay."""
+    """Checks a source of endpoints for updates that have arrived but are not applied."""
 
     def __call__(self) -> bool:
         """Return whether an update has arrived that is not applied yet."""
 
 
 class OnOutcome(Protocol):
-    """Receives the outcome of each attempt that says something of its host."""
+    """Receives the outcome of each attempt that is attributable to its host."""
 
     def __call__(self, server: str, status: str, /) -> None:
         """Record the outcome."""
 
 
 class RequestSink(Protocol):
-    """What carries an attempt to a host."""
+    """The connection that carries an attempt to a host."""
 
     def abandon(self) -> None:
         """Discard the response, which may still arrive."""
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether part of the request is not sent: abandoned now, it never ran."""
+        """Return whether part of the request is unsent, so that the host can't have run it."""
 
 
 class Pending(Protocol):
@@ -158,7 +159,7 @@
         """Send an attempt; to a host that is not listed, it fails as a failed connection."""
 
     def is_connected(self, attempt: Attempt) -> bool:
-        """Return whether the system has connected it, while it still waits for its connection."""
+        """Return whether its socket is connected while it still waits for the connection."""
 
     def list_host(self, entry: EndpointAddress) -> None:
         """Add a host, or update a known one."""
@@ -167,7 +168,7 @@
         """Remove a host; attempts that are open on it run to their end."""
 
     def size(self) -> int:
-        """Return how many descriptors are held, connections being made included."""
+        """Return the descriptors in use, including those of connections being established."""
 
     def oldest_idle(self) -> int | None:
         """Return since when (us) the longest idle connection has been idle; None if none is."""
--- a/sailhitch/core/invariants.py
+++ b/sailhitch/core/invariants.py
@@ -1,7 +1,7 @@
-"""The rules on requests as invariants, each checked in one place.
+"""Invariants of requests, each checked in one place as a last line of defence.
 
-Decisions follow these rules earlier. A violation detected here is a fault of the program: the
-action is not carried out, it is logged with the request's name, and counted by `violations` in the
+Decisions already follow these rules, so a violation detected here is a bug. The action is not
+carried out; the violation is logged with the request's name, and counted by `violations` in the
 periodic statistics.
 """
 
@@ -15,7 +15,7 @@
 
 
 class Violation(Enum):
-    """An invariant that would have been broken."""
+    """An invariant that an action would have violated; the value is its description in the log."""
 
     SENT_UNOWED = "sent for a request that nobody is owed an answer to"
     SENT_LATE = "sent after its time"
@@ -39,7 +39,7 @@
         return sum(self.counts.values())
 
     def record(self, violation: Violation, request: RequestContext, details: str = "") -> Violation:
-        """Record a violation."""
+        """Count and log a violation."""
         self.counts[violation] += 1
         name = request.name.decode("latin-1")
         text = f"violation: request {name}: {violation.value}{details}"
@@ -51,8 +51,8 @@
     ) -> Violation | None:
         """Return the invariant that writing an attempt's first byte now would violate, if any.
 
-        `ready`: its host is listed as ready. `remembered`: hosts still recognize a retry of it by
-        its idempotency key.
+        `ready`: its host is listed as ready. `remembered`: hosts still recognize a retry by its
+        idempotency key.
         """
         request = attempt.request
         violation = None
@@ -69,7 +69,7 @@
         return violation
 
     def before_refusal(self, request: RequestContext) -> bool:
-        """Return whether the request may be rejected, which promises that a retry is harmless."""
+        """Return whether the request may be rejected, which implies that a retry is safe."""
         request_class = request.request_class
         if request_class is None or request_class.idempotency != Idempotency.UNSAFE:
             return True
--- a/sailhitch/core/log.py
+++ b/sailhitch/core/log.py
@@ -1,4 +1,4 @@
-"""Log lines for on-call staff, on standard error, at a bounded rate."""
+"""Log for operators: lines on standard error, at a bounded rate."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import time
 from typing import Final, TextIO
 
-INTERVAL_PER_KEY: Final = 5.0  # s between two lines of one key
-MAX_LINES_PER_SECOND: Final = 40  # of all keys
+INTERVAL_PER_KEY: Final = 5.0  # s between two lines with the same key
+MAX_LINES_PER_SECOND: Final = 40  # over all keys
 MAX_KEYS: Final = 512
 MAX_LINE_BYTES: Final = select.PIPE_BUF  # a pipe that polls writable accepts this many
 
@@ -16,19 +16,21 @@
 class Log:
     """Writes lines to standard error, at a bounded rate.
 
-    What a peer can cause a thousand times a second must not cost a line each time; lines that are
-    left out are counted, and the count is written with the next line of their key.
+    A peer may cause the same event a thousand times a second, which must not cost a line each time.
+    Omitted lines are counted, and the count is written with the next line of the same key.
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._by_key: dict[str, tuple[float, int]] = {}  # time of the last line, lines left out
+        self._by_key: dict[
+            str, tuple[float, int]
+        ] = {}  # time of the last line, lines omitted since
         self._second = 0
         self._lines = 0  # in that second
         self._lost = 0  # lines that standard error did not accept
 
     def write(self, text: str) -> None:
-        """Write a line about something rare."""
+        """Write a line about a rare event."""
         now = time.time()
         if int(now) != self._second:
             self._second = int(now)
@@ -50,22 +52,22 @@
             return  # the log has no reader; the gateway continues
 
     def write_limited(self, key: str, text: str) -> None:
-        """Write a line about something that may be frequent, at a limited rate for each key."""
+        """Write a line about an event that may be frequent; the rate is limited by key."""
         now = time.monotonic()
-        last, missed = self._by_key.get(key, (-INTERVAL_PER_KEY, 0))
+        last, omitted = self._by_key.get(key, (-INTERVAL_PER_KEY, 0))
         if now - last < INTERVAL_PER_KEY:
-            self._by_key[key] = (last, missed + 1)
+            self._by_key[key] = (last, omitted + 1)
             return
         if len(self._by_key) >= MAX_KEYS:
             self._by_key.clear()
         self._by_key[key] = (now, 0)
-        self.write(f"{text} ({missed} more like this before)" if missed else text)
+        self.write(f"{text} ({omitted} similar lines omitted)" if omitted else text)
 
 
 def _line(text: str) -> str:
     """Return a text as one line, truncated if it is too long.
 
-    The limit is one of bytes, and the end of the line must not be cut off.
+    The limit counts bytes, and includes the newline, which must not be cut off.
     """
     encoded = text.encode(errors="backslashreplace")
     if len(encoded) >= MAX_LINE_BYTES:
@@ -82,7 +84,7 @@
     try:
         descriptor = stream.fileno()
     except (OSError, ValueError):
-        return True  # not a file of the system
+        return True  # without a descriptor, as in tests
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
     return bool(poll.poll(0))
--- a/sailhitch/core/loop_wait.py
+++ b/sailhitch/core/loop_wait.py
@@ -1,13 +1,13 @@
-"""Wait with a time-out that a stall of the event loop does not spend alone."""
+"""Wait with a timeout that doesn't expire just because the event loop was stalled."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Any, Final
 
-# s in which the event loop reads what has arrived...
+# s, enough for the event loop to read what has arrived...
 READ_DELAY: Final = 0.001
-# ...and in which it reports a connection that the system has established.
+# ...and to report a connection that the system has established.
 CONNECT_DELAY: Final = 0.01
 
 
@@ -17,7 +17,7 @@
     """Wait for a future for at most `timeout` s; return whether it is done.
 
     After a stall the event loop runs timers before it handles what its sockets have received. So
-    the future has `delay` more seconds after the time-out. It is not cancelled.
+    the future has `delay` more seconds after the timeout. It is not cancelled.
     """
     await asyncio.wait((future,), timeout=timeout)
     if not future.done():
--- a/sailhitch/core/maintenance.py
+++ b/sailhitch/core/maintenance.py
@@ -1,7 +1,7 @@
-"""Hosts in maintenance: taken out by hand, which overrides the endpoint list.
+"""Hosts in maintenance: taken out by operators, which overrides the endpoint list.
 
-The only place that decides what the decision module receives of such a host. No I/O; times are
-microseconds of the process's clock, which is comparable to a host's time of start.
+This module alone decides in which state the decision module sees such a host. No I/O; times are
+microseconds of the process's clock, which are comparable to a host's start time.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 
 from ..policy_interface import Endpoint, EndpointState
 
-MAX_KNOWN_NAMES: Final = 20_000  # of all hosts ever listed; older ones are unknown
+MAX_KNOWN_NAMES: Final = 20_000  # of hosts ever listed; the least recently listed are forgotten
 
 
 class MaintenanceResult(Enum):
-    """The result of a call."""
+    """The result of an operator's request."""
 
     CHANGED = "changed"
     ALREADY = "already"
-    UNKNOWN = "unknown"  # never listed here
+    UNKNOWN = "unknown"  # no such host was ever listed
 
 
 class CompletedBan(NamedTuple):
-    """A host that was put back: when it was taken out, and when its ban ended."""
+    """Begin and end of a maintenance that is over."""
 
     entered: int
     left: int
 
 
 class Maintenance:
-    """Hosts in maintenance (bans), and hosts that have returned from it."""
+    """Hosts in maintenance (bans), and hosts that have recently returned from it."""
 
     def __init__(self) -> None:
         self.known_names: OrderedDict[str, None] = OrderedDict()
-        self.bans: dict[str, int] = {}  # since when, by name
+        self.bans: dict[str, int] = {}  # begin of the maintenance, by name
         self.returned: dict[str, CompletedBan] = {}
 
     def add_names(self, names: Iterable[str]) -> None:
-        """Record names that are or were endpoint."""
+        """Record the names of listed hosts."""
         for name in names:
             self.known_names[name] = None
             self.known_names.move_to_end(name)
@@ -48,7 +48,7 @@
             self.known_names.popitem(last=False)
 
     def knows(self, name: str) -> bool:
-        """Return whether a host of this id was ever listed here."""
+        """Return whether a host of this id was ever listed."""
         return name in self.known_names or name in self.bans
 
     def is_out(self, name: str) -> bool:
@@ -56,7 +56,7 @@
         return name in self.bans
 
     def enter(self, name: str, now: int) -> MaintenanceResult:
-        """Take a host out; however often this is called, one `leave` puts it back."""
+        """Take a host out; one `leave` puts it back, however often this is called."""
         if name in self.bans:
             return MaintenanceResult.ALREADY
         if name not in self.known_names:
@@ -66,7 +66,7 @@
         return MaintenanceResult.CHANGED
 
     def leave(self, name: str, now: int) -> MaintenanceResult:
-        """Put a host back; one call ends any number of `enter`."""
+        """Put a host back; one call undoes any number of `enter`."""
         entered = self.bans.pop(name, None)
         if entered is None:
             known = name in self.known_names
@@ -77,9 +77,9 @@
     def apply_to(self, endpoint: Endpoint) -> Endpoint:
         """Return an endpoint as the decision module is to receive it.
 
-        Hosts are taken out to be restarted, and the list reports a start late. If a host that has
-        just returned were taken for a warm one, it would be overloaded. So it counts as started at
-        the end of its ban, until the list reports a start later than the ban's begin.
+        Hosts are usually taken out to be restarted, and the list reports the new start time late.
+        A host that has just returned would be overloaded if it were treated as warm. So it counts
+        as started at the end of its ban, until the list reports a start after the ban's begin.
         """
         name = endpoint.name
         if name in self.bans:
@@ -95,5 +95,5 @@
         return endpoint._replace(started_at=completed.left)
 
     def forget(self, name: str) -> None:
-        """Forget the completed ban of a host that left the list; a ban remains, for its return."""
+        """Forget the completed ban of a host that left the list; an open ban is kept."""
         self.returned.pop(name, None)
--- a/sailhitch/core/outcome_recorder.py
+++ b/sailhitch/core/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Count the outcomes of a pool's attempts, and log hosts whose attempts begin to fail."""
+"""Counts the outcomes of a pool's attempts, and logs hosts whose attempts begin to fail."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     from .pool import Pool
 
 MAX_REASON: Final = 100  # characters of a malformed response's description in the log
-# Outcomes that say nothing of the host.
+# Outcomes that say nothing about the host.
 NOT_ATTRIBUTED: Final = (
     AttemptOutcome.NOT_SENT,
     AttemptOutcome.CANCELLED,
@@ -26,13 +26,13 @@
         self._pool = pool
         self._counters = pool.core.counters
         self._logger = pool.core.logger
-        self.failing: set[str] = set()  # hosts whose last attempt failed; for the log only
+        self.failing: set[str] = set()  # hosts whose last attempt failed; used for logging only
 
-    def record(self, server: str, status: AttemptOutcome, fair: bool) -> None:
-        """Record an outcome; `fair`: it says something of the host."""
+    def record(self, server: str, status: AttemptOutcome, attributable: bool) -> None:
+        """Record an outcome; `attributable`: the host is responsible for it."""
         statuses = self._counters.statuses
         statuses[status] = statuses.get(status, 0) + 1
-        if not fair or status in NOT_ATTRIBUTED:
+        if not attributable or status in NOT_ATTRIBUTED:
             return
         if self._pool.on_outcome is not None:
             self._pool.on_outcome(server, status)
@@ -43,12 +43,14 @@
             self._logger.write_limited(f"host {server}", f"host {server}: {status}")
 
     def record_malformed(self, server: str, reason: str) -> None:
-        """Record bytes of a host that are no valid response."""
+        """Record an invalid response of a host."""
         self._counters.malformed += 1
         self._logger.write_limited(
-            f"malformed {server}", f"host {server}: malformed answer: {reason[:MAX_REASON]}"
+            f"malformed {server}", f"host {server}: malformed response: {reason[:MAX_REASON]}"
         )
 
     def record_unexpected_status(self, server: str, status: int) -> None:
         """Record a complete response that neither serves nor rejects the request."""
-        self._logger.write_limited(f"status {status} {server}", f"host {server} answered {status}")
+        self._logger.write_limited(
+            f"status {status} {server}", f"host {server} responded with status {status}"
+        )
--- a/sailhitch/core/periodic.py
+++ b/sailhitch/core/periodic.py
@@ -13,18 +13,18 @@
 
 PERIODIC_INTERVAL: Final = 25 * MS  # between two checks of the event loop
 HOST_SWEEP_INTERVAL: Final = 1000 * MS
-# Clients have time limits of a few seconds, which must be kept to a fraction of a second.
+# Time limits of clients are a few seconds, and must be kept to a fraction of a second.
 CLIENT_SWEEP_INTERVAL: Final = 200 * MS
 STATISTICS_INTERVAL: Final = 10_000 * MS
 
 
 class PeriodicTasks:
-    """Runs the periodic work; each task by itself, so that one that fails stops no other."""
+    """Runs the periodic tasks, isolated from each other's exceptions."""
 
     def __init__(self, core: GatewayCore) -> None:
         self._core = core
-        self.last_tick_at = 0  # the core detects stalls of the event loop by this
-        self.next_tick_at = NEVER  # and how long one has lasted by this
+        self.last_tick_at = 0  # tells the core whether the event loop has stalled
+        self.next_tick_at = NEVER  # tells it how long a stall has lasted
         self.host_sweep_at = 0
         self.client_sweep_at = 0
         self.statistics_at = 0
--- a/sailhitch/core/policy_port.py
+++ b/sailhitch/core/policy_port.py
@@ -1,4 +1,4 @@
-"""Actions of a pool's decision module: the `Port` that it sends attempts and responses by."""
+"""The `Port` by which a pool's decision module sends attempts and responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 class PolicyPort:
     """Carries out the decision module's actions; implements `Port`.
 
-    Outcomes that are known while the module runs are deferred until it has returned.
+    The module is not reentrant: outcomes that are known while it runs are reported once it has
+    returned.
     """
 
     def __init__(self, pool: Pool) -> None:
@@ -23,7 +24,7 @@
         self._core = pool.core
 
     def send(self, req: int, server: str, timeout: int) -> None:
-        """Send an attempt, which has `timeout` microseconds; 0: until the request's deadline."""
+        """Send an attempt that times out after `timeout` microseconds; 0: at the deadline."""
         request = self._core.open_requests.get(req)
         if request is None:
             return
@@ -69,7 +70,7 @@
                 self._pool.defer_outcome(open_attempt, AttemptOutcome.CANCELLED)
 
     def set_timer(self, token: int, at: int) -> None:
-        """Call the module's `timer` with this token at that time."""
+        """Call the module's `timer` with `token` at time `at`."""
         self._core.timers.push(at, (self._pool, token))
 
     def watch(self, on: bool) -> None:
--- a/sailhitch/core/policy_snapshot.py
+++ b/sailhitch/core/policy_snapshot.py
@@ -1,7 +1,4 @@
-"""Snapshots of what the decision module has learned, for the process that takes over.
-
-No decision is made here.
-"""
+"""Snapshots of the decision module's learned state, for a successor process to continue with."""
 
 from __future__ import annotations
 
@@ -10,7 +7,7 @@
 
 
 def take_snapshot(policy: Gateway) -> PolicySnapshot:
-    """Return what was learned; attempts, queued requests and tokens are not part of it."""
+    """Return the learned state; attempts, queued requests and tokens are not part of it."""
     fields = ServerSnapshot._fields[1:-1]
     overload = policy.overload
     scores = policy.scores
@@ -46,19 +43,19 @@
 
 
 def restore_snapshot(policy: Gateway, snapshot: PolicySnapshot) -> None:
-    """Continue with what the predecessor has learned.
+    """Continue with the predecessor's learned state.
 
     Without it a new process would assume that all servers are equal and idle, and overload the slow
-    ones first. What was learned of an earlier incarnation of a server is dropped.
+    ones first. State of a server that has restarted since is dropped.
     """
     overload = policy.overload
     scores = policy.scores
-    for name, known in snapshot.servers.items():
+    for name, saved in snapshot.servers.items():
         server = policy.endpoint_table.servers.get(name)
-        if server is not None and server.listed_started_at == known.started_at:
-            for field, value in zip(ServerSnapshot._fields[2:-1], known[2:-1], strict=True):
+        if server is not None and server.listed_started_at == saved.started_at:
+            for field, value in zip(ServerSnapshot._fields[2:-1], saved[2:-1], strict=True):
                 setattr(server, field, value)
-            server.rate.restore_snapshot(known.rate)
+            server.rate.restore_snapshot(saved.rate)
     for i, request_class in enumerate(policy.settings.classes):
         if request_class.name in snapshot.classes:
             latency, work = snapshot.classes[request_class.name]
--- a/sailhitch/core/pool.py
+++ b/sailhitch/core/pool.py
@@ -1,7 +1,7 @@
-"""A pool of hosts: events to its decision module, and its attempts until their outcomes.
+"""A pool of hosts: passes events to its decision module, and tracks attempts to their outcomes.
 
-It is the only caller of the module, and owns the meaning that the simulator's wire gives to
-events: numbers of attempts and their time-outs, when a request is closed, and outcomes.
+Only this module calls the decision module. It defines the events as the simulator's protocol does:
+how attempts are numbered and time out, when a request is closed, and which outcomes there are.
 """
 
 from __future__ import annotations
@@ -46,11 +46,11 @@
 
 
 SERVICE_UNAVAILABLE: Final = 503
-CONNECT_EVENT_DELAY: Final = 10_000  # us until the loop reports a connection after a stall
+CONNECT_EVENT_DELAY: Final = 10_000  # us for the event loop to report a connection after a stall
 
 
 class Pool:
-    """Translates between the core and one instance of the decision module."""
+    """Connects the core with one instance of the decision module and its transport."""
 
     def __init__(
         self,
@@ -69,14 +69,14 @@
         self._endpoint_list = PoolEndpoints(self)
         self.endpoints = self._endpoint_list.by_name
         self.maintenance = self._endpoint_list.maintenance
-        self.list_valid_at = 0  # when its source last reported no change; 0: not known
+        self.list_valid_at = 0  # when its source last confirmed the list; 0 if unknown
         self._outcomes = OutcomeRecorder(self)
         self.failing = self._outcomes.failing
         self.set_watch_wanted: SetWatchWanted | None = None
         self.may_write: MayWrite | None = None
         self.has_unread_event: HasUnreadEvent | None = None
         self.on_outcome: OnOutcome | None = None
-        self.stamp = b""  # header fields that every attempt carries, of the rules it is sent by
+        self.stamp = b""  # header fields on every attempt, which name the version of the rules
         self._in_policy = False
         self._deferred_outcomes: deque[tuple[Attempt, AttemptOutcome]] = deque()
         self.transport = transport(self)
@@ -84,7 +84,7 @@
         self.policy = Gateway(self.port, settings, seed)
 
     def start(self, update: EndpointUpdate) -> None:
-        """Start the module with the last known list."""
+        """Start the module with the last known endpoint list."""
         now = self.core.clock()
         self.notify_policy(None, lambda: self.policy.start(now))
         self.apply_update(update, WatchEventKind.RESTORED)
@@ -92,9 +92,9 @@
     # --- Events to the decision module
 
     def notify_policy(self, request: RequestContext | None, event: Callable[[], None]) -> None:
-        """Pass the module an event; its exception fails that request alone, not the process."""
+        """Pass an event to the module; an exception fails only the request, not the process."""
         if self._in_policy:
-            raise RuntimeError("the module was called from inside itself")
+            raise RuntimeError("reentrant call of the decision module")
         self._in_policy = True
         try:
             event()
@@ -113,11 +113,11 @@
             self.core.respond_failed(request)
 
     def request(self, request: RequestContext, now: int, deadline: int) -> None:
-        """Pass on a request: complete, or a part of it that can be streamed."""
+        """Pass a request to the module once it is complete, or can be streamed."""
         request_class = request.request_class
         assert request_class is not None
         number = self.request_classes.number(request_class)
-        if number is None:  # the class was removed longer ago than removed classes are kept
+        if number is None:  # removed classes are kept for a limited time
             self.core.respond_failed(request)
             return
         self.notify_policy(
@@ -136,7 +136,7 @@
         )
 
     def body_complete(self, request: RequestContext, now: int) -> None:
-        """Report the last byte of a request that was streamed."""
+        """Report that the last byte of a streamed request has arrived."""
         self.notify_policy(
             request, lambda: self.policy.body_complete(now, request.id, request.deadline)
         )
@@ -146,7 +146,7 @@
         self.notify_policy(None, lambda: self.policy.client_disconnected(now, request.id))
 
     def timer(self, token: int, now: int) -> None:
-        """Fire a timer that the module has set."""
+        """Report a timer that the module has set."""
         self.notify_policy(None, lambda: self.policy.timer(now, token))
 
     def on_stall(self, now: int) -> None:
@@ -154,7 +154,7 @@
         self.notify_policy(None, lambda: self.policy.on_stall(now))
 
     def retire(self) -> None:
-        """Retire the pool: queued requests get a response, and open attempts run to their end."""
+        """Retire the pool: queued requests get a response, and open attempts are completed."""
         now = self.core.clock()
         self.notify_policy(None, lambda: self.policy.retire(now))
 
@@ -162,17 +162,17 @@
         self,
         settings: Settings,
         connection_settings: ConnectionSettings,
-        also: Sequence[RequestClass] = (),
+        extra_classes: Sequence[RequestClass] = (),
     ) -> None:
-        """Apply other settings; open requests keep the class that they had.
+        """Apply other settings; open requests keep their class.
 
-        `also` are classes that requests may have for a while besides those of the settings.
+        `extra_classes`, besides those of the settings, are accepted for a while.
         """
         self.connection_settings = connection_settings
         if settings != self.settings:
             self.settings = settings
             now = self.core.clock()
-            classes = self.request_classes.replace(now, settings.classes, also)
+            classes = self.request_classes.replace(now, settings.classes, extra_classes)
             policy_settings = replace(settings, classes=classes)
             self.notify_policy(None, lambda: self.policy.reconfigure(now, policy_settings))
 
@@ -183,7 +183,7 @@
         return self.has_unread_event is not None and self.has_unread_event()
 
     def defer_outcome(self, attempt: Attempt, status: AttemptOutcome) -> None:
-        """Record an outcome once the module, which is running, has returned."""
+        """Record an outcome once the module, which is running now, has returned."""
         self._deferred_outcomes.append((attempt, status))
 
     def may_send(self, attempt: Attempt, now: int, ready: bool) -> bool:
@@ -195,10 +195,10 @@
         return self.core.invariants.before_send(attempt, now, ready, remembered) is None
 
     def is_key_remembered(self, request: RequestContext, now: int) -> bool:
-        """Return whether hosts still recognize a retry that is written now as one.
+        """Return whether hosts still recognize a retry by its key if it is written now.
 
-        They did when the module chose; connecting may take longer than the rest of the idempotency
-        window, and then the request would take effect twice.
+        They did when the module chose the attempt, but connecting may take longer than the rest of
+        the idempotency window, and the request would then take effect twice.
         """
         request_class = request.request_class
         if request_class is None or request_class.idempotency != Idempotency.KEYED:
@@ -209,20 +209,20 @@
         return now < request.first_run_at + window
 
     def check_timeouts(self, attempt: Attempt, now: int) -> None:
-        """End an attempt whose time-outs have passed."""
+        """End an attempt whose timeout, or connect timeout, has passed."""
         if attempt.expires_at <= now:
-            self._give_up(attempt, self._expiry_outcome(attempt))
+            self._abort(attempt, self._expiry_outcome(attempt))
         elif attempt.connect_by and attempt.connect_by <= now:
             if self.transport.is_connected(attempt):
-                # After a stall timers run before the loop reports connections.
+                # After a stall, timers run before the event loop reports connections.
                 attempt.connect_by = now + CONNECT_EVENT_DELAY
             else:
-                self._give_up(attempt, AttemptOutcome.CONNECT_FAILED)
+                self._abort(attempt, AttemptOutcome.CONNECT_FAILED)
 
     def _expiry_outcome(self, attempt: Attempt) -> AttemptOutcome:
         if attempt.connection is not None:
             return AttemptOutcome.TIMEOUT
-        # Nothing was written, so it never ran, whatever it waited for.
+        # Nothing was written, so the attempt never ran.
         if attempt.connect_by and not self.transport.is_connected(attempt):
             return AttemptOutcome.EXPIRED
         return AttemptOutcome.NOT_SENT
@@ -256,7 +256,7 @@
         )
         return client
 
-    def _give_up(self, attempt: Attempt, status: AttemptOutcome) -> None:
+    def _abort(self, attempt: Attempt, status: AttemptOutcome) -> None:
         attempt.cancel()
         self.attempt_finished(attempt, status, None, None)
 
@@ -276,7 +276,7 @@
         core = self.core
         if status not in NEVER_RAN and not request.first_run_at:
             request.first_run_at = attempt.sent_at
-        if status == AttemptOutcome.NOT_SENT and _has_client_left(request):
+        if status == AttemptOutcome.NOT_SENT and _has_client_disconnected(request):
             core.client_disconnected(request)
         request.open_attempts.remove(attempt)
         now = core.clock()
@@ -287,36 +287,46 @@
                 core.respond_served(request, response)
             elif status == AttemptOutcome.ERROR and response is not None:
                 self._keep_fallback(request, response)
-        fair = status != AttemptOutcome.TIMEOUT or self._had_fair_time(attempt, now)
-        self._outcomes.record(attempt.server, status, fair)
+        attributable = status != AttemptOutcome.TIMEOUT or self._is_timeout_attributable(
+            attempt, now
+        )
+        self._outcomes.record(attempt.server, status, attributable)
         closed = request.closed
         self.notify_policy(
             request,
             lambda: self.policy.outcome(
-                now, request.id, attempt.number, status, closed, latency, attempt.server, load, fair
+                now,
+                request.id,
+                attempt.number,
+                status,
+                closed,
+                latency,
+                attempt.server,
+                load,
+                attributable,
             ),
         )
         core.release_request(request)
 
     def _keep_fallback(self, request: RequestContext, response: Response) -> None:
-        """Keep a host's error response, for a request that no attempt will serve."""
+        """Keep a host's error response, to be sent if no attempt succeeds."""
         if self.connection_settings.passes_any_status:
-            # A host's 503, passed on unchanged, would promise as the gateway's own does that a
-            # retry is harmless.
+            # Clients take a 503 as the gateway's own, which tells them that a retry is safe; a
+            # host's 503 doesn't.
             unsafe = response.status == SERVICE_UNAVAILABLE
             request.fallback_response = None if unsafe else response
 
-    def _had_fair_time(self, attempt: Attempt, now: int) -> bool:
-        """Return whether a time-out of this attempt says something of its host.
+    def _is_timeout_attributable(self, attempt: Attempt, now: int) -> bool:
+        """Return whether this attempt's timeout is attributable to its host.
 
-        It does not if the event loop stalled before the request was written, and the host had less
-        time than that took.
+        It is not if the event loop stalled before the request was written, and the host had less
+        time to respond than writing took.
         """
         stalled = attempt.sent_at < self.core.stalled_until <= attempt.written_at
         return not stalled or now - attempt.written_at >= attempt.written_at - attempt.sent_at
 
     def on_malformed_response(self, server: str, reason: str) -> None:
-        """Record bytes of a host that are no valid response."""
+        """Record an invalid response of a host."""
         self._outcomes.record_malformed(server, reason)
 
     def on_unexpected_status(self, server: str, status: int) -> None:
@@ -326,35 +336,35 @@
     # --- Endpoints
 
     def apply_update(self, update: EndpointUpdate, event: WatchEventKind) -> None:
-        """Apply an update of the endpoint list; `event` is its kind for the decision module."""
+        """Apply an update of the endpoint list; `event` tells the module which kind it is."""
         self._endpoint_list.apply_update(update, event)
 
     def on_endpoint_update(self, update: EndpointUpdate) -> None:
-        """Apply a source's response: the complete list, or changes to it."""
+        """Apply an update from the source: the complete list, or changes to it."""
         self._endpoint_list.on_update(update)
 
     def on_watch_failed(self) -> None:
-        """Report that a watch which the module asked for has failed."""
+        """Report to the module that the watch it requested has failed."""
         now = self.core.clock()
         self.notify_policy(None, lambda: self.policy.on_watch_event(now, WatchEventKind.FAILED, ()))
 
     def set_maintenance(self, name: str, out: bool) -> None:
-        """Take a host out by hand, or put it back."""
+        """Take a host out for maintenance, or put it back."""
         if out:
             self.enter_maintenance(name)
         else:
             self.leave_maintenance(name)
 
     def enter_maintenance(self, name: str) -> MaintenanceResult:
-        """Take a host out by hand; no new request is sent to it from now on."""
+        """Take a host out for maintenance; no new request is sent to it from now on."""
         return self._endpoint_list.enter_maintenance(name)
 
     def leave_maintenance(self, name: str) -> MaintenanceResult:
-        """Put a host back; it is used from now on, as one that has just started."""
+        """Put a host back; it is used from now on like one that has just started."""
         return self._endpoint_list.leave_maintenance(name)
 
     def republish(self, names: list[str]) -> None:
-        """Pass these hosts on again, as their maintenance has changed."""
+        """Pass hosts to transport and module again, as their maintenance has changed."""
         self._endpoint_list.republish(names)
 
     # --- Statistics and snapshots
@@ -365,11 +375,11 @@
         return " ".join(f"{name}={count}" for name, count in counters.items())
 
     def take_snapshot(self) -> PolicySnapshot:
-        """Return what the module has learned."""
+        """Return the module's learned state."""
         return take_snapshot(self.policy)
 
     def restore_snapshot(self, snapshot: PolicySnapshot) -> None:
-        """Continue with what another process's module has learned."""
+        """Continue with the learned state of another process's module."""
         self.notify_policy(None, lambda: restore_snapshot(self.policy, snapshot))
 
     def set_share(self, share: float) -> None:
@@ -377,6 +387,6 @@
         self.notify_policy(None, lambda: self.policy.set_share(share))
 
 
-def _has_client_left(request: RequestContext) -> bool:
-    """Return whether the client has disconnected, even if that is unread."""
+def _has_client_disconnected(request: RequestContext) -> bool:
+    """Return whether the client has disconnected, even if the event loop has not read that yet."""
     return request.client is not None and request.client.has_disconnected()
--- a/sailhitch/core/pool_endpoints.py
+++ b/sailhitch/core/pool_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a pool: updates of the list and maintenance, passed to policy and transport."""
+"""Endpoints of a pool: passes list updates and maintenance to the module and the transport."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
-        self.by_name: dict[str, EndpointAddress] = {}  # as listed, whatever maintenance says
+        self.by_name: dict[str, EndpointAddress] = {}  # as listed, regardless of maintenance
         self.maintenance = Maintenance()
 
     def apply_update(self, update: EndpointUpdate, event: WatchEventKind) -> None:
@@ -28,9 +28,9 @@
         if event in (WatchEventKind.SNAPSHOT, WatchEventKind.RESTORED):
             listed = {e.endpoint.name for e in update.entries} | update.invalid_names
             removed += [name for name in self.by_name if name not in listed]
-            # A host whose entry can't be read stays as it was.
-            unread = [self.by_name[n] for n in sorted(update.invalid_names) if n in self.by_name]
-            endpoints += [self.maintenance.apply_to(entry.endpoint) for entry in unread]
+            # A host whose entry is invalid keeps its last valid one.
+            invalid = [self.by_name[n] for n in sorted(update.invalid_names) if n in self.by_name]
+            endpoints += [self.maintenance.apply_to(entry.endpoint) for entry in invalid]
         for name in removed:
             self._remove(name)
         pool = self._pool
@@ -59,7 +59,7 @@
         self._pool.transport.drop_host(name)
 
     def _publish(self, entry: EndpointAddress) -> Endpoint:
-        """Pass an entry to the transport; return it for the module, both after maintenance."""
+        """Pass an entry to the transport; return it for the module. Maintenance applies to both."""
         endpoint = self.maintenance.apply_to(entry.endpoint)
         if endpoint.state != EndpointState.GONE:
             unchanged = endpoint is entry.endpoint
@@ -68,13 +68,13 @@
         return endpoint
 
     def enter_maintenance(self, name: str) -> MaintenanceResult:
-        """Take a host out by hand; no new request is sent to it from now on."""
+        """Take a host out for maintenance; no new request is sent to it from now on."""
         result = self.maintenance.enter(name, self._pool.core.clock())
         self._republish_if_changed(name, result)
         return result
 
     def leave_maintenance(self, name: str) -> MaintenanceResult:
-        """Put a host back; it is used from now on, as one that has just started."""
+        """Put a host back; it is used from now on like one that has just started."""
         result = self.maintenance.leave(name, self._pool.core.clock())
         self._republish_if_changed(name, result)
         return result
@@ -84,14 +84,14 @@
             self.republish([name])
 
     def republish(self, names: list[str]) -> None:
-        """Pass these hosts on again, as their maintenance has changed."""
+        """Pass hosts to transport and module again, as their maintenance has changed."""
         entries = tuple(self.by_name[name] for name in names if name in self.by_name)
         if entries:
             update = EndpointUpdate(0, False, entries, 0, frozenset())
             self._pool.apply_update(update, WatchEventKind.MAINTENANCE)
 
     def on_update(self, update: EndpointUpdate) -> None:
-        """Apply a source's response: the complete list, or changes to it."""
+        """Apply an update from the source: the complete list, or changes to it."""
         event = WatchEventKind.SNAPSHOT if update.is_snapshot else WatchEventKind.CHANGES
         self._pool.apply_update(update, event)
         if update.entries:
--- a/sailhitch/core/process.py
+++ b/sailhitch/core/process.py
@@ -1,4 +1,4 @@
-"""Start and graceful shutdown of a gateway's process: signals, memory, drain."""
+"""Start and graceful shutdown of a gateway process: signals, garbage collection, drain."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 
 from .core import GatewayCore
 
-ACCEPT_TIME: Final = 0.6  # s after SIGTERM; new connections arrive for 0.4 s
+ACCEPT_TIME: Final = 0.6  # s of accepting after SIGTERM; load balancers connect for up to 0.4 s
 DRAIN_POLL_INTERVAL: Final = 0.02  # s
-DRAIN_MARGIN: Final = 50_000  # us after the last response is due
+DRAIN_MARGIN: Final = 50_000  # us to wait after the last response is due
 
 HANDLED_SIGNALS: Final = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 
 
 def block_signals() -> None:
-    """Block the signals: before a handler is set, or after it is removed, they would kill.
+    """Block the handled signals, which kill the process while they have no handler.
 
-    At the start they stay pending until `heed`; at the end until the process exits.
+    At the start they stay pending until `unblock_signals`, at the end until the process exits.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock_signals(*signals: signal.Signals) -> None:
-    """Unblock signals whose handlers are set, pending ones included."""
+    """Unblock signals that have handlers now; pending ones are delivered."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, signals)
 
 
 def freeze_startup_objects() -> None:
-    """Exempt objects from garbage collection; call it once all long-lived ones exist."""
+    """Exempt all current objects from garbage collection; call it once long-lived ones exist."""
     gc.collect()
     gc.freeze()
-    # Reference cycles of connections are freed only by collections of the oldest generation, which
-    # must be frequent enough that they don't accumulate.
+    # Connections form reference cycles that only collections of the oldest generation free. Those
+    # must be frequent enough that the cycles don't accumulate.
     gc.set_threshold(10_000, 10, 10)
 
 
 async def drain(core: GatewayCore, stop_listening: Callable[[], None]) -> None:
-    """Drain (SIGTERM): serve on for a while, stop accepting, and return when all is answered."""
+    """Drain (SIGTERM): serve on for a while, stop accepting, and return once all is served."""
     core.drain()
     await asyncio.sleep(ACCEPT_TIME)
     stop_listening()
@@ -49,8 +49,8 @@
 
 
 async def finish(core: GatewayCore) -> None:
-    """Close connections with their next response; return when none is left, or time is up."""
+    """Close connections with their next response; return once none is left, or time is up."""
     # Peers that make no progress must not delay the exit.
-    last = core.drain_until + DRAIN_MARGIN
-    while core.close_idle_clients() and core.clock() < last:
+    give_up_at = core.drain_until + DRAIN_MARGIN
+    while core.close_idle_clients() and core.clock() < give_up_at:
         await asyncio.sleep(DRAIN_POLL_INTERVAL)
--- a/sailhitch/core/request_context.py
+++ b/sailhitch/core/request_context.py
@@ -14,7 +14,7 @@
 
 
 class RequestContext:
-    """One client's request, until its one response and its last attempt's outcome."""
+    """One client's request, from its head to its one response and its last attempt's outcome."""
 
     __slots__ = (
         "arrived_at",
@@ -49,24 +49,24 @@
         self.id = 0
         self.name = b""  # given by the client; hosts recognize retries by it
         self.client: Client | None = client
-        self.pool: Pool | None = None  # of all its attempts; None until the head is read
+        self.pool: Pool | None = None  # pool of all its attempts; None until the head is read
         self.head = b""  # as sent to hosts, without stamp and deadline
         self.body: bytes | bytearray = b""
-        self.reserved = 0  # bytes of the budget for bodies
+        self.reserved = 0  # bytes reserved in the budget for bodies
         self.upload: Upload | None = None  # the body, if it is streamed
         self.request_class: RequestClass | None = None  # as it was when the head arrived
         self.tenant = 0
         self.work = 0
-        self.wait_ms = 0  # how long the client waits
-        self.rules_revision = 0  # of the rules that it was read by, where they change
+        self.wait_ms = 0  # how long the client waits for a response
+        self.rules_revision = 0  # of the rules in force when it was read, if they can change
         self.key: int | None = None
         self.is_retry = False
         self.keep_alive = True
         self.head_only = False  # only the head of the response is sent (HEAD)
-        # A host's own error response, sent if no attempt succeeds.
+        # A host's error response, sent if no attempt succeeds.
         self.fallback_response: Response | None = None
-        self.is_http_1_0 = False  # the connection is closed unless the client asks otherwise
-        # When its last byte was read, if it waits for an earlier one; 0 otherwise.
+        self.is_http_1_0 = False  # then connections are not persistent by default
+        # When its last byte was read, if it was queued behind a pipelined request; 0 otherwise.
         self.arrived_at = 0
         self.deadline = 0
         self.wake_at = 0  # when its next timer fires; 0 if none is set
@@ -76,17 +76,17 @@
         self.closed = False
 
     def is_uploading(self) -> bool:
-        """Return whether its body is incomplete: no time-out runs, and no host can have run it."""
+        """Return whether its body is incomplete: no timeout runs, and no host can have run it."""
         return self.upload is not None and not self.upload.complete
 
     def serialize(self, time_left: int, stamp: bytes) -> tuple[bytes, bytes | bytearray]:
-        """Return head and body for a host, with the fields of `stamp` and the time left (us)."""
+        """Return head and body for a host; the head has `stamp` and the time left (us)."""
         head = b"%s%sReq-Deadline-Ms: %d\r\n\r\n" % (self.head, stamp, max(1, time_left // 1000))
         return head, self.body
 
 
 class Attempt:
-    """One attempt of a request, until its one outcome."""
+    """One attempt of a request, which has exactly one outcome."""
 
     __slots__ = (
         "connect_by",
@@ -112,7 +112,7 @@
         self.sent_at = now
         self.expires_at = expires_at
         self.written_at = 0  # when its first byte was written
-        self.timeout = 0  # how long it may take after the last byte of a streamed body
+        self.timeout = 0  # allowed time after the last byte of a streamed body
         self.response_started = False  # its response is being streamed
         self.connect_by = 0  # time limit while it waits for a connection; 0 otherwise
         self.connection: RequestSink | None = None
--- a/sailhitch/core/statistics.py
+++ b/sailhitch/core/statistics.py
@@ -1,4 +1,4 @@
-"""The periodic statistics in the log. No I/O besides the log."""
+"""Writes the periodic statistics to the log."""
 
 from __future__ import annotations
 
--- a/sailhitch/core/throughput_watchdog.py
+++ b/sailhitch/core/throughput_watchdog.py
@@ -1,20 +1,20 @@
-"""Detect a peer that reads or sends a stream too slowly. No I/O; times are microseconds.
+"""Detects a peer that reads or sends a stream too slowly. No I/O; times are microseconds.
 
-The limit on a stream of any length is a rate. Only time in which the peer alone holds the stream up
-counts: the clock is stopped while this side doesn't read, or has nothing to send.
+Streams have any length, so the limit is a rate. Only time spent waiting for the peer counts: the
+clock is stopped while this side doesn't read, or has nothing to send.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-GRACE_TIME: Final = 2_500_000  # of counted time before the rate applies
-MAX_STALL: Final = 2_000_000  # of counted time without a single byte
-MIN_RATE: Final = 16 * 1024  # bytes a second, averaged over the counted time after the grace
+GRACE_TIME: Final = 2_500_000  # us of counted time before the rate applies
+MAX_STALL: Final = 2_000_000  # us of counted time without a single byte
+MIN_RATE: Final = 16 * 1024  # bytes/s, averaged over the counted time after the grace
 
 
 class ThroughputWatchdog:
-    """Measures the throughput of one peer of one stream."""
+    """Measures the throughput of the peer of one stream."""
 
     __slots__ = ("_counted", "_last_moved_at", "_running_since", "grace", "moved", "rate", "stall")
 
@@ -26,7 +26,7 @@
         self.stall = stall
         self.moved = 0  # bytes
         self._counted = 0  # counted time, up to `_running_since`
-        self._running_since: int | None = now  # since when the clock runs; None while it is stopped
+        self._running_since: int | None = now  # None while the clock is stopped
         self._last_moved_at = 0  # counted time at which a byte last moved
 
     def counted_time(self, now: int) -> int:
@@ -42,12 +42,12 @@
             self._last_moved_at = self.counted_time(now)
 
     def stop(self, now: int) -> None:
-        """Stop the clock: the peer is not waited for."""
+        """Stop the clock, as the peer is not waited for."""
         self._counted = self.counted_time(now)
         self._running_since = None
 
     def resume(self, now: int) -> None:
-        """Run the clock again; the limit on time without a byte starts anew."""
+        """Restart the clock, and the limit on time without a byte."""
         if self._running_since is None:
             self._running_since = now
             self._last_moved_at = self._counted
--- a/sailhitch/core/timer_wheel.py
+++ b/sailhitch/core/timer_wheel.py
@@ -1,4 +1,4 @@
-"""Timers on one heap and one timer of the event loop; an entry that raises stops no other."""
+"""A queue of timers: a heap on one timer of the event loop, with entries isolated from errors."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from typing import Final, Generic, TypeVar
 
 MS: Final = 1000
-NEVER: Final = 1 << 62  # us; a time that never comes
-TIMER_DELAY: Final = 2 * MS  # by which timers of an idle event loop may be late
-LATE: Final = 40 * MS  # of delay, after which sockets are read before timers fire
+NEVER: Final = 1 << 62  # us; later than any other time
+TIMER_DELAY: Final = 2 * MS  # of timers on an idle event loop, at most
+LATE: Final = 40 * MS  # delay that counts as a stall; sockets are read before timers fire
 
 T = TypeVar("T")
 
 
-class TimerWheel(Generic[T]):
+class TimerQueue(Generic[T]):
     """Calls `fire(target, at, now)` for each entry when it is due; times are microseconds.
 
     An exception from `fire` is passed to `failed`, and the other entries still fire. An entry that
-    always raises and pushes itself again is logged each time.
+    always raises and pushes itself again is reported each time.
 
-    Nearly every entry is a time-out of something that ended long before. `is_stale(target, at)`
-    returns whether it is, and the loop is not woken for such an entry.
+    Nearly every entry is a timeout of something that has ended before it is due.
+    `is_stale(target, at)` tells that, and the event loop is not woken for a stale entry.
     """
 
     def __init__(
@@ -40,15 +40,15 @@
         self.failed = failed
         self.is_stale = is_stale
         self.stalled = stalled  # called with the time and the delay, before sockets are read
-        self.lag = 0  # delay of the last wake-up; 0 up to `TIMER_DELAY`
-        self.max_lag = 0  # largest delay of a stall; its reader resets it
+        self.lag = 0  # delay of the last wake-up; 0 if within `TIMER_DELAY`
+        self.max_lag = 0  # longest stall since the statistics reset it
         self._heap: list[tuple[int, int, T]] = []
         self._sequence = 0
         self._armed_at = 0
         self._handle: asyncio.TimerHandle | None = None
 
     def push(self, at: int, target: T) -> None:
-        """Fire `target` at that time; an entry can't be cancelled."""
+        """Fire `target` at time `at`; an entry can't be cancelled."""
         self._sequence += 1
         heapq.heappush(self._heap, (at, self._sequence, target))
         if not self._armed_at or at < self._armed_at:
@@ -63,7 +63,8 @@
         if self._handle is not None:
             self._handle.cancel()
         self._armed_at = at
-        # The loop's timers round down to milliseconds; an early one would have to be set again.
+        # Rounded up, as the event loop's timers round down to milliseconds: one that fires early
+        # would have to be set again.
         delay = max(1, (at - self.clock() + 999) // 1000) / 1000
         self._handle = self.loop.call_later(delay, self._wake)
 
@@ -73,8 +74,8 @@
         self._handle = None
         self.lag = late if late > TIMER_DELAY else 0
         if late > LATE:
-            # After a stall the loop runs timers before it reads sockets: responses that arrived
-            # long ago would count as timed out, and requests would go to draining hosts.
+            # After a stall the event loop runs timers before it reads sockets: responses that have
+            # arrived would count as timed out, and requests would be sent to draining hosts.
             self.max_lag = max(self.max_lag, late)
             self._handle = self.loop.call_later(0.001, self._fire_due)
             self.stalled(now, late)
@@ -92,7 +93,7 @@
                 except Exception as error:
                     self.failed(target, error)
         finally:
-            # The timer is set again even if `failed` itself raises.
+            # Set the event loop's timer again even if `failed` raises.
             self._armed_at = 0
             while heap and self.is_stale(heap[0][2], heap[0][0]):
                 heapq.heappop(heap)
--- a/sailhitch/core/upload.py
+++ b/sailhitch/core/upload.py
@@ -1,7 +1,7 @@
 """The body of a request that is streamed to a host. No I/O.
 
-Owns which part is buffered, whether it can be sent again, and flow control between the source,
-which reads from the client, and the sink, which writes to the host.
+Tracks which part is buffered and whether it can be sent again, and applies flow control between the
+source, which reads from the client, and the sink, which writes to the host.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
     """Where the body goes: a connection to a host."""
 
     def more(self, data: bytes, last: bool) -> None:
-        """Send more, perhaps nothing but the end; call `Upload.taken` once it is written."""
+        """Send more bytes, or only the end; call `Upload.on_written` once all is written."""
 
 
 class Upload:
-    """One body; its start, which arrived before a sink was there, can be sent again."""
+    """One body; its start, which arrived before there was a sink, can be sent again."""
 
     __slots__ = (
         "_pending",
@@ -49,7 +49,7 @@
     ) -> None:
         self.source = source
         self.budget = budget
-        self.chunked = chunked  # its length is not known in advance
+        self.chunked = chunked  # its length is unknown until its end
         self.start: bytearray | None = bytearray(start)  # None once it is released
         self.size = len(start)
         self.complete = False  # its last byte has arrived
@@ -64,7 +64,7 @@
         self._reserved = size
 
     def replayable(self) -> bool:
-        """Return whether an attempt can still send it from its first byte on."""
+        """Return whether an attempt can still send it from its first byte."""
         return self.start is not None and not self.abandoned
 
     def add(self, data: bytes) -> None:
@@ -74,7 +74,7 @@
             self._pending += data
 
     def flush(self) -> None:
-        """Pass the bytes of a read to the sink, or buffer them until there is one."""
+        """Pass the bytes of a read to the sink; without one, buffer them."""
         if self.abandoned:
             return
         if self.sink is None:
@@ -94,7 +94,7 @@
             self.sink.more(data, self.complete)
 
     def open(self, sink: Sink) -> tuple[bytes, bool]:
-        """Begin an attempt; return the start, and whether it is the complete body.
+        """Attach an attempt's sink; return the start, and whether it is the complete body.
 
         Allowed only while `replayable`.
         """
@@ -103,7 +103,7 @@
         return bytes(self.start), self.complete
 
     def on_written(self, sink: Sink) -> None:
-        """Continue reading, as the sink has written everything."""
+        """Resume reading, as the sink has written everything."""
         if self.sink is sink and not self.abandoned and not self.complete:
             self.source.resume_reading()
 
@@ -113,7 +113,7 @@
             self.sink = None
 
     def close(self) -> None:
-        """Discard the body, and what still arrives of it, as the request is over."""
+        """Discard the body, and bytes of it that still arrive, as the request is over."""
         if not self.abandoned:
             self.abandoned = True
             self.sink = None
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel, on a loop with a virtual clock."""
+"""The timer queue, on an event loop with a virtual clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from sailhitch.core.timer_wheel import TimerWheel
+from sailhitch.core.timer_wheel import TimerQueue
 
 
 class Handle:
@@ -19,7 +19,7 @@
 
 
 class Loop:
-    """Calls what is due when its time is moved on; counts how often it had to wake."""
+    """An event loop whose time is advanced by hand; counts its wake-ups."""
 
     def __init__(self) -> None:
         self.now = self.wakes = 0
@@ -40,37 +40,39 @@
         self.now = time
 
 
-def _wheel(loop: Loop, over: set[int], fired: list[int]) -> TimerWheel[int]:
-    def fire(what: int, at: int, now: int) -> None:
-        if what not in over:
-            fired.append(what)
+def _wheel(loop: Loop, stale: set[int], fired: list[int]) -> TimerQueue[int]:
+    def fire(target: int, at: int, now: int) -> None:
+        if target not in stale:
+            fired.append(target)
 
-    def unwanted(*args: Any) -> None:
+    def unexpected(*args: Any) -> None:
         raise AssertionError(args)
 
     on = cast(asyncio.AbstractEventLoop, loop)
-    return TimerWheel(on, lambda: loop.now, fire, unwanted, unwanted, lambda what, at: what in over)
+    return TimerQueue(
+        on, lambda: loop.now, fire, unexpected, unexpected, lambda target, at: target in stale
+    )
 
 
-def test_the_loop_is_not_woken_for_what_ended_long_before() -> None:
-    loop, over, fired = Loop(), set[int](), list[int]()
-    wheel = _wheel(loop, over, fired)
+def test_the_loop_is_not_woken_for_stale_entries() -> None:
+    loop, stale, fired = Loop(), set[int](), list[int]()
+    wheel = _wheel(loop, stale, fired)
     for i in range(1000):
         wheel.push(1_000_000 + i * 3_000, i)
-    over.update(i for i in range(1000) if i % 100)
+    stale.update(i for i in range(1000) if i % 100)
     loop.run_until(5_000_000)
     assert fired == list(range(0, 1000, 100))
     assert loop.wakes <= 11
 
 
-def test_what_ends_while_the_loop_sleeps_towards_it_costs_one_wake_and_hides_nothing() -> None:
-    loop, over, fired = Loop(), set[int](), list[int]()
-    wheel = _wheel(loop, over, fired)
+def test_an_entry_that_becomes_stale_while_armed_costs_one_wake() -> None:
+    loop, stale, fired = Loop(), set[int](), list[int]()
+    wheel = _wheel(loop, stale, fired)
     wheel.push(100_000, 1)
     wheel.push(200_000, 2)
     wheel.push(300_000, 3)
     loop.run_until(50_000)
-    over.update((1, 2))
+    stale.update((1, 2))
     loop.run_until(400_000)
     assert fired == [3]
     assert loop.wakes == 2
