--- a/sailhitch/control/__init__.py
+++ b/sailhitch/control/__init__.py
@@ -1,5 +1,5 @@
-"""The operators' endpoint: HTTP requests by which staff query this process and take hosts out.
+"""The operators' endpoint: HTTP requests that query this process and take hosts out.
 
-`requests` parses and executes a request, without I/O; `handlers` has the actions on the gateway;
-`server` has the sockets.
+`requests` parses and executes a request, without I/O; `handlers` implements the actions on the
+gateway; `server` handles the sockets.
 """
--- a/sailhitch/control/handlers.py
+++ b/sailhitch/control/handlers.py
@@ -1,4 +1,4 @@
-"""Carry out operators' requests on the platform's gateway."""
+"""Carries out operators' requests on a pool of the gateway."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class OperatorHandlers:
     """The operators' actions on one pool.
 
-    `announce(host, out)` notifies the pool, and every other process concerned, that a host is taken
-    out for maintenance or put back.
+    `announce(host, out)` takes a host out for maintenance or puts it back, in this process and in
+    every other one concerned.
     """
 
     def __init__(self, pool: Pool, announce: MaintenanceAnnouncer) -> None:
--- a/sailhitch/control/requests.py
+++ b/sailhitch/control/requests.py
@@ -1,6 +1,6 @@
-"""Parse and execute requests to the operators' endpoint. No I/O.
+"""Parses and executes requests to the operators' endpoint. No I/O.
 
-HTTP/1.1 (RFC 9112), one request per connection. A 2xx status means done; 4xx and 5xx mean not done.
+HTTP/1.1 (RFC 9112), one request per connection. A request had an effect only if its status is 2xx.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 
 class OperatorResponse(NamedTuple):
-    """A response, as an operator reads it."""
+    """A plain-text response to an operator."""
 
     status: int
     text: str
     fields: tuple[tuple[str, str], ...] = ()
 
     def serialize(self, head_only: bool = False) -> bytes:
-        """Return the response as bytes; `head_only` leaves the body out (HEAD)."""
+        """Return the response as bytes; `head_only` omits the body (HEAD)."""
         body = f"{self.text}\n".encode()
         lines = [f"HTTP/1.1 {self.status} {HTTPStatus(self.status).phrase}"]
         lines += [f"{name}: {value}" for name, value in self.fields]
@@ -78,11 +78,11 @@
         return self.response
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the request's target; called by the parser."""
+        """Add a part of the request target; called by the parser."""
         self._url += url
 
     def on_headers_complete(self) -> None:
-        """Take the method; called by the parser."""
+        """Set the method; called by the parser."""
         self.method = self._parser.get_method().decode("latin-1")
 
     def on_message_complete(self) -> None:
--- a/sailhitch/control/server.py
+++ b/sailhitch/control/server.py
@@ -1,4 +1,4 @@
-"""Serve the operators' endpoint on a socket of its own: one request per connection."""
+"""Serves the operators' endpoint on its own socket, one request per connection."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from ..core.log import Log
 from .requests import OperatorActions, OperatorRequest, OperatorResponse
 
-MAX_CONNECTIONS: Final = 12  # without a response; a further one closes the oldest
+MAX_CONNECTIONS: Final = 12  # awaiting a response; a further one closes the oldest
 REQUEST_TIMEOUT: Final = 2.5  # s from the connection to the request's last byte
-BACKLOG: Final = 64  # connections that the kernel queues
+BACKLOG: Final = 64  # length of the kernel's accept queue
 
 
 class _OperatorConnection(asyncio.Protocol):
@@ -42,14 +42,14 @@
             response = self.request.feed(data)
         except Exception as error:
             self.server.log.write_limited(
-                "operators", f"a call of the operators failed: {error!r:.100}"
+                "operators", f"an operator's request failed: {error!r:.100}"
             )
             response = OperatorResponse(500, "the call failed here; the log says why")
         if response is not None:
             self.respond(response)
 
     def respond(self, response: OperatorResponse) -> None:
-        """Send the response and close; does nothing after the first."""
+        """Send the response and close; calls after the first do nothing."""
         if self.has_responded or self.transport is None:
             return
         self.has_responded = True
@@ -64,16 +64,16 @@
 class OperatorServer:
     """Listens for operators' requests.
 
-    Silent clients can't block it: at most MAX_CONNECTIONS are without a response, and a new one
-    closes the oldest of them. Where more requests than that are incomplete at one moment, the
-    clients of the oldest have to repeat them.
+    Silent clients can't block it: at most MAX_CONNECTIONS await a response, and a new one closes
+    the oldest of them. If more requests than that are incomplete at once, the clients of the oldest
+    have to repeat them.
     """
 
     def __init__(self, actions: OperatorActions, log: Log) -> None:
         self.actions = actions
         self.log = log
         self.loop = asyncio.get_running_loop()
-        self.pending: dict[_OperatorConnection, None] = {}  # without a response, oldest first
+        self.pending: dict[_OperatorConnection, None] = {}  # awaiting a response, oldest first
         self.server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> None:
@@ -84,7 +84,7 @@
         )
 
     def register(self, connection: _OperatorConnection) -> None:
-        """Add a new connection; close the oldest without a response if there are too many."""
+        """Add a new connection; close the oldest pending one if there are too many."""
         self.pending[connection] = None
         if len(self.pending) > MAX_CONNECTIONS:
             oldest = next(iter(self.pending))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -16,22 +16,22 @@
 from tests.sockets import dial
 
 
-class Acts:
-    """Knows one host, and keeps what was asked of it."""
+class FakeActions:
+    """Knows one host, and records the calls."""
 
     def __init__(self) -> None:
-        self.said: list[tuple[str, str]] = []
+        self.calls: list[tuple[str, str]] = []
         self.serves = True
 
     def serving(self) -> bool:
         return self.serves
 
     def enter(self, target: str) -> bool:
-        self.said.append(("enter", target))
+        self.calls.append(("enter", target))
         return target == "s/1 a"
 
     def leave(self, target: str) -> bool:
-        self.said.append(("leave", target))
+        self.calls.append(("leave", target))
         return target == "s/1 a"
 
 
@@ -56,10 +56,10 @@
         ("nonsense", 400),
     ],
 )
-def test_each_call_has_its_answer_however_it_is_cut(line: str, status: int) -> None:
+def test_each_request_has_its_status_however_it_is_split(line: str, status: int) -> None:
     data = f"{line} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n".encode()
     for step in (1, 7, len(data)):
-        reader, reply = OperatorRequest(Acts()), None
+        reader, reply = OperatorRequest(FakeActions()), None
         for at in range(0, len(data), step):
             reply = reply or reader.feed(data[at : at + step])
         assert reply is not None
@@ -68,16 +68,16 @@
 
 @settings(max_examples=200)
 @given(st.binary(max_size=300), st.integers(0, 3))
-def test_whatever_comes_is_read_or_refused(noise: bytes, lines: int) -> None:
+def test_arbitrary_bytes_are_parsed_or_rejected(noise: bytes, lines: int) -> None:
     start = b"POST /maintenance/enter?target=x HTTP/1.1\r\nContent-Length: 3\r\n"
-    reply = OperatorRequest(Acts()).feed(start[: len(start) * lines // 3] + noise)
+    reply = OperatorRequest(FakeActions()).feed(start[: len(start) * lines // 3] + noise)
     assert reply is None or 200 <= reply.status < 600
 
 
-def test_callers_who_say_nothing_hold_nobody_up() -> None:
-    async def play() -> None:
-        acts = Acts()
-        server = OperatorServer(acts, Log("n0"))
+def test_silent_clients_do_not_block_others() -> None:
+    async def run() -> None:
+        actions = FakeActions()
+        server = OperatorServer(actions, Log("n0"))
         port = free_port()
         await server.listen(("127.0.0.1", port))
         addr = f"127.0.0.1:{port}"
@@ -87,10 +87,10 @@
         for _ in range(30):
             assert await call(addr, "/maintenance/enter?target=s%2F1%20a") == 200
         assert await call(addr, "/status", "GET") == 200
-        acts.serves = False
+        actions.serves = False
         assert await call(addr, "/status", "GET") == 503
         assert len(server.pending) <= MAX_CONNECTIONS
         assert b" 408 " in await silent[0].rest()
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
