--- a/sailhitch/front/__init__.py
+++ b/sailhitch/front/__init__.py
@@ -1,6 +1,6 @@
-"""Admission control of client connections: which are kept, and for how long, when few are free.
+"""Admission control of client connections: which to keep, and for how long, under pressure.
 
-Sans-IO. A front (HTTP/1.1 today) reports to `ConnectionAdmission` what its connections do, and
+No I/O. A front (HTTP/1.1 today) reports the events of its connections to `ConnectionAdmission`, and
 carries out its decisions; `docs/design/front-door.md` has the reasons.
 """
 
--- a/sailhitch/front/connection_admission.py
+++ b/sailhitch/front/connection_admission.py
@@ -1,12 +1,12 @@
-"""Admit client connections within a budget, and choose which to close when it runs short.
+"""Admits client connections within a budget, and chooses which to close when it runs short.
 
 Three resources can run short. *Request slots*: the connections that the fronts before this gateway
-deal out for requests; one that is idle for a client that won't return is denied to every other
-client. *Descriptors*: shared with the connections to hosts. *Memory*: bodies and unread answers.
+use for requests; one that is idle for a client that won't return is unavailable to all others.
+*Descriptors*: shared with the connections to hosts. *Memory*: bodies and unread responses.
 
-This module opens and closes nothing. It is told what connections do, and names those to close; one
-whose request is open is never among them. All times are microseconds on a monotonic clock; a step
-back counts as no time.
+This module opens and closes nothing. It receives the events of connections, and selects those to
+close, never one with an open request. All times are microseconds on a monotonic clock; a step back
+counts as no time.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from collections.abc import Iterable, Iterator
 from typing import Final
 
-from .eviction import EVICTABLE_BELOW, Retention, lowest, unproven_room
-from .groups import VIOLATOR_STANDING, Groups, source_of
+from .eviction import EVICTABLE_BELOW, Retention, lowest_ranked, unproven_room
+from .groups import VIOLATOR_REPUTATION, Groups, source_of
 from .pressure import LOW_PRESSURE, ResourcePressure
 from .slots import (
     WAITING,
@@ -25,29 +25,29 @@
     State,
     kind_once_idle,
 )
-from .survival import REFRESH, Kind, LifeTables, fade
+from .survival import REFRESH_INTERVAL, Kind, LifeTables, decay_factor
 from .time_limits import TimeLimits
 
-PRESSURE_STEP: Final = 0.05  # of the pressure factor, from which the time limits are set again
+PRESSURE_STEP: Final = 0.05  # change of the pressure factor that updates the time limits
 EVICTION_THRESHOLD: Final = 0.6  # under high pressure idle connections of less value are closed
-MAX_HORIZON: Final = 2_000_000  # us over which a coming request is discounted...
-MIN_HORIZON: Final = 300_000  # ...where request slots are scarce
-MIN_UNPROVEN_PER_SOURCE: Final = 2  # of them, whatever the source did
-EVICTION_BATCH_DIVISOR: Final = 24  # one part in so many of the descriptors is freed at a time
-MAIN_SOURCE_SHARE: Final = 0.5  # of all requests, from which on a source is always admitted
-VIOLATION_PENALTY: Final = 2.0  # misused slots that a malformed request counts as
-
-# Bound once: these are looked up several times for each request.
+MAX_HORIZON: Final = 2_000_000  # us over which a future request is discounted
+MIN_HORIZON: Final = 300_000  # the same under high pressure on request slots
+MIN_UNPROVEN_PER_SOURCE: Final = 2  # unproven connections that any source may have
+EVICTION_BATCH_DIVISOR: Final = 24  # the held descriptors divided by this are freed at a time
+MAIN_SOURCE_SHARE: Final = 0.5  # of all requests; a source with more is always admitted
+VIOLATION_PENALTY: Final = 2.0  # wasted slots that a malformed request counts as
+
+# Bound once, as they are looked up several times per request.
 _FRESH, _HEAD, _BODY, _BUSY, _WRITING, _IDLE, _CLOSING = State
 
 
 class AdmissionCounters:
     """Counters for the log and for tests."""
 
-    __slots__ = ("closed", "opened", "reused", "turned_away")
+    __slots__ = ("closed", "opened", "rejected", "reused")
 
     def __init__(self) -> None:
-        self.opened = self.turned_away = self.reused = 0
+        self.opened = self.rejected = self.reused = 0
         self.closed = [0] * len(Reason)
 
 
@@ -63,7 +63,7 @@
         self.count = [0] * len(State)
         self.counters = AdmissionCounters()
         self._pressure = ResourcePressure(budget)
-        self._refreshed = now
+        self._refreshed_at = now
         self._limits = TimeLimits()
         self._retention = Retention(self.tables, budget)
         self._set_limits()
@@ -72,7 +72,7 @@
 
     @property
     def budget(self) -> ConnectionBudget:
-        """Return the budget that holds now."""
+        """Return the current budget."""
         return self._pressure.budget
 
     @property
@@ -87,28 +87,28 @@
 
     @property
     def pressure_factor(self) -> float:
-        """Return the pressure of whatever is scarcest, 0 to 1."""
+        """Return the pressure factor of the scarcest resource, 0 to 1."""
         return self._pressure.factor
 
     def resize(self, budget: ConnectionBudget) -> None:
-        """Set a new budget; what exceeds it is closed in the usual order, never at once."""
+        """Set a new budget; connections that exceed it are closed in the usual order over time."""
         self._pressure.budget = self._retention.budget = budget
         self._pressure.update(self.now, self.held, self.used)
 
     def descriptors(self) -> int:
-        """Return the limit on descriptors: the configured one, or a lower one hit of late."""
+        """Return the limit on descriptors: the configured one, or a lower one observed recently."""
         return self._pressure.descriptor_limit(self.now)
 
     def on_descriptors_exhausted(self, now: int, others: int) -> None:
         """Lower the limit on descriptors for a while, as the system has none left.
 
-        `others` are the descriptors that are not clients'.
+        `others` are the descriptors not held by clients.
         """
         freed = max(1, self.held // EVICTION_BATCH_DIVISOR)
-        self._pressure.on_descriptors_exhausted(self._tick(now), self.held + others - freed)
+        self._pressure.on_descriptors_exhausted(self._advance(now), self.held + others - freed)
 
     def needs_eviction(self, others: int) -> bool:
-        """Return whether one more client would exceed the clients' share or the total."""
+        """Return whether one more client would exceed the clients' share or the total limit."""
         return self._pressure.is_full(self.now, self.held, others)
 
     def pressure(self) -> float:
@@ -118,41 +118,41 @@
     def update_pressure(self, now: int, others: int, memory: float) -> None:
         """Update pressure; called several times a second.
 
-        `others` are the descriptors that are not clients', `memory` is the share in use.
+        `others` are the descriptors not held by clients, `memory` is the share of memory in use.
         """
-        self._tick(now)
+        self._advance(now)
         pressure = self._pressure
         pressure.other_descriptors = others
         pressure.memory = memory
         before = pressure.factor
         pressure.update(self.now, self.held, self.used)
-        if self.now - self._refreshed >= REFRESH:
+        if self.now - self._refreshed_at >= REFRESH_INTERVAL:
             self._refresh()
         elif abs(pressure.factor - before) > PRESSURE_STEP:
             self._set_limits()
 
     def _refresh(self) -> None:
-        elapsed = self.now - self._refreshed
-        self._refreshed = self.now
+        elapsed = self.now - self._refreshed_at
+        self._refreshed_at = self.now
         horizon = MAX_HORIZON + int(
             self._pressure.slot_factor(self.used) * (MIN_HORIZON - MAX_HORIZON)
         )
         waits = [(slot.kind, self.now - slot.since) for slot in self.slots if slot.state in WAITING]
-        keep = fade(elapsed)
-        self.tables.refresh(waits, keep, horizon)
-        self.sources.refresh(keep)
-        self.tenants.refresh(keep)
+        decay = decay_factor(elapsed)
+        self.tables.refresh(waits, decay, horizon)
+        self.sources.refresh(decay)
+        self.tenants.refresh(decay)
         self._set_limits()
 
-    def _tick(self, now: int) -> int:
+    def _advance(self, now: int) -> int:
         self.now = max(self.now, now)
         return self.now
 
-    # --- What connections do
+    # --- Events of connections
 
     def on_opened(self, now: int, address: str) -> ConnectionSlot:
         """Record a new connection."""
-        slot = ConnectionSlot(self.sources.get(source_of(address)), self._tick(now))
+        slot = ConnectionSlot(self.sources.get(source_of(address)), self._advance(now))
         slot.source.slots += 1
         slot.source.unproven += 1
         self.slots[slot] = None
@@ -161,50 +161,50 @@
         return slot
 
     def on_adopted(self, now: int, address: str) -> ConnectionSlot:
-        """Record a connection that another process of this gateway has served before."""
+        """Record a connection passed on by another process of this gateway."""
         slot = self.on_opened(now, address)
         slot.source.unproven -= 1
         slot.request_count = 1
         slot.kind = Kind.ONCE
-        self._enter(slot, _IDLE)
+        self._set_state(slot, _IDLE)
         return slot
 
     def on_reading(self, slot: ConnectionSlot, now: int, body: bool) -> None:
-        """Record that part of a request has come: of its head, or of its `body`."""
+        """Record that part of a request has arrived: of its head, or of its `body`."""
         state = _BODY if body else _HEAD
         if slot.state not in WAITING or slot.state == state:
             return
-        self._tick(now)
+        self._advance(now)
         if slot.state == _IDLE:
-            self._came_back(slot)
+            self._record_return(slot)
             slot.since = self.now
         else:
-            # The first request counts from when its connection was made: a trickling client must
-            # not gain time with each state.
+            # `since` is kept: the first request is timed from when the connection was made, so that
+            # a client that trickles it in gains no time by a change of state.
             self.tables.on_request(slot.kind, self.now - slot.since)
-        self._enter(slot, state)
+        self._set_state(slot, state)
         slot.kind = Kind.BODY if body else Kind.HEAD
 
     def on_request(self, slot: ConnectionSlot, now: int, tenant: str | None) -> None:
-        """Record a dispatched request; `tenant` is None for one that is not a client's."""
+        """Record a dispatched request; `tenant` is None for the gateway's own endpoints."""
         if slot.state == _CLOSING:
             return
-        self._tick(now)
+        self._advance(now)
         if slot.state == _IDLE:
-            self._came_back(slot)
+            self._record_return(slot)
         elif slot.state in WAITING:
             self.tables.on_request(slot.kind, self.now - slot.since)
         if not slot.request_count:
             slot.source.unproven -= 1
         slot.request_count += 1
-        # Before the tenant may change: the idle time belongs to the last request's tenant.
-        self._enter(slot, _BUSY)
+        # Before the tenant may change, as the connection was idle for the previous one.
+        self._set_state(slot, _BUSY)
         slot.since = self.now
         if tenant is not None:
             slot.source.request_count += 1.0
-            self._belongs(slot, tenant)
+            self._set_tenant(slot, tenant)
 
-    def _belongs(self, slot: ConnectionSlot, name: str) -> None:
+    def _set_tenant(self, slot: ConnectionSlot, name: str) -> None:
         group = slot.tenant
         if group is None or group.name != name:
             if group is not None:
@@ -213,42 +213,42 @@
             group.slots += 1
         group.request_count += 1.0
 
-    def _came_back(self, slot: ConnectionSlot) -> None:
+    def _record_return(self, slot: ConnectionSlot) -> None:
         gap = self.now - slot.since
         self.tables.on_request(slot.kind, gap)
         self.counters.reused += 1
         slot.gap = gap if not slot.gap else (3 * slot.gap + gap) // 4
 
     def on_response(self, slot: ConnectionSlot, now: int, unsent: int = 0) -> None:
-        """Record a written answer, of which the kernel has not taken `unsent` bytes."""
+        """Record a written response, of which `unsent` bytes are not in the kernel's buffer yet."""
         if slot.state == _CLOSING:
             return
-        self._tick(now)
+        self._advance(now)
         if unsent:
-            self._enter(slot, _WRITING)
+            self._set_state(slot, _WRITING)
             slot.since = self.now
             slot.unsent_at = self.now
             slot.unsent = unsent
             slot.unsent_by = self.now + self._limits.write_time(unsent, self.pressure_factor)
             return
         slot.unsent = 0
-        self._enter(slot, _IDLE)
+        self._set_state(slot, _IDLE)
         slot.since = self.now
         slot.kind = kind_once_idle(slot)
 
     def on_body_bytes(self, slot: ConnectionSlot, now: int, size: int) -> None:
-        """Record how much of a body has come; called several times a second."""
+        """Record how much of a body has arrived; called several times a second."""
         if slot.state == _BODY and size != slot.unsent:
             slot.unsent = size
-            slot.unsent_at = self._tick(now)
+            slot.unsent_at = self._advance(now)
 
     def on_write_progress(self, slot: ConnectionSlot, now: int, unsent: int) -> None:
-        """Record how much of an answer the kernel has not taken; 0 ends the wait."""
+        """Record how much of a response is not in the kernel's buffer; 0 ends the wait."""
         if slot.state == _CLOSING:
             slot.unsent = unsent
         if slot.state != _WRITING:
             return
-        self._tick(now)
+        self._advance(now)
         if not unsent:
             self.on_response(slot, now)
         elif unsent != slot.unsent:
@@ -260,27 +260,27 @@
         slot.source.wasted_slots += VIOLATION_PENALTY
 
     def on_closing(self, slot: ConnectionSlot, now: int, reason: Reason, unsent: int = 0) -> None:
-        """Record that this side sends no new answer on it; `unsent` bytes are not written yet."""
+        """Record that no further response will be sent; `unsent` bytes are not written yet."""
         if slot.state == _CLOSING:
             return
-        self._tick(now)
+        self._advance(now)
         self._end_wait(slot)
         slot.ended = reason
         slot.unsent = unsent
-        self._enter(slot, _CLOSING)
+        self._set_state(slot, _CLOSING)
         slot.since = self.now
 
     def on_closed(self, slot: ConnectionSlot, now: int) -> None:
-        """Record that its descriptor is free."""
+        """Record that a connection's descriptor has been freed."""
         if slot not in self.slots:
             return
-        self._tick(now)
+        self._advance(now)
         if slot.ended is None:
             self._end_wait(slot)
             slot.ended = Reason.PEER
         self.counters.closed[slot.ended] += 1
         if slot.state == _IDLE:
-            self._idle(slot, -1)
+            self._count_idle(slot, -1)
         del self.slots[slot]
         self.count[slot.state] -= 1
         slot.source.slots -= 1
@@ -297,21 +297,21 @@
             slot.source.wasted_slots += 1.0
 
     def not_evicted(self, slot: ConnectionSlot, now: int) -> None:
-        """Keep a connection chosen to be closed, on which a request was found unread."""
-        slot.since = self._tick(now)
+        """Keep an eviction candidate, as an unread request was found on it."""
+        slot.since = self._advance(now)
 
-    def _enter(self, slot: ConnectionSlot, state: State) -> None:
+    def _set_state(self, slot: ConnectionSlot, state: State) -> None:
         old = slot.state
         self.count[old] -= 1
         self.count[state] += 1
         if old == _IDLE:
-            self._idle(slot, -1)
+            self._count_idle(slot, -1)
         if state == _IDLE:
-            self._idle(slot, 1)
+            self._count_idle(slot, 1)
         slot.state = state
 
     @staticmethod
-    def _idle(slot: ConnectionSlot, by: int) -> None:
+    def _count_idle(slot: ConnectionSlot, by: int) -> None:
         slot.source.idle += by
         if slot.tenant is not None:
             slot.tenant.idle += by
@@ -321,61 +321,68 @@
     def admits(self, now: int, address: str) -> bool:
         """Return whether a new connection is admitted, by its source.
 
-        A source that brings next to no requests and reconnects as soon as it is closed is refused
-        beyond its share. One that brings requests is never refused for others; its own worst
-        connections are closed first. Nor is the main source refused: where all clients come
-        through one front, that would refuse all of them.
+        A source with hardly any requests that reconnects as soon as it is closed is rejected beyond
+        its share. One that sends requests is never rejected in favour of others; instead its own
+        least valuable connections are closed. Nor is the main source rejected: if all clients
+        connect through one front, that would reject all of them.
         """
-        self._tick(now)
-        source = self.sources.known.get(source_of(address))
-        if source is None or source.standing >= VIOLATOR_STANDING or self.pressure_factor <= 0.0:
+        self._advance(now)
+        source = self.sources.by_name.get(source_of(address))
+        if (
+            source is None
+            or source.reputation >= VIOLATOR_REPUTATION
+            or self.pressure_factor <= 0.0
+        ):
             return True
         if source.quota >= MAIN_SOURCE_SHARE:
             return True
-        part = max(MIN_UNPROVEN_PER_SOURCE, source.quota * unproven_room(self.budget))
-        return source.unproven < part
+        share = max(MIN_UNPROVEN_PER_SOURCE, source.quota * unproven_room(self.budget))
+        return source.unproven < share
 
     def on_rejected(self) -> None:
-        """Count a refused connection."""
-        self.counters.turned_away += 1
+        """Count a rejected connection."""
+        self.counters.rejected += 1
 
     def is_retained(self, slot: ConnectionSlot, now: int) -> bool:
-        """Return whether to keep a connection after the answer that is about to be written."""
+        """Return whether to keep a connection after the response that is about to be written."""
         if self.used <= LOW_PRESSURE * self.budget.request_slots:
             return True
-        self._tick(now)
-        value = self.tables.expected_requests[kind_once_idle(slot)][0] * slot.source.standing
+        self._advance(now)
+        value = self.tables.expected_requests[kind_once_idle(slot)][0] * slot.source.reputation
         return value >= EVICTION_THRESHOLD * self._pressure.slot_factor(self.used)
 
     def low_value_slots(self, now: int) -> list[ConnectionSlot]:
-        """Return the idle connections to close for their request slots now, least worth first.
+        """Return the idle connections to close for their request slots now, least valuable first.
 
-        One whose client returns within milliseconds is as good as a free seat, and closing it
-        would only cost a handshake. So none above a ceiling of worth is closed, however short
-        slots are.
+        One whose client returns within milliseconds is as good as a free slot, and closing it would
+        only cost a handshake. So none above a ceiling of value is closed, however scarce slots are.
         """
-        self._tick(now)
+        self._advance(now)
         surplus = int(self.used - LOW_PRESSURE * self.budget.request_slots)
         if surplus <= 0 or not self.count[_IDLE]:
             return []
         ceiling = EVICTION_THRESHOLD * self._pressure.slot_factor(self.used)
         value = self._retention.value
-        return lowest(((value(slot, self.now), slot) for slot in self._in(_IDLE)), ceiling, surplus)
+        return lowest_ranked(
+            ((value(slot, self.now), slot) for slot in self._in_states(_IDLE)), ceiling, surplus
+        )
 
-    def eviction_candidates(self, now: int, most: int = 0) -> list[ConnectionSlot]:
-        """Return the connections to close for their descriptors, least worth first.
+    def eviction_candidates(self, now: int, max_count: int = 0) -> list[ConnectionSlot]:
+        """Return the connections to close for their descriptors, least valuable first.
 
-        At most `most`, or a batch if that is 0. Refused ones that linger come first, then waiting
-        ones by worth, and last those so new that a request may be in flight.
+        At most `max_count`, or a batch if that is 0. Rejected ones that linger come first, then
+        waiting ones by value, and last new ones whose request may be in flight.
         """
-        self._tick(now)
-        most = most or max(2, self.held // EVICTION_BATCH_DIVISOR)
+        self._advance(now)
+        max_count = max_count or max(2, self.held // EVICTION_BATCH_DIVISOR)
         rank = self._retention.eviction_rank
-        return lowest(((rank(slot, self.now), slot) for slot in self.slots), EVICTABLE_BELOW, most)
+        return lowest_ranked(
+            ((rank(slot, self.now), slot) for slot in self.slots), EVICTABLE_BELOW, max_count
+        )
 
     def overdue(self, slot: ConnectionSlot, now: int) -> Reason | None:
         """Return the reason to close a connection that has exceeded a limit, or None."""
-        return self._limits.exceeded(slot, self._tick(now))
+        return self._limits.exceeded(slot, self._advance(now))
 
     def limit(self, state: State) -> int:
         """Return how long a connection may be in a state now (us); 0 for no limit."""
@@ -385,37 +392,37 @@
         self._limits.update(self.pressure_factor, self.tables)
 
     def retry_after(self, now: int) -> int:
-        """Return the time (us) until a slot is sure to be free; 0 if unknown.
+        """Return the time (us) until a slot is certain to be free; 0 if unknown.
 
-        That is when the first connection that is waited for reaches its limit. When a host
-        answers is not known, so with all slots busy the time is unknown.
+        That is when the first connection that waits for a request reaches its limit. If all slots
+        are busy, the time is unknown, as it depends on when hosts respond.
         """
-        self._tick(now)
+        self._advance(now)
         soonest = 0
-        for slot in self._in(_FRESH, _HEAD, _BODY):
+        for slot in self._in_states(_FRESH, _HEAD, _BODY):
             left = max(1, slot.since + self._limits.of(slot.state) - self.now)
             soonest = left if not soonest else min(soonest, left)
         return soonest
 
-    def _in(self, *states: State) -> Iterator[ConnectionSlot]:
+    def _in_states(self, *states: State) -> Iterator[ConnectionSlot]:
         return (slot for slot in self.slots if slot.state in states)
 
     # --- For the log
 
     def summary(self) -> str:
-        """Return a log line: connections by state, pressure, closings by reason."""
-        states = _pairs(State, self.count)
-        closed = _pairs(Reason, self.counters.closed)
+        """Return a log line: connections by state, pressure, closed connections by reason."""
+        states = _format_counts(State, self.count)
+        closed = _format_counts(Reason, self.counters.closed)
         pressure = self.pressure()
         peak = self._pressure.peak
         self._pressure.peak = pressure
         return (
             f"door: {states or 'empty'} seats={self.used}/{self.budget.request_slots} "
             f"pressure={pressure:.2f} peak={peak:.2f} opened={self.counters.opened} "
-            f"reused={self.counters.reused} away={self.counters.turned_away} "
+            f"reused={self.counters.reused} away={self.counters.rejected} "
             f"closed: {closed or 'none'}"
         )
 
 
-def _pairs(names: type[State] | type[Reason], counts: Iterable[int]) -> str:
+def _format_counts(names: type[State] | type[Reason], counts: Iterable[int]) -> str:
     return " ".join(f"{names(i).name.lower()}={n}" for i, n in enumerate(counts) if n)
--- a/sailhitch/front/groups.py
+++ b/sailhitch/front/groups.py
@@ -1,7 +1,7 @@
-"""Groups of connections: sources and tenants, their requests, and their shares.
+"""Groups of connections by source or tenant, with their requests and shares.
 
-Memory is bounded: a group without slots is evicted when there are too many, the longest unseen
-first. All times are microseconds.
+Memory is bounded: if there are too many groups, the least recently used one without slots is
+evicted.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 from collections import OrderedDict
 from typing import Final
 
-MOST_GROUPS: Final = 2048
-PRIOR: Final = 8.0  # slots that a group of no record is taken to have used well
-VIOLATOR_STANDING: Final = 0.25  # a group of less standing than this is one that has misbehaved
-MIN_SHARE: Final = 0.5  # of an even share, which is anybody's however little it brings
+MAX_GROUPS: Final = 2048
+PRIOR_REQUESTS: Final = 8.0  # requests credited to a group without history
+VIOLATOR_REPUTATION: Final = 0.25  # a group below this has misbehaved
+MIN_SHARE: Final = 0.5  # of an even share, granted to any group however few its requests
 
 
 class Group:
-    """A source or a tenant. `standing` (0 to 1) and `quota` are as of the last refresh."""
+    """A source or a tenant. `reputation` (0 to 1) and `quota` are as of the last refresh."""
 
     __slots__ = (
         "idle",
         "name",
         "quota",
+        "reputation",
         "request_count",
         "slots",
-        "standing",
         "unproven",
         "wasted_slots",
     )
@@ -32,67 +32,66 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.slots = 0  # connections
-        self.unproven = 0  # of them, those that have not brought a whole request yet
-        self.idle = 0  # of them, those that have and wait with none open
-        self.request_count = 0.0  # requests, of late
-        self.wasted_slots = 0.0  # slots that ended in misuse, of late
-        self.standing = 1.0
-        self.quota = 1.0  # of what there is of a scarce thing, this part at least
-
-    def judge(self) -> None:
-        """Work out the standing: a few bad ones among many good do not count, all bad do.
-
-        Guards against sources that come back after each close, by what they did and not by how
-        they look. Many honest clients may share one address (a front, a mobile carrier).
-        Their requests outweigh what a few spoil.
+        self.unproven = 0  # connections without a complete request so far
+        self.idle = 0  # connections between two requests
+        self.request_count = 0.0  # decaying
+        self.wasted_slots = 0.0  # slots that ended in misuse; decaying
+        self.reputation = 1.0
+        self.quota = 1.0  # guaranteed share of a scarce resource
+
+    def update_reputation(self) -> None:
+        """Compute the reputation: the share of requests among requests and wasted slots.
+
+        Limits sources that reconnect after each close, by their behaviour. Many honest clients may
+        share one address (a front, a mobile carrier); their requests outweigh a few misused slots.
         """
-        good = self.request_count + PRIOR
-        self.standing = good / (good + self.wasted_slots)
+        good = self.request_count + PRIOR_REQUESTS
+        self.reputation = good / (good + self.wasted_slots)
 
 
 class Groups:
-    """The groups of one sort."""
+    """All sources, or all tenants, by name."""
 
-    def __init__(self, most: int = MOST_GROUPS) -> None:
-        self.most = most
-        self.known: OrderedDict[str, Group] = OrderedDict()
+    def __init__(self, max_groups: int = MAX_GROUPS) -> None:
+        self.max_groups = max_groups
+        self.by_name: OrderedDict[str, Group] = OrderedDict()
 
     def get(self, name: str) -> Group:
-        """Return the group of this name; a new one may evict the least recently seen idle one."""
-        group = self.known.get(name)
+        """Return the group of this name; a new one may evict the least recently used one."""
+        group = self.by_name.get(name)
         if group is not None:
-            self.known.move_to_end(name)
+            self.by_name.move_to_end(name)
             return group
-        if len(self.known) >= self.most:
-            self._forget_one()
-        group = self.known[name] = Group(name)
+        if len(self.by_name) >= self.max_groups:
+            self._evict_one()
+        group = self.by_name[name] = Group(name)
         return group
 
-    def _forget_one(self) -> None:
-        for name, group in self.known.items():
+    def _evict_one(self) -> None:
+        for name, group in self.by_name.items():
             if not group.slots:
-                del self.known[name]
+                del self.by_name[name]
                 return
-        # All hold slots: as many as there are descriptors, which bounds this table too.
+        # All groups have slots, so the number of descriptors bounds this table too.
 
-    def refresh(self, keep: float) -> None:
-        """Judge all groups, share out by what each brings, and let old deeds count less."""
-        active = [g for g in self.known.values() if g.slots or g.request_count > 0.5]
+    def refresh(self, decay: float) -> None:
+        """Update reputations and quotas, and decay the counts by the factor `decay`."""
+        active = [g for g in self.by_name.values() if g.slots or g.request_count > 0.5]
         total = sum(g.request_count for g in active)
-        even = MIN_SHARE / max(1, len(active))
+        min_quota = MIN_SHARE / max(1, len(active))
         for group in active:
-            group.judge()
-            part = group.request_count / total if total > 0.5 else 1.0 / len(active)
-            group.quota = max(part, even)
-        for name, group in list(self.known.items()):
-            group.request_count *= keep
-            group.wasted_slots *= keep
+            group.update_reputation()
+            share = group.request_count / total if total > 0.5 else 1.0 / len(active)
+            group.quota = max(share, min_quota)
+        for name, group in list(self.by_name.items()):
+            group.request_count *= decay
+            group.wasted_slots *= decay
             if not group.slots and group.request_count < 0.05 and group.wasted_slots < 0.05:
-                del self.known[name]
+                del self.by_name[name]
 
 
 def source_of(address: str) -> str:
-    """Who an address stands for: itself, or the /64 that one subscriber is given (RFC 6177)."""
+    """Return an address's source: itself, or the /64 that one subscriber has (RFC 6177)."""
     if ":" not in address:
         return address
     head, gap, tail = address.partition("%")[0].partition("::")
--- a/sailhitch/front/slots.py
+++ b/sailhitch/front/slots.py
@@ -15,26 +15,26 @@
 
     FRESH = 0  # accepted, nothing read
     HEAD = 1  # part of a request head read
-    BODY = 2  # the head read, part of the body missing
-    BUSY = 3  # a request is dispatched and not answered
-    WRITING = 4  # answered, the response not yet taken by the client
-    IDLE = 5  # answered, nothing of a next request read
-    CLOSING = 6  # this side sends no new response
+    BODY = 2  # head read, body incomplete
+    BUSY = 3  # a request is dispatched and awaits its response
+    WRITING = 4  # response written, but not yet read by the client
+    IDLE = 5  # response sent, nothing of a next request read
+    CLOSING = 6  # no further response will be sent
 
 
 class Reason(IntEnum):
     """Why a connection ended."""
 
-    PEER = 0  # the client closed or broke it
+    PEER = 0  # closed or reset by the client
     IDLE = 1  # idle for too long
-    SILENT = 2  # no request at all for too long
-    SLOW = 3  # a request that stalls or trickles
-    UNREAD = 4  # a response that is not read
-    SEAT = 5  # worth less than its request slot
-    ROOM = 6  # worth less than its descriptor
+    SILENT = 2  # no first request for too long
+    SLOW = 3  # a request that stalls or trickles in
+    UNREAD = 4  # a response that the client doesn't read
+    SEAT = 5  # evicted for its request slot
+    ROOM = 6  # evicted for its descriptor
     ANSWERED = 7  # closed with its response: on request, or while draining
-    REJECTED = 8  # malformed
-    MOVED = 9  # passed to another process of this gateway
+    REJECTED = 8  # malformed request
+    MOVED = 9  # passed on to another process of this gateway
 
 
 class Verdict(IntEnum):
@@ -45,7 +45,7 @@
     REJECT = 2
 
 
-# States that wait for bytes of a request. A tuple, as members of an enum hash slowly.
+# States that wait for bytes of a request. A tuple, as enum members hash slowly.
 WAITING: Final = (State.IDLE, State.FRESH, State.HEAD, State.BODY)
 
 
@@ -53,21 +53,21 @@
     """The owner of a slot: a front's connection."""
 
     def close_unless_unread(self, reason: Reason) -> bool:
-        """Close now; return False, and stay open, if bytes of a request are unread."""
+        """Close now, unless unread bytes of a request have arrived; return whether it is closed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBudget:
-    """The budget that clients and hosts share."""
+    """The descriptors and request slots, which clients and hosts share."""
 
     descriptors: int  # for clients and hosts together
-    request_slots: int  # connections that fronts deal out for requests
+    request_slots: int  # connections that the fronts before this gateway use for requests
     min_client_share: float = 0.45  # of the descriptors, reserved for clients
     min_upstream_share: float = 0.3  # of the descriptors, reserved for connections to hosts
 
     @property
     def max_client_descriptors(self) -> float:
-        """The descriptors that clients may hold at the most."""
+        """The largest number of descriptors that clients may hold."""
         return (1.0 - self.min_upstream_share) * self.descriptors
 
 
@@ -97,11 +97,11 @@
         self.kind: Kind = Kind.FRESH
         self.since = now  # when the state began
         self.request_count = 0
-        self.gap = 0  # between a response and the next request, a moving mean
-        # Bytes of a response that the client has not taken, or of a body that have come.
+        self.gap = 0  # moving average of the time between a response and the next request
+        # Bytes of a response that the client has not read, or of a body that have arrived.
         self.unsent = 0
         self.unsent_at = 0  # when that last changed
-        self.unsent_by = 0  # when a response must have been taken
+        self.unsent_by = 0  # when the client must have read the response
         self.ended: Reason | None = None
 
 
--- a/sailhitch/front/time_limits.py
+++ b/sailhitch/front/time_limits.py
@@ -1,7 +1,7 @@
-"""How long a client connection may be in a state, by how scarce resources are.
+"""Time limits on the states of a client connection, by resource pressure.
 
-Limits are shortest under high pressure. The long ones are what the platform's pages allow: an error
-or a close within 3 s, and no close of a silent connection before 2 s while there is room.
+Limits are shortest under high pressure. The relaxed ones are the longest that the platform allows:
+an error or a close within 3 s, and no close of a silent connection before 2 s while there is room.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 
 class Limits(NamedTuple):
-    """A value without pressure, and one under high pressure."""
+    """A limit without pressure, and one under high pressure."""
 
     relaxed: int
     strict: int
 
 
-NEW_CONNECTION_GRACE: Final = 250_000  # us in which its first request may be in flight
+NEW_CONNECTION_GRACE: Final = 250_000  # us for which the first request may be in flight
 FIRST_BYTE_LIMIT: Final = Limits(2_100_000, NEW_CONNECTION_GRACE)  # us
 REQUEST_LIMIT: Final = Limits(2_500_000, 1_000_000)  # us
-MIN_BODY_RATE: Final = 24 * 1024  # bytes/s with which a body must come after that...
-MAX_BODY_STALL: Final = 700_000  # ...and us for which it may stall then
+MIN_BODY_RATE: Final = 24 * 1024  # bytes/s at which a body must arrive after REQUEST_LIMIT...
+MAX_BODY_STALL: Final = 700_000  # ...and us for which it may then stall
 MAX_READ_STALL: Final = Limits(5_000_000, 1_000_000)  # us
 MIN_READ_RATE: Final = Limits(64 * 1024, 256 * 1024)  # bytes/s of a response after that
 MAX_IDLE: Final = 30_000_000  # us
-# A limit leaves twice the time that this share of the good clients needs.
+# A limit is at least twice the time that this share of requests needed.
 GOOD_CLIENT_QUANTILE: Final = 0.995
 
 _READING: Final = (
@@ -44,11 +44,11 @@
         self._by_state: list[int] = [0] * len(State)
 
     def update(self, pressure_factor: float, tables: LifeTables) -> None:
-        """Set the limits by pressure (0 to 1), and by the time that good clients need."""
+        """Set the limits by pressure (0 to 1), and by the time that complete requests needed."""
         limits = [0] * len(State)
         for state, kind, (relaxed, strict) in _READING:
-            # Under any pressure, honest connections keep the time that they are seen to need.
-            needed = 2 * tables.latest(kind, GOOD_CLIENT_QUANTILE, strict // 2)
+            # Under any pressure, well-behaved connections keep the time that they need.
+            needed = 2 * tables.request_age_quantile(kind, GOOD_CLIENT_QUANTILE, strict // 2)
             shortest = min(relaxed, max(strict, needed))
             limits[state] = int(relaxed + pressure_factor * (shortest - relaxed))
         relaxed, strict = MAX_READ_STALL
@@ -61,7 +61,7 @@
         return self._by_state[state]
 
     def write_time(self, unsent: int, pressure_factor: float) -> int:
-        """Return how long a client may take to read so many bytes of a response."""
+        """Return how long a client may take to read `unsent` bytes of a response."""
         relaxed, strict = MIN_READ_RATE
         rate = relaxed + pressure_factor * (strict - relaxed)
         return self._by_state[State.WRITING] + int(unsent / rate * 1e6)
@@ -82,11 +82,11 @@
         return None
 
     def _keeps_body_rate(self, slot: ConnectionSlot, now: int, age: int) -> bool:
-        """Return whether a body that exceeds the time of a request keeps the minimum rate.
+        """Return whether a body that exceeds the time limit keeps the minimum rate.
 
-        That spares honest clients on slow links. `since` counts from the connection, so a
-        trickling body gains no time by it.
+        This spares well-behaved clients on slow links. Progress doesn't reset `since`, so a body
+        that trickles in gains no time.
         """
         late = age - self._by_state[State.BODY]
-        least = late * MIN_BODY_RATE // 1_000_000
-        return now - slot.unsent_at < MAX_BODY_STALL and slot.unsent > least
+        min_bytes = late * MIN_BODY_RATE // 1_000_000
+        return now - slot.unsent_at < MAX_BODY_STALL and slot.unsent > min_bytes
--- a/tests/test_front_life.py
+++ b/tests/test_front_life.py
@@ -1,4 +1,4 @@
-"""Life tables: what a waiting connection is worth."""
+"""Life tables: the value of a waiting connection."""
 
 from __future__ import annotations
 
@@ -6,7 +6,15 @@
 
 import pytest
 
-from sailhitch.front.survival import OCTAVES, WIDTHS, Kind, LifeTables, fade, gap_kind, octave
+from sailhitch.front.survival import (
+    OCTAVES,
+    WIDTHS,
+    Kind,
+    LifeTables,
+    decay_factor,
+    gap_kind,
+    octave,
+)
 
 MS, S = 1_000, 1_000_000
 
@@ -39,7 +47,7 @@
     assert gap_kind(gap) == kind
 
 
-def test_a_kind_that_always_comes_back_soon_is_worth_more_than_one_that_never_does() -> None:
+def test_a_kind_that_returns_soon_has_a_higher_value_than_one_that_never_does() -> None:
     tables = LifeTables()
     for _ in range(100):
         tables.on_request(Kind.GAP_64MS, 50 * MS)
@@ -49,8 +57,8 @@
     assert tables.expected_requests[Kind.ONCE][0] < 0.15
 
 
-def test_those_that_still_wait_count_though_none_of_them_was_ever_closed() -> None:
-    # A client that holds its connection for good never ends in any table.
+def test_waits_that_never_end_lower_the_value() -> None:
+    # A connection that its client holds forever never enters the tables as ended.
     tables = LifeTables()
     for _ in range(20):
         tables.on_request(Kind.ONCE, 20 * MS)
@@ -61,17 +69,17 @@
     assert tables.expected_requests[Kind.ONCE][0] < 0.2
 
 
-def test_worth_follows_the_clock_of_who_comes_back_after_three_seconds() -> None:
+def test_the_value_is_high_before_the_usual_gap_and_low_after_it() -> None:
     tables = LifeTables()
     for _ in range(200):
         tables.on_request(Kind.GAP_4S, 3 * S)
     tables.refresh((), 1.0, 500 * MS)
-    worth = tables.expected_requests[Kind.GAP_4S]
-    assert worth[octave(2500 * MS)] > 5 * worth[octave(10 * MS)]
+    values = tables.expected_requests[Kind.GAP_4S]
+    assert values[octave(2500 * MS)] > 5 * values[octave(10 * MS)]
 
 
-def test_the_worth_of_a_constant_hazard_is_what_theory_says() -> None:
-    # Exponential lives of mean m, discounted with horizon T, are worth T / (T + m) at any age.
+def test_the_value_for_a_constant_hazard_matches_theory() -> None:
+    # For exponential gaps of mean m and the horizon T, the value is T / (T + m) at any age.
     mean, horizon = 400 * MS, 1 * S
     tables = LifeTables()
     for i in range(20_000):
@@ -83,20 +91,20 @@
         assert tables.expected_requests[Kind.ONCE][at] == pytest.approx(expected, abs=0.05)
 
 
-def test_what_was_seen_long_ago_is_forgotten() -> None:
+def test_old_counts_decay() -> None:
     tables = LifeTables()
     for _ in range(1000):
         tables.on_closed(Kind.ONCE, 1 * S)
     tables.refresh((), 1.0, 1 * S)
     low = tables.expected_requests[Kind.ONCE][0]
     for _ in range(200):
-        tables.refresh((), fade(2 * S), 1 * S)
+        tables.refresh((), decay_factor(2 * S), 1 * S)
     assert tables.expected_requests[Kind.ONCE][0] > 2 * low
 
 
-def test_the_latest_needs_some_that_were_seen() -> None:
+def test_a_quantile_of_few_requests_is_the_default() -> None:
     tables = LifeTables()
-    assert tables.latest(Kind.HEAD, 0.99, 77) == 77
+    assert tables.request_age_quantile(Kind.HEAD, 0.99, 77) == 77
     for _ in range(200):
         tables.on_request(Kind.HEAD, 3 * MS)
-    assert 3 * MS <= tables.latest(Kind.HEAD, 0.99, 77) <= 8 * MS
+    assert 3 * MS <= tables.request_age_quantile(Kind.HEAD, 0.99, 77) <= 8 * MS
