--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -1,8 +1,8 @@
-"""A request whose client has left while it waited reaches no host.
+"""A request whose client disconnects while it waits is not sent to a host.
 
-Each story holds the request where it waits, ends its client's connection without the loop having
-read that, and lets the request go on. A second client's request, which comes after, shows that the
-gateway had the time to send the first.
+Each test holds a request where it waits, ends its client's connection without the event loop
+reading that, and lets the request continue. A later request of a second client shows that the
+gateway would have had time to send the first.
 """
 
 from __future__ import annotations
@@ -18,100 +18,100 @@
 from tests.crossings import PATIENT, ended, leave, reset_at_close, unread, waiting_gate
 from tests.sockets import Client, Gate, Server, Writer, answer, gate, plain, request, until
 
-HOW = ("end", "reset", "bytes before")
-pytestmark = pytest.mark.parametrize("how", HOW)
+DISCONNECTS = ("end", "reset", "bytes before")
+pytestmark = pytest.mark.parametrize("disconnect", DISCONNECTS)
 
 
-async def gone(it: Gate, client: Client, how: str) -> None:
-    """Its connection ends, and the loop has read nothing of that."""
-    conn = unread(it)
-    leave(client, how)
+async def disconnect_unread(gateway: Gate, client: Client, disconnect: str) -> None:
+    """End the client's connection without the event loop reading that."""
+    conn = unread(gateway)
+    leave(client, disconnect)
     await ended(conn)
 
 
-async def later_one(it: Gate) -> None:
-    """Another client's request is served."""
-    client = await it.client()
+async def serve_later_request(gateway: Gate) -> None:
+    """Serve another client's request."""
+    client = await gateway.client()
     assert await client.ask(request("later")) == (200, b"served")
 
 
-def sent(*hosts: Server) -> list[bytes]:
-    """What has reached hosts but for the later one's request."""
+def received(*hosts: Server) -> list[bytes]:
+    """Return the messages that reached hosts, without those of the later request."""
     return [m for host in hosts for m in host.seen if b"Req-Id: later" not in m]
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_held_for_a_host(how: str, body: bytes | None) -> None:
-    async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
-            known = it.pool.endpoints["a"]
-            it.pool.on_endpoint_update(EndpointUpdate(1, True, (), 0, frozenset()))
-            client = await it.client()
+def test_queued_without_a_host(disconnect: str, body: bytes | None) -> None:
+    async def run() -> None:
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            known = gateway.pool.endpoints["a"]
+            gateway.pool.on_endpoint_update(EndpointUpdate(1, True, (), 0, frozenset()))
+            client = await gateway.client()
             client.send(request("r1", body))
-            await until(lambda: bool(it.pool.policy.backlog.held))
-            await gone(it, client, how)
-            it.pool.on_endpoint_update(EndpointUpdate(2, True, (known,), 0, frozenset()))
-            await later_one(it)
-            assert sent(host) == []
-            assert it.core.counters.disconnected == 1
-            assert it.core.counters.refused == 0
-            assert not it.core.open_requests
-            assert not it.pool.policy.open_requests
+            await until(lambda: bool(gateway.pool.policy.backlog.held))
+            await disconnect_unread(gateway, client, disconnect)
+            gateway.pool.on_endpoint_update(EndpointUpdate(2, True, (known,), 0, frozenset()))
+            await serve_later_request(gateway)
+            assert received(host) == []
+            assert gateway.core.counters.disconnected == 1
+            assert gateway.core.counters.refused == 0
+            assert not gateway.core.open_requests
+            assert not gateway.pool.policy.open_requests
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_waiting_for_a_connection(how: str, body: bytes | None) -> None:
-    async def play() -> None:
-        async with waiting_gate() as (host, it, held):
-            client = await it.client()
+def test_waiting_for_a_connection(disconnect: str, body: bytes | None) -> None:
+    async def run() -> None:
+        async with waiting_gate() as (host, gateway, pending_connects):
+            client = await gateway.client()
             client.send(request("r1", body))
-            await until(lambda: held.waiting == 1)
-            await gone(it, client, how)
-            held.go.set()
-            await later_one(it)
-            assert sent(host) == []
-            assert it.core.counters.disconnected == 1
-            assert not it.core.open_requests
+            await until(lambda: pending_connects.waiting == 1)
+            await disconnect_unread(gateway, client, disconnect)
+            pending_connects.go.set()
+            await serve_later_request(gateway)
+            assert received(host) == []
+            assert gateway.core.counters.disconnected == 1
+            assert not gateway.core.open_requests
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_waiting_for_a_connection_that_rests(
-    how: str, body: bytes | None, monkeypatch: pytest.MonkeyPatch
+def test_waiting_for_the_reuse_delay_of_a_connection(
+    disconnect: str, body: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its connection has just had an answer, and rests before it is used again."""
+    """A connection waits for REUSE_DELAY after a response before it is used again."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY", 300_000)
 
-    async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
-            first = await it.client()
+    async def run() -> None:
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            first = await gateway.client()
             assert await first.ask(request("r0")) == (200, b"served")
             first.writer.close()
-            await until(lambda: not it.clients())
-            client = await it.client()
+            await until(lambda: not gateway.clients())
+            client = await gateway.client()
             client.send(request("r1", body))
-            await until(lambda: bool(it.core.open_requests))
-            (exchange,) = it.core.open_requests.values()
-            (attempt,) = exchange.open_attempts
+            await until(lambda: bool(gateway.core.open_requests))
+            (request_context,) = gateway.core.open_requests.values()
+            (attempt,) = request_context.open_attempts
             assert attempt.pending_connect is not None
-            assert not it.hosts.connecting
-            await gone(it, client, how)
-            await until(lambda: not it.core.open_requests)
-            await later_one(it)
-            assert len(sent(host)) == 1
-            assert it.core.counters.disconnected == 1
+            assert not gateway.hosts.connecting
+            await disconnect_unread(gateway, client, disconnect)
+            await until(lambda: not gateway.core.open_requests)
+            await serve_later_request(gateway)
+            assert len(received(host)) == 1
+            assert gateway.core.counters.disconnected == 1
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_between_two_attempts(how: str, body: bytes | None) -> None:
+def test_between_two_attempts(disconnect: str, body: bytes | None) -> None:
     asked, go = asyncio.Event(), asyncio.Event()
 
-    async def turn_away(message: bytes, writer: Writer) -> None:
+    async def reject(message: bytes, writer: Writer) -> None:
         if b"Req-Id: later" in message:
             writer.write(answer(b"served"))
             return
@@ -119,27 +119,27 @@
         await go.wait()
         writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 
-    async def play() -> None:
+    async def run() -> None:
         async with (
-            Server(turn_away) as one,
-            Server(turn_away) as two,
-            gate(("a", one.addr), ("b", two.addr)) as it,
+            Server(reject) as one,
+            Server(reject) as two,
+            gate(("a", one.addr), ("b", two.addr)) as gateway,
         ):
-            client = await it.client()
+            client = await gateway.client()
             client.send(request("r1", body))
             await asked.wait()
-            await gone(it, client, how)
+            await disconnect_unread(gateway, client, disconnect)
             go.set()
-            await until(lambda: "full" in it.core.counters.statuses)
-            await later_one(it)
-            assert len(sent(one, two)) == 1
-            assert it.core.counters.disconnected == 1
-            assert not it.core.open_requests
+            await until(lambda: "full" in gateway.core.counters.statuses)
+            await serve_later_request(gateway)
+            assert len(received(one, two)) == 1
+            assert gateway.core.counters.disconnected == 1
+            assert not gateway.core.open_requests
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_second_copy_beside_a_silent_first(how: str) -> None:
+def test_hedge_beside_an_open_attempt(disconnect: str) -> None:
     asked = asyncio.Event()
 
     async def silent(message: bytes, writer: Writer) -> None:
@@ -147,29 +147,29 @@
             writer.write(answer(b"served"))
         asked.set()
 
-    async def play() -> None:
+    async def run() -> None:
         async with (
             Server(silent) as one,
             Server(silent) as two,
-            gate(("a", one.addr), ("b", two.addr)) as it,
+            gate(("a", one.addr), ("b", two.addr)) as gateway,
         ):
-            client = await it.client()
+            client = await gateway.client()
             client.send(request("r1"))
             await asked.wait()
-            await gone(it, client, how)
-            (req,) = it.core.open_requests
+            await disconnect_unread(gateway, client, disconnect)
+            (req,) = gateway.core.open_requests
             other = "b" if one.seen else "a"
-            it.pool.notify_policy(
-                None, lambda: it.pool.port.send(req, other, 0)
-            )  # as the module's hedge does
-            await later_one(it)
-            assert len(sent(one, two)) == 1
-            assert it.core.counters.disconnected == 1
+            gateway.pool.notify_policy(
+                None, lambda: gateway.pool.port.send(req, other, 0)
+            )  # as a hedge of the decision module does
+            await serve_later_request(gateway)
+            assert len(received(one, two)) == 1
+            assert gateway.core.counters.disconnected == 1
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_behind_another_on_its_connection(how: str) -> None:
+def test_queued_behind_a_pipelined_request(disconnect: str) -> None:
     asked, go = asyncio.Event(), asyncio.Event()
 
     async def wait(message: bytes, writer: Writer) -> None:
@@ -177,52 +177,52 @@
         await go.wait()
         writer.write(answer(b"served"))
 
-    async def play() -> None:
-        async with Server(wait) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def run() -> None:
+        async with Server(wait) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             client.send(request("r1") + request("r2", b"pay"))
             await asked.wait()
-            await gone(it, client, how)
+            await disconnect_unread(gateway, client, disconnect)
             go.set()
-            await later_one(it)
-            assert len(sent(host)) == 1
+            await serve_later_request(gateway)
+            assert len(received(host)) == 1
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def _long(name: str, size: int) -> tuple[bytes, bytes]:
-    """A long request in two parts: with as much of its body as is held, and the rest."""
+    """Return a long request in two parts: with as much body as is buffered, and the rest."""
     whole = request(name, b"~" * size, wait_ms=20_000)
     first = whole.index(b"\r\n\r\n") + 4 + MAX_BUFFERED_BODY + 1000
     return whole[:first], whole[first:]
 
 
-def test_with_half_a_body_and_no_connection_yet(how: str) -> None:
-    async def play() -> None:
-        async with waiting_gate() as (host, it, held):
-            client = await it.client()
+def test_with_half_a_body_and_no_connection_yet(disconnect: str) -> None:
+    async def run() -> None:
+        async with waiting_gate() as (host, gateway, pending_connects):
+            client = await gateway.client()
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
-            await until(lambda: held.waiting == 1)
-            client.send(rest)  # which is not read: the body is held
+            await until(lambda: pending_connects.waiting == 1)
+            client.send(rest)  # is not read, as the buffer for the body is full
             await client.writer.drain()
-            (conn,) = it.clients()
-            leave(client, how)
+            (conn,) = gateway.clients()
+            leave(client, disconnect)
             await ended(conn)
-            held.go.set()
-            await later_one(it)
-            assert sent(host) == []
-            await until(lambda: not it.core.open_requests)
-            await until(lambda: len(it.clients()) == 1)
+            pending_connects.go.set()
+            await serve_later_request(gateway)
+            assert received(host) == []
+            await until(lambda: not gateway.core.open_requests)
+            await until(lambda: len(gateway.clients()) == 1)
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_with_the_rest_of_a_body_unread(how: str) -> None:
-    """Its host has the start; with the last byte it would begin."""
+def test_with_the_rest_of_a_body_unread(disconnect: str) -> None:
+    """The host has the start of the body, and would run the request after its last byte."""
     begun = asyncio.Event()
 
-    async def play() -> None:
+    async def run() -> None:
         async def read(reader: asyncio.StreamReader, writer: Writer) -> None:
             got[writer] = b""
             while data := await reader.read(65536):
@@ -232,21 +232,21 @@
         got: dict[Writer, bytes] = {}
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with server, gate(("a", addr), settings=PATIENT) as it:
-            client = await it.client()
+        async with server, gate(("a", addr), settings=PATIENT) as gateway:
+            client = await gateway.client()
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
             await begun.wait()
-            conn = unread(it)
+            conn = unread(gateway)
             client.send(rest)
             await client.writer.drain()
-            leave(client, how)
+            leave(client, disconnect)
             await ended(conn)
-            conn.resume_reading()  # the host has taken what there was
-            await until(lambda: not it.core.open_requests)
-            await until(lambda: not it.clients())
+            conn.resume_reading()  # as if the host had taken all that was sent
+            await until(lambda: not gateway.core.open_requests)
+            await until(lambda: not gateway.clients())
             await until(
-                lambda: all(writer.is_closing() for writer in got) or not it.hosts.connections
+                lambda: all(writer.is_closing() for writer in got) or not gateway.hosts.connections
             )
             assert (
                 MAX_BUFFERED_BODY
@@ -254,13 +254,13 @@
                 < MAX_BUFFERED_BODY + 9000
             )
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_with_its_last_byte_read_in_the_same_turn(how: str) -> None:
-    """The rest of its body and the end are there before the loop has another turn."""
+def test_with_its_last_byte_read_in_the_same_loop_iteration(disconnect: str) -> None:
+    """The rest of the body and the end of the connection arrive in one loop iteration."""
 
-    async def play() -> None:
+    async def run() -> None:
         async def read(reader: asyncio.StreamReader, writer: Writer) -> None:
             while data := await reader.read(65536):
                 got.append(data.count(b"~"))
@@ -268,45 +268,51 @@
         got: list[int] = []
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with server, gate(("a", addr), settings=PATIENT) as it:
+        async with server, gate(("a", addr), settings=PATIENT) as gateway:
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
-            with plain(it.addr) as client:
+            with plain(gateway.addr) as client:
                 client.setblocking(False)
                 await asyncio.get_running_loop().sock_sendall(client, first)
                 await until(lambda: sum(got) >= MAX_BUFFERED_BODY)
-                if how == "reset":
+                if disconnect == "reset":
                     reset_at_close(client)
-                more = b"GET /more HTTP/1.1\r\n" if how == "bytes before" else b""
+                more = b"GET /more HTTP/1.1\r\n" if disconnect == "bytes before" else b""
                 assert client.send(rest + more) == len(rest + more)
             await until(
-                lambda: not it.core.open_requests and not it.clients() and not it.hosts.connections
+                lambda: (
+                    not gateway.core.open_requests
+                    and not gateway.clients()
+                    and not gateway.hosts.connections
+                )
             )
             assert MAX_BUFFERED_BODY <= sum(got) < MAX_BUFFERED_BODY + 9000
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_with_its_last_bytes_still_here(how: str) -> None:
-    """The host reads slowly, and has not been given all of it."""
+def test_with_its_last_bytes_unsent(disconnect: str) -> None:
+    """The host reads slowly, so the last bytes wait in the gateway."""
 
-    async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def run() -> None:
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             assert await client.ask(request("r0")) == (200, b"served")
-            (conn,) = it.hosts.connections
-            (far,) = host.writers
+            (conn,) = gateway.hosts.connections
+            (host_writer,) = host.writers
             conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            far.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            far.transport.pause_reading()  # type: ignore[attr-defined]
+            host_writer.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_RCVBUF, 4096
+            )
+            host_writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(request("r1", b"x" * 60_000, wait_ms=20_000))
             await until(lambda: bool(conn.attempt))
             assert conn.has_unsent_bytes()
-            leave(client, how)
-            await until(lambda: it.core.counters.disconnected == 1)
-            far.transport.resume_reading()  # type: ignore[attr-defined]
-            await until(lambda: not it.hosts.connections or len(host.seen) > 1)
-            await later_one(it)
-            assert len(sent(host)) == 1
-            assert not it.core.open_requests
-
-    asyncio.run(play())
+            leave(client, disconnect)
+            await until(lambda: gateway.core.counters.disconnected == 1)
+            host_writer.transport.resume_reading()  # type: ignore[attr-defined]
+            await until(lambda: not gateway.hosts.connections or len(host.seen) > 1)
+            await serve_later_request(gateway)
+            assert len(received(host)) == 1
+            assert not gateway.core.open_requests
+
+    asyncio.run(run())
