--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,7 @@
-"""Idle clients hold the descriptors while discovery is down: the watch still gets its socket.
+"""The discovery watch gets its socket even if idle clients hold the descriptors.
 
-The real program, with so few descriptors that a handful of clients takes them all.
+Runs the real program with so few descriptors that a few clients use them all while discovery is
+down.
 """
 
 from __future__ import annotations
@@ -28,18 +29,18 @@
     until,
 )
 
-FEW = 64
-CROWDED = 24  # held where all clients are in that may be; the rest is hosts' and the reserve
-SOON = 10.0  # s in which a restarted process has to be ready, and the watch to be back
+DESCRIPTORS = 64
+DESCRIPTORS_IN_USE = 24  # with as many clients as are admitted beside hosts and the reserve
+RECOVERY_TIMEOUT = 10.0  # s until the process must be ready, or the watch reconnected
 
 
-def descriptors(pid: int) -> int:
-    """How many a process holds."""
+def descriptor_count(pid: int) -> int:
+    """Return the number of descriptors that a process holds."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
-async def take_the_rest(pid: int) -> None:
-    """The system gives a process no descriptor more than it holds between two calls for a list."""
+async def exhaust_descriptors(pid: int) -> None:
+    """Limit a process to the descriptors that it holds between two watch calls."""
     free = []
     for _ in range(20):
         held = {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
@@ -49,8 +50,8 @@
 
 
 @contextlib.contextmanager
-def crowd() -> Iterator[list[socket.socket]]:
-    """Clients that are let go of at the end."""
+def open_clients() -> Iterator[list[socket.socket]]:
+    """Yield a list of clients, which are closed at the end."""
     clients: list[socket.socket] = []
     try:
         yield clients
@@ -59,56 +60,56 @@
             client.close()
 
 
-async def asked_again(registry: Server) -> None:
-    """The watch comes back, and a call is read."""
-    async with asyncio.timeout(SOON):
+async def wait_for_watch(registry: Server) -> None:
+    """Wait until the watch has reconnected and sent a call."""
+    async with asyncio.timeout(RECOVERY_TIMEOUT):
         while not registry.seen:
             await asyncio.sleep(0.02)
 
 
-async def listen_again(registry: Server, addr: str) -> None:
-    """Discovery is back where it was."""
+async def restart_discovery(registry: Server, addr: str) -> None:
+    """Listen again at discovery's former address."""
     port = int(addr.rpartition(":")[2])
     registry.server = await asyncio.start_server(registry._serve, "127.0.0.1", port)
 
 
-def test_the_watch_comes_back_though_clients_rest_on_every_descriptor(tmp_path: Path) -> None:
-    """The system has fewer than the settings promise, and nobody new asks to be let in."""
+def test_the_watch_reconnects_while_idle_clients_hold_every_descriptor(tmp_path: Path) -> None:
+    """The system has fewer descriptors than the settings allow, and no new client connects."""
 
-    async def play() -> None:
-        away = f"127.0.0.1:{free_port()}"
+    async def run() -> None:
+        discovery_address = f"127.0.0.1:{free_port()}"
         async with Server() as host:
-            value = config_value(away, ("a", host.addr))
+            value = config_value(discovery_address, ("a", host.addr))
             async with process(tmp_path / "config.json", value) as (program, addr):
-                with crowd() as clients:
+                with open_clients() as clients:
                     loop = asyncio.get_running_loop()
                     for number in range(20):
                         clients.append(plain(addr))
                         clients[-1].setblocking(False)
                         await loop.sock_sendall(clients[-1], request(f"r{number}"))
                         assert await loop.sock_recv(clients[-1], 1000)
-                    await take_the_rest(program.pid)
+                    await exhaust_descriptors(program.pid)
                     registry = Registry(("a", host.addr))
-                    await listen_again(registry, away)
-                    await asked_again(registry)
+                    await restart_discovery(registry, discovery_address)
+                    await wait_for_watch(registry)
                     registry.stop()
                     assert program.returncode is None
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_crowd_at_a_start_without_discovery_keeps_neither_readiness_nor_the_watch(
+def test_a_burst_of_clients_at_start_blocks_neither_readiness_nor_the_watch(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def silent(message: bytes, writer: Writer) -> None:
         await asyncio.Event().wait()
 
-    async def play() -> None:
+    async def run() -> None:
         port = free_port()
         monkeypatch.setattr("tests.sockets.free_port", lambda: port)
         address = ("127.0.0.1", port)
 
-        async def knock() -> None:
+        async def connect_repeatedly() -> None:
             while True:
                 for _ in range(20):
                     client = socket.socket()
@@ -120,25 +121,29 @@
                     client.close()
                 del clients[:-200]
 
-        with crowd() as clients:
+        with open_clients() as clients:
             async with Server() as host, Server(silent) as registry:
-                value = config_value(registry.addr, ("a", host.addr), limits={"sockets": FEW})
-                knocking = asyncio.create_task(knock())
+                value = config_value(
+                    registry.addr, ("a", host.addr), limits={"sockets": DESCRIPTORS}
+                )
+                connecting = asyncio.create_task(connect_repeatedly())
                 async with (
-                    asyncio.timeout(SOON) as limit,
+                    asyncio.timeout(RECOVERY_TIMEOUT) as limit,
                     process(tmp_path / "config.json", value, crowded=True) as (program, addr),
                 ):
                     limit.reschedule(None)  # it is ready
-                    resource.prlimit(program.pid, resource.RLIMIT_NOFILE, (FEW, FEW))
+                    resource.prlimit(
+                        program.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS)
+                    )
                     registry.stop()
                     registry.seen.clear()
-                    await until(lambda: descriptors(program.pid) >= CROWDED)
+                    await until(lambda: descriptor_count(program.pid) >= DESCRIPTORS_IN_USE)
                     registry.answerer = Registry(("a", host.addr)).reply
-                    await listen_again(registry, registry.addr)
-                    await asked_again(registry)
-                    assert descriptors(program.pid) <= FEW
-                    knocking.cancel()
+                    await restart_discovery(registry, registry.addr)
+                    await wait_for_watch(registry)
+                    assert descriptor_count(program.pid) <= DESCRIPTORS
+                    connecting.cancel()
                     client = await dial(addr)
                     assert await client.ask(request("after")) == (200, b"served")
 
-    asyncio.run(play())
+    asyncio.run(run())
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -1,4 +1,4 @@
-"""Bodies and answers that are longer than what is held: in order, in bounds, with one end."""
+"""Streamed bodies and responses, longer than the buffers: order, memory and termination."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 
 MB = 1 << 20
 BODY = random.Random(1).randbytes(3 * MB)
-READS = 600 * 1024  # of a flow, this much may be held at a time: two reads and what they leave
+MAX_BUFFERED_PER_STREAM = 600 * 1024  # of one stream: two reads and their remainders
 
 
 # --- Without sockets
 
 
-class End:
-    """Either end of an upload: keeps what it is told."""
+class RecordingEnd:
+    """Source and sink of an upload; records its calls."""
 
     def __init__(self) -> None:
         self.got = b""
         self.ends = 0
-        self.held = False
+        self.paused = False
 
     def pause_reading(self) -> None:
-        self.held = True
+        self.paused = True
 
     def resume_reading(self) -> None:
-        self.held = False
+        self.paused = False
 
     def more(self, data: bytes, last: bool) -> None:
         assert not self.ends
@@ -61,38 +61,38 @@
 
 
 @given(st.data())
-def test_a_body_goes_on_in_order_within_bounds_and_ends_once(data: st.DataObject) -> None:
-    draw, budget, source = data.draw, Budget(80), End()
+def test_an_upload_is_passed_on_in_order_within_bounds_and_ends_once(data: st.DataObject) -> None:
+    draw, budget, source = data.draw, Budget(80), RecordingEnd()
     sent = b"start"
     upload = Upload(source, sent, False, budget)
-    sinks: list[End] = []
-    sink: End | None = None
+    sinks: list[RecordingEnd] = []
+    sink: RecordingEnd | None = None
     for _ in range(draw(st.integers(0, 30))):
-        step = draw(st.sampled_from(("read", "open", "taken", "left", "whole", "close")))
-        if step == "read" and not source.held and not upload.complete and not upload.abandoned:
+        step = draw(st.sampled_from(("read", "open", "written", "detach", "complete", "close")))
+        if step == "read" and not source.paused and not upload.complete and not upload.abandoned:
             for piece in draw(st.lists(st.binary(min_size=1, max_size=9), min_size=1, max_size=3)):
                 upload.add(piece)
                 sent += piece
             upload.flush()
-            assert source.held  # until whoever has it says that it is taken
+            assert source.paused  # until the sink has written the bytes
         elif step == "open" and sink is None and upload.replayable():
-            sink = End()
+            sink = RecordingEnd()
             sinks.append(sink)
             start, last = upload.open(sink)
-            assert start == sent  # from the first byte on, all that has come
+            assert start == sent  # all that has arrived, from the first byte
             sink.more(start, last)
-        elif step == "taken" and sink is not None:
+        elif step == "written" and sink is not None:
             upload.on_written(sink)
-        elif step == "left" and sink is not None:
+        elif step == "detach" and sink is not None:
             upload.detach(sink)
             sink = None
-        elif step == "whole" and not upload.complete and not upload.abandoned:
+        elif step == "complete" and not upload.complete and not upload.abandoned:
             upload.complete = True
             upload.flush()
         elif step == "close":
             upload.close()
             sink = None
-            assert not source.held
+            assert not source.paused
             assert budget.streamed == 0
         for one in sinks:
             assert sent.startswith(one.got)
@@ -105,12 +105,12 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 500_000), st.booleans()), max_size=60), st.integers(1, 9))
-def test_who_keeps_the_rate_is_never_cut_and_who_trickles_always_is(
+def test_the_watchdog_accepts_the_minimum_rate_and_detects_a_trickle(
     steps: list[tuple[int, bool]], slow: int
 ) -> None:
     honest, trickle, now, counted = ThroughputWatchdog(0), ThroughputWatchdog(0), 0, 0
     for gap, waits in steps:
-        if waits:  # this side does not want its bytes for a while
+        if waits:  # this side doesn't read for a while, which must not count
             honest.stop(now)
             trickle.stop(now)
             now += gap * 20
@@ -130,18 +130,20 @@
 # --- Over sockets
 
 
-def play(act: Callable[[Gate, Server], Awaitable[None]], host: Server, **changes: Any) -> None:
+def run_scenario(
+    scenario: Callable[[Gate, Server], Awaitable[None]], host: Server, **changes: Any
+) -> None:
     async def run() -> None:
-        async with host, gate(("a", host.addr), **changes) as it:
-            await act(it, host)
-            await until(lambda: it.core.budget.reserved == it.core.budget.streamed == 0)
-            assert it.core.counters.panics == it.core.counters.faults == 0
+        async with host, gate(("a", host.addr), **changes) as gateway:
+            await scenario(gateway, host)
+            await until(lambda: gateway.core.budget.reserved == gateway.core.budget.streamed == 0)
+            assert gateway.core.counters.panics == gateway.core.counters.faults == 0
 
     asyncio.run(run())
 
 
 async def echo(message: bytes, writer: Writer) -> None:
-    """Says back the body, in chunks where the request says so."""
+    """Respond with the request's body, framed as its X-Form says."""
     head, _, body = message.partition(b"\r\n\r\n")
     body = body or BODY
     if b"X-Form: chunked" in head:
@@ -161,7 +163,7 @@
 
 
 def chunked(message: bytes, step: int) -> bytes:
-    """The same request, its body in chunks."""
+    """Return the same request with a chunked body."""
     head, _, body = message.partition(b"\r\n\r\n")
     lines = [line for line in head.split(b"\r\n") if not line.startswith(b"Content-Length")]
     pieces = [body[at : at + step] for at in range(0, len(body), step)]
@@ -172,8 +174,8 @@
 @pytest.mark.parametrize("form", [b"length", b"chunked", b"close"])
 @pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, 3 * MB])
 def test_bodies_of_any_form_and_length_go_both_ways(form: bytes, size: int) -> None:
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         for i, step in enumerate((0, 7_001, 200_000)):
             plain = request(f"r{i}", BODY[:size], fields=b"X-Form: %s\r\n" % form)
             client.send(chunked(plain, step) if step else plain)
@@ -181,50 +183,50 @@
         assert len(host.seen) == 3
         assert (await client.ask(request("g", fields=b"X-Form: %s\r\n" % form)))[1] == BODY
 
-    play(act, Server(echo))
+    run_scenario(scenario, Server(echo))
 
 
-def test_an_old_client_gets_a_long_answer_of_unknown_length_up_to_the_end() -> None:
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+def test_an_http_1_0_client_gets_a_long_response_of_unknown_length() -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         asked = request("r", fields=b"X-Form: chunked\r\n").replace(b"HTTP/1.1", b"HTTP/1.0")
         client.send(asked)
         head, _, body = (await client.rest()).partition(b"\r\n\r\n")
         assert body == BODY
         assert b"transfer-encoding" not in head.lower()
 
-    play(act, Server(echo))
+    run_scenario(scenario, Server(echo))
 
 
-def test_many_long_flows_beside_short_requests_hold_little(
+def test_many_streams_beside_short_requests_buffer_little(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     count, most = 12, 0
 
-    async def act(it: Gate, host: Server) -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
         nonlocal most
 
         async def one(i: int) -> None:
-            client = await it.client()
+            client = await gateway.client()
             client.send(request(f"r{i}", BODY, fields=b"X-Form: chunked\r\n"))
-            await asyncio.sleep(0.2)  # nobody reads yet
+            await asyncio.sleep(0.2)  # without reading the response
             assert await client.answer() == (200, BODY)
 
         tasks = [asyncio.create_task(one(i)) for i in range(count)]
-        short = await it.client()
+        short = await gateway.client()
         n = 0
         while not all(task.done() for task in tasks):
             n += 1
             assert (await short.ask(request(f"s{n}", b"body")))[1] == b"body"
-            most = max(most, it.core.budget.streamed)
+            most = max(most, gateway.core.budget.streamed)
         await asyncio.gather(*tasks)
-        assert 0 < most < count * READS
+        assert 0 < most < count * MAX_BUFFERED_PER_STREAM
 
-    play(act, Server(echo))
+    run_scenario(scenario, Server(echo))
 
 
 @pytest.mark.parametrize("form", ["breaks", "stops", "lies", "endless", "no end"])
-def test_a_client_can_tell_an_answer_that_is_not_whole(
+def test_a_client_can_detect_an_incomplete_response(
     form: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_connection, "MAX_FLOW_STALL", 300_000)
@@ -243,59 +245,59 @@
             await writer.drain()
             writer.transport.close()
 
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         client.send(request("r", b"effect"))
         with pytest.raises((asyncio.IncompleteReadError, OSError)):
             await client.answer()
         assert len(host.seen) == 1
-        assert it.core.counters.cut == 1
+        assert gateway.core.counters.cut == 1
 
-    play(act, Server(broken))
+    run_scenario(scenario, Server(broken))
 
 
 def reset(writer: Writer) -> None:
-    """End a connection with a reset; what was written has been taken."""
+    """Reset a connection, whose written bytes the peer has read."""
     reset_at_close(writer.get_extra_info("socket"))
     writer.transport.abort()
 
 
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
 @pytest.mark.parametrize("size", [10, MAX_BUFFERED_BODY // 2, MB])
-def test_an_answer_without_a_length_that_is_reset_is_not_passed_on_as_whole(
+def test_a_reset_response_without_a_length_is_not_passed_on_as_complete(
     size: int, version: bytes
 ) -> None:
-    """Its end is the connection's, and a reset is none. A client of HTTP/1.0 gets it as it came."""
+    """Only an orderly close ends such a response. HTTP/1.0 clients get it without chunks."""
 
     gates: list[Gate] = []
 
-    async def breaks(message: bytes, writer: Writer) -> None:
+    async def aborts(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + BODY[:size])
         await writer.drain()
         await until(lambda: any(conn.size >= size for conn in gates[0].hosts.connections))
         reset(writer)
 
-    async def act(it: Gate, host: Server) -> None:
-        gates.append(it)
-        client = await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        gates.append(gateway)
+        client = await gateway.client()
         asked = request("r", b"effect", fields=b"Connection: close\r\n")
         client.send(asked.replace(b"HTTP/1.1", version, 1))
         got = b""
         with contextlib.suppress(ConnectionResetError):
             while data := await client.reader.read(65536):
                 got += data
-            # An end in order: what came must say that it failed, or miss its last chunk.
+            # After an orderly close, the response must be an error or lack its last chunk.
             assert got.startswith(b"HTTP/1.1 502") or not got.endswith(b"0\r\n\r\n")
             assert got.startswith(b"HTTP/1.1 502") or b"chunked" in got.lower()
         assert len(host.seen) == 1
 
-    play(act, Server(breaks))
+    run_scenario(scenario, Server(aborts))
 
 
-def test_a_long_answer_that_is_broken_off_ends_with_a_reset() -> None:
-    """Whatever its framing was: over HTTP/1.0 an end in order would make it whole."""
+def test_an_aborted_long_response_ends_with_a_reset() -> None:
+    """With any framing: to an HTTP/1.0 client an orderly close would mean that it is complete."""
 
-    async def breaks(message: bytes, writer: Writer) -> None:
+    async def aborts(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for _ in range(16):
             writer.write(b"10000\r\n%s\r\n" % (b"x" * 65536))
@@ -304,21 +306,21 @@
 
     begun = asyncio.Event()
 
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         client.send(request("r", b"effect").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
         assert await client.reader.read(65536)
         begun.set()
         with pytest.raises(ConnectionResetError):
             await client.reader.read()
-        assert it.core.counters.cut == 1
+        assert gateway.core.counters.cut == 1
 
-    play(act, Server(breaks))
+    run_scenario(scenario, Server(aborts))
 
 
-def test_a_host_that_declines_early_is_answered_for_while_the_body_still_comes() -> None:
+def test_an_early_rejection_by_a_host_is_passed_on_during_the_upload() -> None:
     class Declines(Server):
-        """Turns a request away once some of its body is there."""
+        """Rejects a request once part of its body has arrived."""
 
         async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
             self.writers.append(writer)
@@ -327,35 +329,35 @@
             writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
             self.seen.append(b"declined")
 
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         whole = request("r", BODY)
         client.send(whole[: 2 * MAX_BUFFERED_BODY])
         async with asyncio.timeout(PATIENCE):
             early = await read_message(client.reader)
         assert early.startswith(b"HTTP/1.1 503")
         assert b"\r\nConnection: close\r\n" in early
-        # What the client still sends is taken in, so that the answer is not lost to a reset.
+        # The rest of the body is read, as closing with unread bytes would reset the connection.
         client.send(whole[2 * MAX_BUFFERED_BODY :])
         assert await client.rest() == b""
 
-    play(act, Declines())
+    run_scenario(scenario, Declines())
 
 
-class Half(Server):
-    """Reads half a megabyte of each request and then does as it is told."""
+class HalfReader(Server):
+    """Reads half a megabyte of each request, then reads on, or aborts if `aborts` is set."""
 
     def __init__(self) -> None:
         super().__init__()
         self.ended: list[bool] = []
-        self.breaks = False
+        self.aborts = False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         self.writers.append(writer)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(MB // 2)
         self.seen.append(b"half")
-        if self.breaks:
+        if self.aborts:
             writer.transport.abort()
             return
         try:
@@ -366,72 +368,74 @@
         self.ended.append(True)
 
 
-def test_a_client_that_goes_in_the_middle_of_its_body_leaves_nothing_behind() -> None:
-    async def act(it: Gate, host: Server) -> None:
-        assert isinstance(host, Half)
-        client = await it.client()
+def test_a_client_that_disconnects_during_its_upload_leaves_nothing_behind() -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
+        assert isinstance(host, HalfReader)
+        client = await gateway.client()
         client.send(request("r", BODY)[: 2 * MB])
         await until(lambda: bool(host.seen))
         client.writer.transport.abort()
-        await until(lambda: bool(host.ended))  # its connection, with no last byte written
-        await until(lambda: not it.core.open_requests)
-        assert not it.pool.policy.endpoint_table.servers[
+        await until(lambda: bool(host.ended))  # its connection, without the last byte
+        await until(lambda: not gateway.core.open_requests)
+        assert not gateway.pool.policy.endpoint_table.servers[
             "a"
-        ].ejections  # it is no fault of the host's
+        ].ejections  # not attributed to the host
 
-    play(act, Half())
+    run_scenario(scenario, HalfReader())
 
 
-def test_a_body_whose_start_is_gone_is_refused_and_its_host_never_ran_it() -> None:
-    async def act(it: Gate, host: Server) -> None:
-        assert isinstance(host, Half)
-        host.breaks = True
-        client = await it.client()
+def test_an_upload_whose_start_is_released_is_rejected_when_its_host_fails() -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
+        assert isinstance(host, HalfReader)
+        host.aborts = True
+        client = await gateway.client()
         client.send(request("r", BODY)[: 2 * MB])
         assert (await client.answer())[0] == 503
         assert len(host.seen) == 1
 
-    play(act, Half())
+    run_scenario(scenario, HalfReader())
 
 
-def test_a_body_whose_start_is_held_goes_to_another_host() -> None:
+def test_an_upload_whose_start_is_buffered_goes_to_another_host() -> None:
     async def run() -> None:
-        async with Server(echo) as host, gate(("a", "127.0.0.1:9"), ("b", host.addr)) as it:
+        async with Server(echo) as host, gate(("a", "127.0.0.1:9"), ("b", host.addr)) as gateway:
             for i in range(6):
-                client = await it.client()
+                client = await gateway.client()
                 client.send(request(f"r{i}", BODY))
                 assert await client.answer() == (200, BODY)
-            assert it.core.counters.statuses["connect_failed"] > 0
+            assert gateway.core.counters.statuses["connect_failed"] > 0
 
     asyncio.run(run())
 
 
-def test_a_client_that_reads_nothing_is_cut_and_holds_up_nobody(
+def test_a_client_that_reads_nothing_is_closed_and_delays_nobody(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(response_writer, "READ_STALL", (500_000, 500_000))
 
-    async def act(it: Gate, host: Server) -> None:
-        silent, other = await it.client(), await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        silent, other = await gateway.client(), await gateway.client()
         silent.writer.transport.pause_reading()  # type: ignore[attr-defined]
         silent.send(request("s", BODY * 4))
         n = 0
-        while it.core.admission.counters.closed[Reason.UNREAD] == 0:
+        while gateway.core.admission.counters.closed[Reason.UNREAD] == 0:
             n += 1
             assert (await other.ask(request(f"o{n}", b"body")))[1] == b"body"
         silent.writer.transport.abort()
 
-    play(act, Server(echo))
+    run_scenario(scenario, Server(echo))
 
 
-def test_a_trickle_is_cut_and_a_slow_body_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_trickling_body_times_out_and_a_slow_one_does_not(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def send(client: Client, message: bytes, step: int, every: float) -> None:
         for at in range(0, len(message), step):
             client.send(message[at : at + step])
             await asyncio.sleep(every)
 
-    async def act(it: Gate, host: Server) -> None:
-        slow, trickle, half = [await it.client() for _ in range(3)]
+    async def scenario(gateway: Gate, host: Server) -> None:
+        slow, trickle, half = [await gateway.client() for _ in range(3)]
         tasks = [
             asyncio.create_task(
                 send(slow, request("s", BODY[: 4 * MAX_BUFFERED_BODY]), 8192, 0.12)
@@ -445,7 +449,7 @@
         for task in tasks:
             task.cancel()
 
-    play(act, Server(echo))
+    run_scenario(scenario, Server(echo))
 
 
 def test_a_long_body_behind_an_open_request_waits_for_its_turn() -> None:
@@ -456,8 +460,8 @@
             await go.wait()
         await echo(message, writer)
 
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         client.send(request("first", b"one") + request("next", BODY) + request("last", b"end"))
         await until(lambda: bool(host.seen))
         go.set()
@@ -467,12 +471,12 @@
             (200, b"end"),
         ]
 
-    play(act, Server(waits))
+    run_scenario(scenario, Server(waits))
 
 
-def test_what_has_no_end_is_refused_on_both_sides() -> None:
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+def test_an_endless_upload_is_rejected() -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         head = request("r", b"").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
         client.send(head)
         piece = b"100000\r\n%s\r\n" % (b"x" * MB)
@@ -485,29 +489,29 @@
             await asyncio.wait((answered,), timeout=0.01)
         assert (await answered)[0] == 413
 
-    play(act, Server(echo))
+    run_scenario(scenario, Server(echo))
 
 
-def test_a_client_that_goes_in_the_middle_of_its_answer_leaves_nothing_behind() -> None:
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+def test_a_client_that_disconnects_during_its_response_leaves_nothing_behind() -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(request("r", BODY * 4))
-        await until(lambda: any(c.client is not None for c in it.hosts.connections))
+        await until(lambda: any(c.client is not None for c in gateway.hosts.connections))
         client.writer.transport.abort()
-        await until(lambda: not it.core.open_requests and not it.hosts.connections)
+        await until(lambda: not gateway.core.open_requests and not gateway.hosts.connections)
         gc.collect()
         assert not [
             one
             for one in gc.get_objects()
             if isinstance(one, upstream_connection.UpstreamConnection)
         ]
-        assert it.core.counters.cut == 0  # it is nobody's answer any more
+        assert gateway.core.counters.cut == 0  # the client had disconnected
 
-    play(act, Server(echo))
+    run_scenario(scenario, Server(echo))
 
 
-def test_what_a_client_takes_between_two_pieces_counts_for_its_pace() -> None:
+def test_bytes_read_between_two_writes_count_for_the_read_rate() -> None:
     go = asyncio.Event()
 
     async def pieces(message: bytes, writer: Writer) -> None:
@@ -518,17 +522,17 @@
         await go.wait()
         writer.write(BODY[MB:])
 
-    async def act(it: Gate, host: Server) -> None:
-        client = await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         client.send(request("r"))
         async with asyncio.timeout(PATIENCE):
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(MB) == BODY[:MB]
-        (held,) = it.clients()
+        (held,) = gateway.clients()
         assert held.read_watchdog is not None
         assert held.read_watchdog.moved > 0.9 * MB
         go.set()
         async with asyncio.timeout(PATIENCE):
             assert await client.reader.readexactly(len(BODY) - MB) == BODY[MB:]
 
-    play(act, Server(pieces))
+    run_scenario(scenario, Server(pieces))
