--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""What would break a rule is not done; it is counted by kind and told with the request's id."""
+"""Actions that violate an invariant are not done; they are counted by kind and logged."""
 
 from __future__ import annotations
 
@@ -22,26 +22,32 @@
 NOW = 10 * S
 
 
-def exchange_of(kind: RequestClass) -> RequestContext:
+def new_request(kind: RequestClass) -> RequestContext:
     made = RequestContext(None)  # type: ignore[arg-type]
     made.name, made.request_class = b"q1", kind
     return made
 
 
-@pytest.mark.parametrize("effect", [Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE])
-@pytest.mark.parametrize("ran", [True, False])
+@pytest.mark.parametrize("idempotency", [Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE])
+@pytest.mark.parametrize("has_run", [True, False])
 @pytest.mark.parametrize("remembered", [True, False])
-def test_only_what_is_safe_or_remembered_is_sent_again(
-    effect: Idempotency, ran: bool, remembered: bool
+def test_only_safe_or_remembered_requests_are_sent_again(
+    idempotency: Idempotency, has_run: bool, remembered: bool
 ) -> None:
-    exchange = exchange_of(CLASSES[effect])
-    exchange.first_run_at = NOW - S if ran else 0
-    it = Invariants(Log("n0"))
-    attempt = Attempt(exchange, 1, "a", NOW, NOW + S)
-    wrong = ran and effect != Idempotency.SAFE and not (effect == Idempotency.KEYED and remembered)
-    found = it.before_send(attempt, NOW, True, remembered and effect == Idempotency.KEYED)
-    assert found is (Violation.REPEATED if wrong else None)
-    assert it.total == wrong
+    request_context = new_request(CLASSES[idempotency])
+    request_context.first_run_at = NOW - S if has_run else 0
+    invariants = Invariants(Log("n0"))
+    attempt = Attempt(request_context, 1, "a", NOW, NOW + S)
+    wrong = (
+        has_run
+        and idempotency != Idempotency.SAFE
+        and not (idempotency == Idempotency.KEYED and remembered)
+    )
+    violation = invariants.before_send(
+        attempt, NOW, True, remembered and idempotency == Idempotency.KEYED
+    )
+    assert violation is (Violation.REPEATED if wrong else None)
+    assert invariants.total == wrong
 
 
 @pytest.mark.parametrize(
@@ -53,104 +59,109 @@
         (lambda e: None, NOW, False, Violation.SENT_UNLISTED),
     ],
 )
-def test_what_may_not_be_sent_is_named(
+def test_a_forbidden_attempt_is_reported_by_its_violation(
     change: Callable[[RequestContext], None],
     now: int,
     ready: bool,
     violation: Violation | None,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    exchange = exchange_of(CLASSES[Idempotency.SAFE])
-    change(exchange)
-    it = Invariants(Log("n0"))
-    assert it.before_send(Attempt(exchange, 0, "a", NOW, NOW + S), now, ready, False) is violation
-    said = capsys.readouterr().err
-    assert ("request q1" in said) == (violation is not None)
-    assert it.summary() == ("" if violation is None else f"{violation.name.lower()}=1")
-
-
-def test_a_second_copy_of_what_may_not_run_twice_is_a_violation() -> None:
-    exchange = exchange_of(CLASSES[Idempotency.UNSAFE])
-    it = Invariants(Log("n0"))
-    first, second = (Attempt(exchange, n, "a", NOW, NOW + S) for n in range(2))
-    exchange.open_attempts += [first, second]
-    assert it.before_send(second, NOW, True, False) is None  # the first is not written
+    request_context = new_request(CLASSES[Idempotency.SAFE])
+    change(request_context)
+    invariants = Invariants(Log("n0"))
+    assert (
+        invariants.before_send(Attempt(request_context, 0, "a", NOW, NOW + S), now, ready, False)
+        is violation
+    )
+    log_output = capsys.readouterr().err
+    assert ("request q1" in log_output) == (violation is not None)
+    assert invariants.summary() == ("" if violation is None else f"{violation.name.lower()}=1")
+
+
+def test_a_concurrent_second_attempt_of_an_unsafe_request_is_a_violation() -> None:
+    request_context = new_request(CLASSES[Idempotency.UNSAFE])
+    invariants = Invariants(Log("n0"))
+    first, second = (Attempt(request_context, n, "a", NOW, NOW + S) for n in range(2))
+    request_context.open_attempts += [first, second]
+    assert invariants.before_send(second, NOW, True, False) is None  # the first is not written
     first.connection = object()  # type: ignore[assignment]
-    assert it.before_send(second, NOW, True, False) is Violation.REPEATED
+    assert invariants.before_send(second, NOW, True, False) is Violation.REPEATED
 
 
-def play(story: Callable[[Gate, Server], object], host: Server) -> None:
+def run_scenario(scenario: Callable[[Gate, Server], object], host: Server) -> None:
     async def run() -> None:
-        async with host, gate(("a", host.addr)) as it:
-            await story(it, host)  # type: ignore[misc]
+        async with host, gate(("a", host.addr)) as gateway:
+            await scenario(gateway, host)  # type: ignore[misc]
 
     asyncio.run(run())
 
 
 async def silent(message: bytes, writer: Writer) -> None:
-    """A host that answers nothing."""
+    """Never respond."""
     await asyncio.Event().wait()
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_a_refusal_of_what_may_have_run_goes_out_as_a_failure(body: bytes | None) -> None:
-    async def story(it: Gate, host: Server) -> None:
-        client = await it.client()
+def test_rejecting_a_request_that_may_have_run_is_sent_as_a_failure(body: bytes | None) -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         client.send(request("q1", body))
         await until(lambda: bool(host.seen))
-        (exchange,) = it.core.open_requests.values()
-        exchange.first_run_at = it.core.clock()
-        it.core.respond_rejected(exchange, 0)
+        (request_context,) = gateway.core.open_requests.values()
+        request_context.first_run_at = gateway.core.clock()
+        gateway.core.respond_rejected(request_context, 0)
         status, _ = await client.answer()
         assert (status == 503) == (body is None)
-        assert it.core.invariants.counts[Violation.REFUSED_AFTER_RUN] == (body is not None)
+        assert gateway.core.invariants.counts[Violation.REFUSED_AFTER_RUN] == (body is not None)
 
-    play(story, Server(silent))
+    run_scenario(scenario, Server(silent))
 
 
-def test_a_second_answer_is_not_given() -> None:
-    async def story(it: Gate, host: Server) -> None:
-        client = await it.client()
+def test_a_second_response_is_not_sent() -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         client.send(request("q1"))
         await until(lambda: bool(host.seen))
-        (exchange,) = it.core.open_requests.values()
-        it.core.respond_rejected(exchange, 0)
-        it.core.respond_failed(exchange)
+        (request_context,) = gateway.core.open_requests.values()
+        gateway.core.respond_rejected(request_context, 0)
+        gateway.core.respond_failed(request_context)
         assert (await client.answer())[0] == 503
-        assert it.core.invariants.counts[Violation.ANSWERED_TWICE] == 1
+        assert gateway.core.invariants.counts[Violation.ANSWERED_TWICE] == 1
         assert (await client.ask(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 200
 
-    play(story, Server(silent))
+    run_scenario(scenario, Server(silent))
 
 
 @pytest.mark.parametrize("by_client", [True, False])
-def test_a_close_with_an_answer_owed_counts_where_it_is_this_sides(by_client: bool) -> None:
-    async def story(it: Gate, host: Server) -> None:
-        client = await it.client()
+def test_closing_with_a_pending_response_is_a_violation_only_of_the_gateway(
+    by_client: bool,
+) -> None:
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         client.send(request("q1"))
         await until(lambda: bool(host.seen))
         if by_client:
             client.writer.close()
         else:
-            it.clients()[0].abort()
-        await until(lambda: not it.core.clients)
-        assert it.core.invariants.counts[Violation.CLOSED_OWING] == (not by_client)
+            gateway.clients()[0].abort()
+        await until(lambda: not gateway.core.clients)
+        assert gateway.core.invariants.counts[Violation.CLOSED_OWING] == (not by_client)
 
-    play(story, Server(silent))
+    run_scenario(scenario, Server(silent))
 
 
-def test_reasons_of_refusals_and_retries_are_counted() -> None:
-    """By the module's figures, which the log's line of its pool has."""
+def test_reasons_of_rejections_and_retries_are_counted() -> None:
+    """They are counters of the decision module, and in the pool's statistics in the log."""
 
     async def busy(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 
-    async def story(it: Gate, host: Server) -> None:
-        client = await it.client()
+    async def scenario(gateway: Gate, host: Server) -> None:
+        client = await gateway.client()
         assert (await client.ask(request("q1")))[0] == 503
-        figures = it.pool.policy.counters
+        figures = gateway.pool.policy.counters
         assert figures["capped"] == 1
         assert figures["retries"] == 4
-        assert "capped=1" in it.pool.summary()
+        assert "capped=1" in gateway.pool.summary()
 
-    play(story, Server(busy))
+    run_scenario(scenario, Server(busy))
--- a/tests/test_leaving_hosts.py
+++ b/tests/test_leaving_hosts.py
@@ -1,4 +1,4 @@
-"""Nothing new reaches a host once it is announced as leaving, whatever was under way to it."""
+"""No new request is sent to a host that is listed as leaving, even if it was chosen before."""
 
 from __future__ import annotations
 
@@ -20,98 +20,98 @@
 
 @pytest.mark.parametrize("state", ["leaving", "left", "missing"])
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_what_was_on_its_way_to_a_host_that_is_then_leaving_goes_to_another(
+def test_an_attempt_that_connects_to_a_leaving_host_goes_to_another(
     state: str, body: bytes | None
 ) -> None:
-    """Chosen before the news, and its connection comes up after it."""
+    """The host is chosen before the update, and its connection is established after it."""
 
-    async def play() -> None:
+    async def run() -> None:
         async with Server() as leaving, Server() as staying:
             registry = Registry(("a", leaving.addr))
             async with (
                 registry,
-                gate(("a", leaving.addr), discovery=registry.addr, settings=PATIENT) as it,
-                held_connects(leaving.addr) as held,
+                gate(("a", leaving.addr), discovery=registry.addr, settings=PATIENT) as gateway,
+                held_connects(leaving.addr) as pending_connects,
             ):
-                client = await it.client()
+                client = await gateway.client()
                 client.send(request("r1", body))
-                await until(lambda: held.waiting == 1)
+                await until(lambda: pending_connects.waiting == 1)
                 registry.entries = [entry("b", staying.addr)]
                 if state != "missing":
                     registry.entries.append(entry("a", leaving.addr, state))
                 registry.version += 1
-                await until(lambda: "b" in it.pool.endpoints)
-                held.go.set()
+                await until(lambda: "b" in gateway.pool.endpoints)
+                pending_connects.go.set()
                 assert await client.answer() == (200, b"served")
                 assert len(staying.seen) == 1
                 assert leaving.seen == []
-                # It never ran there, and says nothing of any host.
-                assert "connect_failed" not in it.core.counters.statuses
+                # The attempt never ran, and is not attributed to the host.
+                assert "connect_failed" not in gateway.core.counters.statuses
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
 def test_a_first_byte_does_not_wait_for_a_full_socket(body: bytes | None) -> None:
-    """It would go out whenever the host reads again, whatever has been said of it by then."""
+    """It would be sent once the host reads again, whatever the list says of it by then."""
 
-    async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def run() -> None:
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             assert await client.ask(request("r0")) == (200, b"served")
-            (conn,) = it.hosts.connections
-            (far,) = host.writers
-            far.transport.pause_reading()  # type: ignore[attr-defined]
+            (conn,) = gateway.hosts.connections
+            (host_writer,) = host.writers
+            host_writer.transport.pause_reading()  # type: ignore[attr-defined]
             with contextlib.suppress(BlockingIOError):
                 while True:
                     conn.sock.send(b"x" * 65536)
             assert await client.ask(request("r1", body)) == (200, b"served")
             assert len(host.writers) == 2
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-@pytest.mark.parametrize("news", ["moved", "started anew", "replaced", "other cell", "banned"])
-def test_what_was_chosen_by_what_no_longer_holds_is_chosen_anew(news: str) -> None:
-    """Its address, its life, who is there, its group, or what staff say of it."""
+@pytest.mark.parametrize("change", ["moved", "restarted", "replaced", "other cell", "banned"])
+def test_an_attempt_is_chosen_again_if_its_host_has_changed(change: str) -> None:
+    """The address, the start time, the host at the address, the cell, or its maintenance."""
 
-    async def play() -> None:
+    async def run() -> None:
         async with Server() as one, Server() as other, Server() as third:
             registry = Registry(("a", one.addr))
             async with (
                 registry,
-                gate(("a", one.addr), discovery=registry.addr, settings=PATIENT) as it,
-                held_connects(one.addr) as held,
+                gate(("a", one.addr), discovery=registry.addr, settings=PATIENT) as gateway,
+                held_connects(one.addr) as pending_connects,
             ):
-                client = await it.client()
+                client = await gateway.client()
                 client.send(request("r1", b"pay"))
-                await until(lambda: held.waiting == 1)
+                await until(lambda: pending_connects.waiting == 1)
                 listed = {
                     "moved": entry("a", third.addr),
-                    "started anew": entry("a", one.addr) | {"started_ms": 1_700_000_000_000},
+                    "restarted": entry("a", one.addr) | {"started_ms": 1_700_000_000_000},
                     "other cell": entry("a", one.addr) | {"cell": 7},
-                }.get(news, entry("a", one.addr))
+                }.get(change, entry("a", one.addr))
                 registry.entries = [listed, entry("b", other.addr)]
-                if news == "replaced":
+                if change == "replaced":
                     registry.entries.append(entry("c", one.addr) | {"started_ms": 1000})
                 registry.version += 1
-                await until(lambda: "b" in it.pool.endpoints)
-                if news == "banned":
-                    it.pool.enter_maintenance("a")
-                held.go.set()
+                await until(lambda: "b" in gateway.pool.endpoints)
+                if change == "banned":
+                    gateway.pool.enter_maintenance("a")
+                pending_connects.go.set()
                 assert await client.answer() == (200, b"served")
-                assert it.core.counters.statuses["withheld"] == 1
-                if news != "replaced":  # which fails by itself if it is chosen again
-                    assert "connect_failed" not in it.core.counters.statuses
+                assert gateway.core.counters.statuses["withheld"] == 1
+                if change != "replaced":  # the replaced host fails by itself if it is chosen again
+                    assert "connect_failed" not in gateway.core.counters.statuses
                 assert len(one.seen) + len(other.seen) + len(third.seen) == 1
-                if news in ("moved", "banned"):
+                if change in ("moved", "banned"):
                     assert one.seen == []
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 class Held(Registry):
-    """Answers a call that has nothing new to hear when the test writes to it."""
+    """Leaves a watch call that is up to date open; the test writes the response."""
 
     async def reply(self, message: bytes, writer: Writer) -> None:
         if f"after={self.version}&".encode() not in message:
@@ -120,25 +120,27 @@
 
 @pytest.mark.parametrize("body", [None, b"pay"])
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop])
-def test_news_that_came_during_a_stall_is_heard_before_requests_that_came_in_it(
+def test_updates_received_in_a_stall_apply_before_requests_received_in_it(
     body: bytes | None, loop: Callable[[], asyncio.AbstractEventLoop]
 ) -> None:
-    """The request came first, is read first, and its host has a connection at hand."""
+    """The request arrives first, is read first, and its host has an idle connection."""
 
     def wrote(writer: Writer, data: bytes) -> None:
         assert os.write(writer.get_extra_info("socket").fileno(), data) == len(data)
 
-    async def story() -> None:
+    async def run() -> None:
         async with Server() as leaving, Server() as staying:
             registry = Held(("a", leaving.addr))
-            async with registry, gate(("a", leaving.addr), discovery=registry.addr) as it:
-                client = await it.client()
+            async with registry, gate(("a", leaving.addr), discovery=registry.addr) as gateway:
+                client = await gateway.client()
                 assert await client.ask(request("r1")) == (200, b"served")
                 seen = len(registry.seen)
-                await until(lambda: len(registry.seen) > seen)  # a call has just begun to wait
+                await until(
+                    lambda: len(registry.seen) > seen
+                )  # a watch call has just begun to wait
                 listed = [entry("a", leaving.addr, "leaving"), entry("b", staying.addr)]
                 text = {"version": 2, "full": True, "servers": listed}
-                # The loop has no turn from here on.
+                # From here on the event loop doesn't run.
                 wrote(client.writer, request("r2", body))
                 wrote(registry.writers[-1], answer(json.dumps(text).encode()))
                 registry.version = 2
@@ -147,4 +149,4 @@
                 assert (len(leaving.seen), len(staying.seen)) == (1, 1)
 
     with asyncio.Runner(loop_factory=loop) as runner:
-        runner.run(story())
+        runner.run(run())
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""A log line is one line whatever it says, and no longer than a pipe takes at once."""
+"""A log entry is one line, and no longer than what a pipe accepts at once."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 LONG = ("x" * 10_000, "\u00e9" * 10_000, "x" + "\u20ac" * 10_000)
 
 
-def test_a_long_line_is_cut_before_its_end_of_line(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_long_line_is_truncated_before_its_newline(monkeypatch: pytest.MonkeyPatch) -> None:
     for text in LONG:
         written = io.StringIO()
         monkeypatch.setattr(sys, "stderr", written)
@@ -23,6 +23,6 @@
         lines = written.getvalue().split("\n")
         assert len(lines) == 3
         assert len((lines[0] + "\n").encode()) <= select.PIPE_BUF
-        assert len(lines[0].encode()) > select.PIPE_BUF - 8  # no more is cut than has to be
+        assert len(lines[0].encode()) > select.PIPE_BUF - 8  # no more is truncated than necessary
         assert lines[1].endswith("n0 next")
         assert lines[2] == ""
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Hosts that staff take out: out until they say otherwise, and cold when they come back."""
+"""Hosts in maintenance: out until an operator puts them back, and cold after that."""
 
 from __future__ import annotations
 
@@ -28,78 +28,82 @@
 )
 
 
-def listed(state: EndpointState = EndpointState.READY, boot: int = 0, name: str = "a") -> Endpoint:
-    return Endpoint(name, 1.0, 0, 0, state, boot, 0)
+def listed(
+    state: EndpointState = EndpointState.READY, started_at: int = 0, name: str = "a"
+) -> Endpoint:
+    return Endpoint(name, 1.0, 0, 0, state, started_at, 0)
 
 
 @given(STEPS)
-def test_a_ban_holds_whatever_the_list_says_until_one_call_ends_it(
+def test_a_ban_overrides_the_list_until_one_leave_ends_it(
     steps: list[tuple[str, int]],
 ) -> None:
-    it = Maintenance()
-    it.add_names(("a",))
-    out = False
+    maintenance = Maintenance()
+    maintenance.add_names(("a",))
+    in_maintenance = False
     since = left = 0
-    for now, (what, boot) in enumerate(steps, 1):
+    for now, (what, started_at) in enumerate(steps, 1):
         if what == "enter":
-            assert it.enter("a", now * S) == (
-                MaintenanceResult.ALREADY if out else MaintenanceResult.CHANGED
+            assert maintenance.enter("a", now * S) == (
+                MaintenanceResult.ALREADY if in_maintenance else MaintenanceResult.CHANGED
             )
-            since, out = (since if out else now * S), True
+            since, in_maintenance = (since if in_maintenance else now * S), True
         elif what == "leave":
-            assert it.leave("a", now * S) == (
-                MaintenanceResult.CHANGED if out else MaintenanceResult.ALREADY
+            assert maintenance.leave("a", now * S) == (
+                MaintenanceResult.CHANGED if in_maintenance else MaintenanceResult.ALREADY
             )
-            left, out = (now * S if out else left), False
+            left, in_maintenance = (now * S if in_maintenance else left), False
         elif what == EndpointState.GONE:
-            it.forget("a")
+            maintenance.forget("a")
             left = 0
         else:
-            told = it.apply_to(listed(EndpointState(what), boot * S))
-            assert told.state == (EndpointState.DRAINING if out else what)
-            if not out and left:
-                # It counts as started no earlier than staff let it go for.
-                assert told.started_at >= since
-                left = left if boot * S < since else 0
-        assert it.is_out("a") == out
+            effective = maintenance.apply_to(listed(EndpointState(what), started_at * S))
+            assert effective.state == (EndpointState.DRAINING if in_maintenance else what)
+            if not in_maintenance and left:
+                # It counts as started no earlier than its maintenance began.
+                assert effective.started_at >= since
+                left = left if started_at * S < since else 0
+        assert maintenance.is_out("a") == in_maintenance
 
 
-def test_only_what_was_ever_listed_is_known_and_that_is_bounded() -> None:
-    it = Maintenance()
-    assert it.enter("a", S) is MaintenanceResult.UNKNOWN
-    assert it.leave("a", S) is MaintenanceResult.UNKNOWN
-    it.add_names(("a",))
-    it.enter("a", S)
-    it.add_names(f"n{i}" for i in range(MAX_KNOWN_NAMES))
-    assert len(it.known_names) == MAX_KNOWN_NAMES
-    assert it.knows("a")  # for as long as it is out
-    assert it.leave("a", S) is MaintenanceResult.CHANGED
-    assert not it.knows("a")
+def test_only_hosts_ever_listed_are_known_up_to_a_limit() -> None:
+    maintenance = Maintenance()
+    assert maintenance.enter("a", S) is MaintenanceResult.UNKNOWN
+    assert maintenance.leave("a", S) is MaintenanceResult.UNKNOWN
+    maintenance.add_names(("a",))
+    maintenance.enter("a", S)
+    maintenance.add_names(f"n{i}" for i in range(MAX_KNOWN_NAMES))
+    assert len(maintenance.known_names) == MAX_KNOWN_NAMES
+    assert maintenance.knows("a")  # while it is in maintenance
+    assert maintenance.leave("a", S) is MaintenanceResult.CHANGED
+    assert not maintenance.knows("a")
 
 
-def test_a_host_that_is_out_gets_nothing_and_comes_back_cold() -> None:
-    async def play() -> None:
+def test_a_host_in_maintenance_gets_no_requests_and_returns_cold() -> None:
+    async def run() -> None:
         async with (
             Server() as first,
             Server() as second,
-            gate(("a", first.addr), ("b", second.addr)) as it,
+            gate(("a", first.addr), ("b", second.addr)) as gateway,
         ):
-            client = await it.client()
-            it.pool.enter_maintenance("a")
+            client = await gateway.client()
+            gateway.pool.enter_maintenance("a")
             before = len(first.seen)
             for i in range(20):
                 assert (await client.ask(request(f"r{i}")))[0] == 200
             assert len(first.seen) == before
-            assert it.pool.policy.endpoint_table.servers["a"].state == EndpointState.DRAINING
-            # What the list says of it changes nothing.
-            it.pool.apply_update(it.platform.config.known_endpoints, WatchEventKind.SNAPSHOT)
-            assert it.pool.policy.endpoint_table.servers["a"].state == EndpointState.DRAINING
-            it.pool.leave_maintenance("a")
-            server = it.pool.policy.endpoint_table.servers["a"]
-            assert server in it.pool.policy.endpoint_table.slow_start.servers
+            assert gateway.pool.policy.endpoint_table.servers["a"].state == EndpointState.DRAINING
+            # An update of the list doesn't end the maintenance.
+            gateway.pool.apply_update(
+                gateway.platform.config.known_endpoints, WatchEventKind.SNAPSHOT
+            )
+            assert gateway.pool.policy.endpoint_table.servers["a"].state == EndpointState.DRAINING
+            gateway.pool.leave_maintenance("a")
+            server = gateway.pool.policy.endpoint_table.servers["a"]
+            assert server in gateway.pool.policy.endpoint_table.slow_start.servers
             for i in range(200):
                 assert (await client.ask(request(f"s{i}")))[0] == 200
             assert len(first.seen) > before
-            assert it.core.counters.panics == 0
+            assert gateway.core.counters.panics == 0
 
-    asyncio.run(play())
+    asyncio.run(run())
