--- a/sailhitch/core/descriptors.py
+++ b/sailhitch/core/descriptors.py
@@ -30,9 +30,9 @@
         """
         admission = self._core.admission
         descriptors = admission.descriptors()
-        if admission.held + self.upstream_count() < descriptors:
+        if admission.client_descriptors + self.upstream_count() < descriptors:
             return True
-        if admission.held > admission.budget.min_client_share * descriptors:
+        if admission.client_descriptors > admission.budget.min_client_share * descriptors:
             now = self._core.clock()
             if self.release(admission.eviction_candidates(now), Reason.ROOM):
                 return True
@@ -46,7 +46,10 @@
             return Verdict.ADMIT
         if self.release(admission.eviction_candidates(core.clock()), Reason.ROOM):
             return Verdict.WAIT
-        if admission.held < admission.budget.max_client_descriptors and self._close_oldest_idle():
+        if (
+            admission.client_descriptors < admission.budget.max_client_descriptors
+            and self._close_oldest_idle()
+        ):
             return Verdict.WAIT
         # Connections that are being accepted or closed are done within a few loop iterations.
         in_transition = bool(core.arriving) or any(c.is_closed() for c in core.clients)
--- a/sailhitch/front/connection_admission.py
+++ b/sailhitch/front/connection_admission.py
@@ -76,12 +76,12 @@
         return self._pressure.budget
 
     @property
-    def held(self) -> int:
+    def client_descriptors(self) -> int:
         """Return the descriptors that clients hold."""
         return len(self.slots)
 
     @property
-    def used(self) -> int:
+    def used_slots(self) -> int:
         """Return the request slots in use."""
         return self.count[_BUSY] + self.count[_WRITING] + self.count[_IDLE]
 
@@ -93,7 +93,7 @@
     def resize(self, budget: ConnectionBudget) -> None:
         """Set a new budget; connections that exceed it are closed in the usual order over time."""
         self._pressure.budget = self._retention.budget = budget
-        self._pressure.update(self.now, self.held, self.used)
+        self._pressure.update(self.now, self.client_descriptors, self.used_slots)
 
     def descriptors(self) -> int:
         """Return the limit on descriptors: the configured one, or a lower one observed recently."""
@@ -104,16 +104,18 @@
 
         `others` are the descriptors not held by clients.
         """
-        freed = max(1, self.held // EVICTION_BATCH_DIVISOR)
-        self._pressure.on_descriptors_exhausted(self._advance(now), self.held + others - freed)
+        freed = max(1, self.client_descriptors // EVICTION_BATCH_DIVISOR)
+        self._pressure.on_descriptors_exhausted(
+            self._advance(now), self.client_descriptors + others - freed
+        )
 
     def needs_eviction(self, others: int) -> bool:
         """Return whether one more client would exceed the clients' share or the total limit."""
-        return self._pressure.is_full(self.now, self.held, others)
+        return self._pressure.is_full(self.now, self.client_descriptors, others)
 
     def pressure(self) -> float:
         """Return the share in use of the scarcest resource; above 1 if overcommitted."""
-        return self._pressure.share(self.now, self.held, self.used)
+        return self._pressure.share(self.now, self.client_descriptors, self.used_slots)
 
     def update_pressure(self, now: int, others: int, memory: float) -> None:
         """Update pressure; called several times a second.
@@ -125,7 +127,7 @@
         pressure.other_descriptors = others
         pressure.memory = memory
         before = pressure.factor
-        pressure.update(self.now, self.held, self.used)
+        pressure.update(self.now, self.client_descriptors, self.used_slots)
         if self.now - self._refreshed_at >= REFRESH_INTERVAL:
             self._refresh()
         elif abs(pressure.factor - before) > PRESSURE_STEP:
@@ -135,7 +137,7 @@
         elapsed = self.now - self._refreshed_at
         self._refreshed_at = self.now
         horizon = MAX_HORIZON + int(
-            self._pressure.slot_factor(self.used) * (MIN_HORIZON - MAX_HORIZON)
+            self._pressure.slot_factor(self.used_slots) * (MIN_HORIZON - MAX_HORIZON)
         )
         waits = [(slot.kind, self.now - slot.since) for slot in self.slots if slot.state in WAITING]
         decay = decay_factor(elapsed)
@@ -345,11 +347,11 @@
 
     def is_retained(self, slot: ConnectionSlot, now: int) -> bool:
         """Return whether to keep a connection after the response that is about to be written."""
-        if self.used <= LOW_PRESSURE * self.budget.request_slots:
+        if self.used_slots <= LOW_PRESSURE * self.budget.request_slots:
             return True
         self._advance(now)
         value = self.tables.expected_requests[kind_once_idle(slot)][0] * slot.source.reputation
-        return value >= EVICTION_THRESHOLD * self._pressure.slot_factor(self.used)
+        return value >= EVICTION_THRESHOLD * self._pressure.slot_factor(self.used_slots)
 
     def low_value_slots(self, now: int) -> list[ConnectionSlot]:
         """Return the idle connections to close for their request slots now, least valuable first.
@@ -358,10 +360,10 @@
         only cost a handshake. So none above a ceiling of value is closed, however scarce slots are.
         """
         self._advance(now)
-        surplus = int(self.used - LOW_PRESSURE * self.budget.request_slots)
+        surplus = int(self.used_slots - LOW_PRESSURE * self.budget.request_slots)
         if surplus <= 0 or not self.count[_IDLE]:
             return []
-        ceiling = EVICTION_THRESHOLD * self._pressure.slot_factor(self.used)
+        ceiling = EVICTION_THRESHOLD * self._pressure.slot_factor(self.used_slots)
         value = self._retention.value
         return lowest_ranked(
             ((value(slot, self.now), slot) for slot in self._in_states(_IDLE)), ceiling, surplus
@@ -374,7 +376,7 @@
         waiting ones by value, and last new ones whose request may be in flight.
         """
         self._advance(now)
-        max_count = max_count or max(2, self.held // EVICTION_BATCH_DIVISOR)
+        max_count = max_count or max(2, self.client_descriptors // EVICTION_BATCH_DIVISOR)
         rank = self._retention.eviction_rank
         return lowest_ranked(
             ((rank(slot, self.now), slot) for slot in self.slots), EVICTABLE_BELOW, max_count
@@ -417,7 +419,7 @@
         peak = self._pressure.peak
         self._pressure.peak = pressure
         return (
-            f"door: {states or 'empty'} seats={self.used}/{self.budget.request_slots} "
+            f"door: {states or 'empty'} seats={self.used_slots}/{self.budget.request_slots} "
             f"pressure={pressure:.2f} peak={peak:.2f} opened={self.counters.opened} "
             f"reused={self.counters.reused} away={self.counters.rejected} "
             f"closed: {closed or 'none'}"
--- a/sailhitch/handover/takeover.py
+++ b/sailhitch/handover/takeover.py
@@ -297,7 +297,7 @@
 
     def _report_descriptors(self) -> None:
         self._report_timer = None
-        held_here = self.core.admission.held + self.core.upstream_descriptors()
+        held_here = self.core.admission.client_descriptors + self.core.upstream_descriptors()
         for link in self._links():
             held_by_others = sum(
                 count for other, count in self.descriptors_elsewhere.items() if other is not link
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -70,9 +70,9 @@
         assert self.honest.twice == 0
         assert all(count == 1 for count in self.node.effects.values())
         assert core.counters.panics == core.counters.faults == 0
-        assert core.admission.held == len(core.clients) + len(core.arriving)
+        assert core.admission.client_descriptors == len(core.clients) + len(core.arriving)
         assert (
-            core.admission.held + self.gateway.hosts.size()
+            core.admission.client_descriptors + self.gateway.hosts.size()
             <= self.gateway.platform.config.descriptors
         )
 
@@ -107,7 +107,7 @@
         await setup.send_honest_requests()
         setup.check()
         assert hoarder_tally.ends[SERVED] > 0.9 * hoarder_tally.asked
-        assert setup.gateway.core.admission.used <= sockets // 3
+        assert setup.gateway.core.admission.used_slots <= sockets // 3
 
     run_scenario(scenario, sockets)
 
@@ -286,7 +286,7 @@
         core, real, counts = setup.gateway.core, downstream.Downstream.connection_made, []
 
         def counted() -> tuple[int, int]:
-            return core.admission.held, len(core.clients) + len(core.arriving)
+            return core.admission.client_descriptors, len(core.clients) + len(core.arriving)
 
         def made(self: downstream.Downstream, transport: asyncio.BaseTransport) -> None:
             counts.append(counted())  # accepted
@@ -314,7 +314,7 @@
         held = [asyncio.ensure_future(setup.front.ask(tally)) for _ in range(40)]
         await until(lambda: len(setup.node.effects) >= 40)
         run_beside(setup, setup.crowd.silent(1000, 80))
-        await until(lambda: setup.gateway.core.admission.held >= 110)
+        await until(lambda: setup.gateway.core.admission.client_descriptors >= 110)
         value = config_value("127.0.0.1:9", ("a", setup.node.addr), limits={"sockets": 128})
         setup.gateway.platform.reconfigure(parse_config(value, {}))
         await asyncio.gather(*held)
@@ -323,7 +323,7 @@
         setup.node.delay = 0.01
         await setup.send_honest_requests()
         setup.check()
-        assert setup.gateway.core.admission.held + setup.gateway.hosts.size() <= 128
+        assert setup.gateway.core.admission.client_descriptors + setup.gateway.hosts.size() <= 128
 
     run_scenario(scenario)
 
@@ -333,13 +333,17 @@
 ) -> None:
     async def scenario(setup: LoadSetup) -> None:
         run_beside(setup, setup.crowd.silent(1000, 60))
-        await until(lambda: setup.gateway.core.admission.held >= 60)
+        await until(lambda: setup.gateway.core.admission.client_descriptors >= 60)
         real, refused = socket.socket.accept, 0
 
         def accept(self: socket.socket) -> tuple[socket.socket, Any]:
             nonlocal refused
             ours = self.getsockname()[1] == int(setup.gateway.addr.rpartition(":")[2])
-            if ours and setup.gateway.core.admission.held + setup.gateway.hosts.size() >= 50:
+            if (
+                ours
+                and setup.gateway.core.admission.client_descriptors + setup.gateway.hosts.size()
+                >= 50
+            ):
                 refused += 1
                 raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
             return real(self)
--- a/tests/test_front_door.py
+++ b/tests/test_front_door.py
@@ -96,7 +96,7 @@
         idle_slot(admission, i * MS)
     closed = advance_to(admission, 2 * S)
     assert len(closed) >= 80 - BUDGET.request_slots * 0.6
-    assert admission.used < BUDGET.request_slots * 0.6
+    assert admission.used_slots < BUDGET.request_slots * 0.6
 
 
 def test_returning_clients_keep_their_slots_beside_hoarders() -> None:
@@ -112,7 +112,7 @@
         closed = advance_to(admission, now + 40 * MS, step=20 * MS)
         if turn > 20:
             assert not set(closed) & set(regular)
-    assert admission.used <= BUDGET.request_slots
+    assert admission.used_slots <= BUDGET.request_slots
 
 
 def test_a_connection_of_low_value_is_closed_with_its_response() -> None:
@@ -157,7 +157,7 @@
                     admission.on_response(held, now)
                 returned[gap] += now > 45 * S
                 due[i] = now + gap + rng.randrange(100 * MS)
-    assert admission.used <= 40
+    assert admission.used_slots <= 40
     assert lost[1 * S] / returned[1 * S] < 0.2
     assert lost[10 * S] / returned[10 * S] > 0.5
 
@@ -453,8 +453,11 @@
     address = f"10.0.0.{a % 7}"
     if harness.make_room(b) and harness.admission.admits(harness.now, address):
         harness.admission.on_opened(harness.now, address)
-        assert harness.admission.held <= harness.admission.budget.max_client_descriptors + 1
-        assert harness.admission.held + b <= harness.admission.descriptors()
+        assert (
+            harness.admission.client_descriptors
+            <= harness.admission.budget.max_client_descriptors + 1
+        )
+        assert harness.admission.client_descriptors + b <= harness.admission.descriptors()
 
 
 def _on_random_slot(
