--- a/benchmarks/scale/gateway_slopes.py
+++ b/benchmarks/scale/gateway_slopes.py
@@ -132,12 +132,12 @@
         )
         store = Store(folder / "states", gateway.name)
         live = StateApplier(core, gateway, store)
-        core.begin()
+        core.start()
         try:
             return await work(live, folder, fraction)
         finally:
             live.stop_listening()
-            core.finish()
+            core.stop()
             store.close()
 
     with tempfile.TemporaryDirectory(prefix="sailhitch-") as folder:
--- a/sailhitch/__main__.py
+++ b/sailhitch/__main__.py
@@ -141,7 +141,7 @@
         operator_server.close()
     if takeover is not None:
         takeover.close()
-    core.finish()
+    core.stop()
 
 
 async def _take_over(platform: Platform, listener: Listener) -> Takeover | None:
--- a/sailhitch/core/core.py
+++ b/sailhitch/core/core.py
@@ -92,11 +92,11 @@
         """
         return self.catching_up or now - self.periodic.last_tick_at > PERIODIC_INTERVAL + LATE
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the periodic work."""
         self.periodic.start(self.clock())
 
-    def finish(self) -> None:
+    def stop(self) -> None:
         """Stop at once: cancel the timers and abort all connections."""
         self.timers.stop()
         for client in list(self.clients):
--- a/sailhitch/daemon/process.py
+++ b/sailhitch/daemon/process.py
@@ -50,7 +50,7 @@
         """Close what is open: the admin socket first, the stores last."""
         if self.admin is not None:
             self.admin.close()
-        self.core.finish()
+        self.core.stop()
         if self.tier is not None:
             self.tier.link.close()
         for store in (self.store, self.own_store):
@@ -116,7 +116,7 @@
             resources.own_store = resources.store
             resources.store = Store(self._tier_folder(), self.gateway.name)
         state_applier = StateApplier(resources.core, self.gateway, resources.store, self.step)
-        resources.core.begin()
+        resources.core.start()
         if self.file.tier is None:
             return state_applier, LocalStateSource(state_applier)
         resources.tier = self._tier(state_applier, self.file.tier, resources.own_store)
--- a/sailhitch/net/platform.py
+++ b/sailhitch/net/platform.py
@@ -41,7 +41,7 @@
 
     def begin(self) -> None:
         """Start with the list as last known; nothing is listened for yet."""
-        self.core.begin()
+        self.core.start()
         self.pool.start(self.config.known_endpoints)
 
     def inherit(self, roster: EndpointUpdate) -> None:
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -113,7 +113,7 @@
     core = GatewayCore(resource_limits(gateway, 1_000_000), asyncio.get_running_loop(), Log("g1"))
     store = Store(tmp_path / "state", gateway.name) if stored else None
     live = StateApplier(core, gateway, store, step)
-    core.begin()
+    core.start()
     source = LocalStateSource(live)
     admin = AdminServer(live, source, tmp_path / "g1.sock")
     try:
@@ -125,7 +125,7 @@
     finally:
         admin.close()
         live.stop_listening()
-        core.finish()
+        core.stop()
         if store is not None:
             store.close()
     assert core.counters.panics == core.counters.faults == 0
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -248,7 +248,7 @@
     finally:
         if server.sock.fileno() >= 0:
             server.close()
-        platform.core.finish()
+        platform.core.stop()
         if watch is not None:
             watch.cancel()
 
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -329,7 +329,7 @@
     folder = tmp_path / "state" / "tier"
     store = Store(folder, "g1")
     live = StateApplier(core, whole.gateway, store)
-    core.begin()
+    core.start()
     tier = TierStateSource(live, whole.tier, KEYS, folder, None, Log("g1"))
     try:
         await tier.start(whole)
@@ -339,7 +339,7 @@
         yield tier
     finally:
         live.stop_listening()
-        core.finish()
+        core.stop()
         tier.link.close()
         await until(lambda: tier.link._writing is None)
         store.close()
