--- a/sailhitch/core/interfaces.py
+++ b/sailhitch/core/interfaces.py
@@ -36,13 +36,13 @@
         `length` is the length of the body; None if unknown.
         """
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send more of the body."""
 
     def end(self) -> None:
         """Finish the response."""
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """Abort the response, so that the client can tell that it is incomplete."""
 
     def has_disconnected(self) -> bool:
--- a/sailhitch/core/upload.py
+++ b/sailhitch/core/upload.py
@@ -24,7 +24,7 @@
 class Sink(Protocol):
     """Where the body goes: a connection to a host."""
 
-    def more(self, data: bytes, last: bool) -> None:
+    def send_body(self, data: bytes, last: bool) -> None:
         """Send more bytes, or only the end; call `Upload.on_written` once all is written."""
 
 
@@ -91,7 +91,7 @@
             self.start = None
             self._reserve(len(data))
             self.source.pause_reading()
-            self.sink.more(data, self.complete)
+            self.sink.send_body(data, self.complete)
 
     def open(self, sink: Sink) -> tuple[bytes, bool]:
         """Attach an attempt's sink; return the start, and whether it is the complete body.
--- a/sailhitch/net/response_writer.py
+++ b/sailhitch/net/response_writer.py
@@ -163,7 +163,7 @@
         )
         self._account_written(transport.get_write_buffer_size(), now)
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send more of the body; hold the host above `WRITE_HIGH_WATER` unsent bytes."""
         transport = self.transport
         request = self.request
@@ -189,7 +189,7 @@
         self._account_unsent(transport.get_write_buffer_size())
         self._finish_response(not request.keep_alive)
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """Abort a streamed response: a reset shows in any framing that it is incomplete."""
         self.abort()
         self.response_source = self.read_watchdog = None
--- a/sailhitch/net/upstream_connection.py
+++ b/sailhitch/net/upstream_connection.py
@@ -142,7 +142,7 @@
             self._push()
         return True
 
-    def more(self, data: bytes, last: bool) -> None:
+    def send_body(self, data: bytes, last: bool) -> None:
         """Send more of an incomplete request body; a `Sink`."""
         if self.upload is None or self.attempt is None:
             return
@@ -277,7 +277,7 @@
             self.watchdog.record(size, self.hosts.core.clock())
         if body and taker is not None:
             self.body = b""
-            taker.more(bytes(body))
+            taker.send_body(bytes(body))
 
     def pause_reading(self) -> None:
         """Stop reading, as the client does not keep up; a `ResponseSource`."""
@@ -385,7 +385,7 @@
             taker.end()
         else:
             self.hosts.core.counters.cut += 1
-            taker.cut()
+            taker.abort_response()
 
     def _let_go_of_body(self) -> None:
         if self.upload is not None:
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -54,7 +54,7 @@
     def resume_reading(self) -> None:
         self.paused = False
 
-    def more(self, data: bytes, last: bool) -> None:
+    def send_body(self, data: bytes, last: bool) -> None:
         assert not self.ends
         self.got += data
         self.ends += last
@@ -80,7 +80,7 @@
             sinks.append(sink)
             start, last = upload.open(sink)
             assert start == sent  # all that has arrived, from the first byte
-            sink.more(start, last)
+            sink.send_body(start, last)
         elif step == "written" and sink is not None:
             upload.on_written(sink)
         elif step == "detach" and sink is not None:
