--- a/sailhitch/core/core.py
+++ b/sailhitch/core/core.py
@@ -189,7 +189,7 @@
         pool = request.pool
         assert pool is not None
         now = self.clock()
-        arrived = request.arrived_at or self.arrival(now)
+        arrived = request.arrived_at or self.earliest_arrival(now)
         deadline = self._deadline(request, arrived)
         request.deadline = NEVER if request.is_uploading() else deadline
         request.id = self._next_id
@@ -204,7 +204,7 @@
         if not request.closed:
             self.schedule(request)
 
-    def arrival(self, now: int) -> int:
+    def earliest_arrival(self, now: int) -> int:
         """Return the earliest time at which bytes that are read now may have arrived.
 
         After a stall they are read late, by as much as the periodic tick is overdue. The first tick
@@ -226,7 +226,7 @@
         if request.closed:
             return
         now = self.clock()
-        request.deadline = self._deadline(request, self.arrival(now))
+        request.deadline = self._deadline(request, self.earliest_arrival(now))
         for attempt in request.open_attempts:
             attempt.sent_at = now
             attempt.expires_at = request.deadline
--- a/sailhitch/net/listener.py
+++ b/sailhitch/net/listener.py
@@ -89,7 +89,7 @@
     def _on_readable(self) -> None:
         """Accept who waits; pause where the system fails, as the loop would spin here."""
         now = self.core.clock()
-        arrived = self.core.arrival(now)
+        arrived = self.core.earliest_arrival(now)
         if arrived < now and not self._backlog_since:
             self._backlog_since = arrived  # the event loop stalled
         if self._accept(ACCEPT_BATCH) is Accepted.SYSTEM_FAILED:
@@ -144,7 +144,7 @@
         """
         client = Downstream(self, sock, slot)
         now = self.core.clock()
-        waiting_since = self._backlog_since or self.core.arrival(now)
+        waiting_since = self._backlog_since or self.core.earliest_arrival(now)
         if waiting_since < now and _has_bytes(sock):
             client.queued_since = data_arrival(sock, waiting_since, now)
         self.core.arriving.add(client)
--- a/sailhitch/net/request_reader.py
+++ b/sailhitch/net/request_reader.py
@@ -222,7 +222,7 @@
         if self.queued_since:
             return self.queued_since
         now = self.core.clock()
-        arrived = self.core.arrival(now)
+        arrived = self.core.earliest_arrival(now)
         if arrived < now:
             arrived = data_arrival(self.sock, arrived, now)
         if self.request is None and not self.pipelined and self.slot.request_count:
