--- a/sailhitch/core/core.py
+++ b/sailhitch/core/core.py
@@ -398,7 +398,7 @@
 
 def _origin(error: Exception) -> str:
     """Return the function and line that raised an exception."""
-    frame = error.__traceback__
-    while frame is not None and frame.tb_next is not None:
-        frame = frame.tb_next
-    return "line 0" if frame is None else f"{frame.tb_frame.f_code.co_name} line {frame.tb_lineno}"
+    trace = error.__traceback__
+    while trace is not None and trace.tb_next is not None:
+        trace = trace.tb_next
+    return "line 0" if trace is None else f"{trace.tb_frame.f_code.co_name} line {trace.tb_lineno}"
--- a/sailhitch/core/interfaces.py
+++ b/sailhitch/core/interfaces.py
@@ -31,9 +31,9 @@
         length: int | None,
         source: ResponseSource,
     ) -> None:
-        """Send the head of a host's response; `more` sends its body, until `end` or `cut`.
+        """Send the head of a host's response, whose body has `length` bytes; None if unknown.
 
-        `length` is the length of the body; None if unknown.
+        The body follows by `send_body`, until `end` or `abort_response`.
         """
 
     def send_body(self, data: bytes) -> None:
