--- a/sailhitch/core/outcome_recorder.py
+++ b/sailhitch/core/outcome_recorder.py
@@ -29,7 +29,7 @@
         self.failing: set[str] = set()  # hosts whose last attempt failed; used for logging only
 
     def record(self, server: str, status: AttemptOutcome, attributable: bool) -> None:
-        """Record an outcome; `attributable`: the host is responsible for it."""
+        """Record an outcome; `attributable`: it says something about the host."""
         statuses = self._counters.statuses
         statuses[status] = statuses.get(status, 0) + 1
         if not attributable or status in NOT_ATTRIBUTED:
--- a/sailhitch/front/slots.py
+++ b/sailhitch/front/slots.py
@@ -95,7 +95,7 @@
         self.owner: SlotOwner | None = None
         self.state = State.FRESH
         self.kind: Kind = Kind.FRESH
-        self.since = now  # when the state began
+        self.since = now  # when the state began; of the first request: when the connection was made
         self.request_count = 0
         self.gap = 0  # moving average of the time between a response and the next request
         # Bytes of a response that the client has not read, or of a body that have arrived.
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -351,11 +351,11 @@
 
 
 def test_whitespace_around_a_field_value_is_ignored() -> None:
-    async def blank(message: bytes, writer: Writer) -> None:
+    async def respond_with_whitespace(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: \t 6 \t\r\n\r\nserved")
 
     async def run() -> None:
-        async with Server(blank) as host, gate(("a", host.addr)) as gateway:
+        async with Server(respond_with_whitespace) as host, gate(("a", host.addr)) as gateway:
             client = await gateway.client()
             plain = request("b1", b"effect", fields=b"Transfer-Encoding: \t chunked\r\n")
             head, _, body = plain.partition(b"\r\n\r\n")
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -190,7 +190,7 @@
     asyncio.run(run())
 
 
-def _long(name: str, size: int) -> tuple[bytes, bytes]:
+def _split_long_request(name: str, size: int) -> tuple[bytes, bytes]:
     """Return a long request in two parts: with as much body as is buffered, and the rest."""
     whole = request(name, b"~" * size, wait_ms=20_000)
     first = whole.index(b"\r\n\r\n") + 4 + MAX_BUFFERED_BODY + 1000
@@ -201,7 +201,7 @@
     async def run() -> None:
         async with waiting_gate() as (host, gateway, pending_connects):
             client = await gateway.client()
-            first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
+            first, rest = _split_long_request("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
             await until(lambda: pending_connects.waiting == 1)
             client.send(rest)  # is not read, as the buffer for the body is full
@@ -234,7 +234,7 @@
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with server, gate(("a", addr), settings=PATIENT) as gateway:
             client = await gateway.client()
-            first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
+            first, rest = _split_long_request("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
             await begun.wait()
             conn = unread(gateway)
@@ -269,7 +269,7 @@
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with server, gate(("a", addr), settings=PATIENT) as gateway:
-            first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
+            first, rest = _split_long_request("r1", MAX_BUFFERED_BODY + 9000)
             with plain(gateway.addr) as client:
                 client.setblocking(False)
                 await asyncio.get_running_loop().sock_sendall(client, first)
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -267,7 +267,7 @@
 def test_a_reset_response_without_a_length_is_not_passed_on_as_complete(
     size: int, version: bytes
 ) -> None:
-    """Only an orderly close ends such a response. HTTP/1.0 clients get it without chunks."""
+    """Without a length, only an orderly close ends a response; a reset means it is incomplete."""
 
     gates: list[Gate] = []
 
@@ -319,7 +319,7 @@
 
 
 def test_an_early_rejection_by_a_host_is_passed_on_during_the_upload() -> None:
-    class Declines(Server):
+    class EarlyRejectingServer(Server):
         """Rejects a request once part of its body has arrived."""
 
         async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
@@ -341,7 +341,7 @@
         client.send(whole[2 * MAX_BUFFERED_BODY :])
         assert await client.rest() == b""
 
-    run_scenario(scenario, Declines())
+    run_scenario(scenario, EarlyRejectingServer())
 
 
 class HalfReader(Server):
@@ -455,7 +455,7 @@
 def test_a_long_body_behind_an_open_request_waits_for_its_turn() -> None:
     go = asyncio.Event()
 
-    async def waits(message: bytes, writer: Writer) -> None:
+    async def hold_first_request(message: bytes, writer: Writer) -> None:
         if b"Req-Id: first" in message:
             await go.wait()
         await echo(message, writer)
@@ -471,7 +471,7 @@
             (200, b"end"),
         ]
 
-    run_scenario(scenario, Server(waits))
+    run_scenario(scenario, Server(hold_first_request))
 
 
 def test_an_endless_upload_is_rejected() -> None:
@@ -514,7 +514,7 @@
 def test_bytes_read_between_two_writes_count_for_the_read_rate() -> None:
     go = asyncio.Event()
 
-    async def pieces(message: bytes, writer: Writer) -> None:
+    async def respond_in_pieces(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY))
         for at in range(0, MB, 32_768):
             writer.write(BODY[at : at + 32_768])
@@ -535,4 +535,4 @@
         async with asyncio.timeout(PATIENCE):
             assert await client.reader.readexactly(len(BODY) - MB) == BODY[MB:]
 
-    run_scenario(scenario, Server(pieces))
+    run_scenario(scenario, Server(respond_in_pieces))
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -285,20 +285,20 @@
     async def scenario(setup: LoadSetup) -> None:
         core, real, counts = setup.gateway.core, downstream.Downstream.connection_made, []
 
-        def counted() -> tuple[int, int]:
+        def connection_counts() -> tuple[int, int]:
             return core.admission.client_descriptors, len(core.clients) + len(core.arriving)
 
-        def made(self: downstream.Downstream, transport: asyncio.BaseTransport) -> None:
-            counts.append(counted())  # accepted
+        def connection_made(self: downstream.Downstream, transport: asyncio.BaseTransport) -> None:
+            counts.append(connection_counts())  # accepted
             real(self, transport)
-            counts.append(counted())  # a client now, before the accept task has ended
+            counts.append(connection_counts())  # a client now, before the accept task has ended
 
-        monkeypatch.setattr(downstream.Downstream, "connection_made", made)
+        monkeypatch.setattr(downstream.Downstream, "connection_made", connection_made)
         clients = []
         for turn in range(2):
             clients.append(await setup.gateway.client())
             assert (await clients[turn].ask(request(f"in{turn}")))[0] == 200
-            counts.append(counted())
+            counts.append(connection_counts())
         assert counts == [(1, 1)] * 3 + [(2, 2)] * 3
 
     run_scenario(scenario)
@@ -360,12 +360,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(setup: LoadSetup) -> None:
-        def none(*_: Any) -> socket.socket:
+        def raise_emfile(*_: Any) -> socket.socket:
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
 
         client = await setup.gateway.client()
         with monkeypatch.context() as patch:
-            patch.setattr(socket, "socket", none)
+            patch.setattr(socket, "socket", raise_emfile)
             assert (await client.ask(request("x1")))[0] in (502, 503)
         assert setup.gateway.hosts.connecting == 0
         assert (await client.ask(request("x2")))[0] == 200
@@ -434,13 +434,13 @@
             first, second = await gateway.client(), await gateway.client()
             real, failed_contexts = core._check_timeouts, []
 
-            def due(request_context: Any, now: int) -> None:
+            def check_timeouts(request_context: Any, now: int) -> None:
                 if request_context.name == b"bad":
                     failed_contexts.append(request_context)
                     raise KeyError("a bug")
                 real(request_context, now)
 
-            monkeypatch.setattr(core, "_check_timeouts", due)
+            monkeypatch.setattr(core, "_check_timeouts", check_timeouts)
             first.send(request("bad", wait_ms=300))
             second.send(request("good", wait_ms=400))
             assert (await first.answer())[0] in (502, 504)
--- a/tests/test_front_door.py
+++ b/tests/test_front_door.py
@@ -25,7 +25,7 @@
 BUDGET = ConnectionBudget(descriptors=220, request_slots=85)
 
 
-class Connection:
+class AlwaysClosable:
     """The owner of a slot, which can always be closed."""
 
     def close_unless_unread(self, reason: Reason) -> bool:
@@ -461,14 +461,14 @@
 
 
 def _on_random_slot(
-    act: Callable[[ConnectionAdmission, ConnectionSlot, int, int], None],
+    action: Callable[[ConnectionAdmission, ConnectionSlot, int, int], None],
 ) -> Callable[[AdmissionHarness, int, int], None]:
-    def play(harness: AdmissionHarness, a: int, b: int) -> None:
+    def apply_event(harness: AdmissionHarness, a: int, b: int) -> None:
         slots = list(harness.admission.slots)
         if slots:
-            act(harness.admission, slots[a % len(slots)], harness.now, b)
+            action(harness.admission, slots[a % len(slots)], harness.now, b)
 
-    return play
+    return apply_event
 
 
 def _respond(admission: ConnectionAdmission, slot: ConnectionSlot, now: int, b: int) -> None:
--- a/tests/test_leaving_hosts.py
+++ b/tests/test_leaving_hosts.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("change", ["moved", "restarted", "replaced", "other cell", "banned"])
 def test_an_attempt_is_chosen_again_if_its_host_has_changed(change: str) -> None:
-    """The address, the start time, the host at the address, the cell, or its maintenance."""
+    """Each case changes one property that the choice depended on while the attempt connects."""
 
     async def run() -> None:
         async with Server() as one, Server() as other, Server() as third:
@@ -110,7 +110,7 @@
     asyncio.run(run())
 
 
-class Held(Registry):
+class LongPollRegistry(Registry):
     """Leaves a watch call that is up to date open; the test writes the response."""
 
     async def reply(self, message: bytes, writer: Writer) -> None:
@@ -125,12 +125,12 @@
 ) -> None:
     """The request arrives first, is read first, and its host has an idle connection."""
 
-    def wrote(writer: Writer, data: bytes) -> None:
+    def write_now(writer: Writer, data: bytes) -> None:
         assert os.write(writer.get_extra_info("socket").fileno(), data) == len(data)
 
     async def run() -> None:
         async with Server() as leaving, Server() as staying:
-            registry = Held(("a", leaving.addr))
+            registry = LongPollRegistry(("a", leaving.addr))
             async with registry, gate(("a", leaving.addr), discovery=registry.addr) as gateway:
                 client = await gateway.client()
                 assert await client.ask(request("r1")) == (200, b"served")
@@ -141,8 +141,8 @@
                 listed = [entry("a", leaving.addr, "leaving"), entry("b", staying.addr)]
                 text = {"version": 2, "full": True, "servers": listed}
                 # From here on the event loop doesn't run.
-                wrote(client.writer, request("r2", body))
-                wrote(registry.writers[-1], answer(json.dumps(text).encode()))
+                write_now(client.writer, request("r2", body))
+                write_now(registry.writers[-1], answer(json.dumps(text).encode()))
                 registry.version = 2
                 time.sleep(2 * (PERIODIC_INTERVAL + LATE) / 1e6)
                 assert await client.answer() == (200, b"served")
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -40,7 +40,7 @@
         self.now = time
 
 
-def _wheel(loop: Loop, stale: set[int], fired: list[int]) -> TimerQueue[int]:
+def _new_queue(loop: Loop, stale: set[int], fired: list[int]) -> TimerQueue[int]:
     def fire(target: int, at: int, now: int) -> None:
         if target not in stale:
             fired.append(target)
@@ -56,9 +56,9 @@
 
 def test_the_loop_is_not_woken_for_stale_entries() -> None:
     loop, stale, fired = Loop(), set[int](), list[int]()
-    wheel = _wheel(loop, stale, fired)
+    queue = _new_queue(loop, stale, fired)
     for i in range(1000):
-        wheel.push(1_000_000 + i * 3_000, i)
+        queue.push(1_000_000 + i * 3_000, i)
     stale.update(i for i in range(1000) if i % 100)
     loop.run_until(5_000_000)
     assert fired == list(range(0, 1000, 100))
@@ -67,10 +67,10 @@
 
 def test_an_entry_that_becomes_stale_while_armed_costs_one_wake() -> None:
     loop, stale, fired = Loop(), set[int](), list[int]()
-    wheel = _wheel(loop, stale, fired)
-    wheel.push(100_000, 1)
-    wheel.push(200_000, 2)
-    wheel.push(300_000, 3)
+    queue = _new_queue(loop, stale, fired)
+    queue.push(100_000, 1)
+    queue.push(200_000, 2)
+    queue.push(300_000, 3)
     loop.run_until(50_000)
     stale.update((1, 2))
     loop.run_until(400_000)
@@ -80,9 +80,9 @@
 
 def test_an_entry_pushed_before_the_armed_one_fires_in_time() -> None:
     loop, fired = Loop(), list[int]()
-    wheel = _wheel(loop, set(), fired)
-    wheel.push(500_000, 1)
-    wheel.push(100_000, 2)
+    queue = _new_queue(loop, set(), fired)
+    queue.push(500_000, 1)
+    queue.push(100_000, 2)
     loop.run_until(150_000)
     assert fired == [2]
     loop.run_until(600_000)
