--- a/sailhitch/core/core.py
+++ b/sailhitch/core/core.py
@@ -29,7 +29,8 @@
 
 __all__ = ["CLIENT_SWEEP_INTERVAL", "PERIODIC_INTERVAL", "Counters", "GatewayCore"]
 
-# A response is due this long before the client stops waiting, or by a tenth of a short wait...
+# A response is due before the client stops waiting, by this margin or a tenth of the wait, whatever
+# is shorter...
 RESPONSE_MARGIN: Final = 10 * MS
 # ...but at least by the delay that a timer may have.
 TIMER_GRANULARITY: Final = 2 * MS
