--- a/sailhitch/net/__init__.py
+++ b/sailhitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets side of the gateway: it translates, and leaves every decision to the module."""
+"""The gateway's socket I/O. It translates bytes; the decision module makes every decision."""
--- a/sailhitch/net/backoff.py
+++ b/sailhitch/net/backoff.py
@@ -1,9 +1,9 @@
-"""Pauses between calls that fail, for one of many callers. No I/O; times are seconds.
+"""Delays between failed calls, for one of many callers. No I/O; times are seconds.
 
-Decorrelated jitter: each pause is drawn evenly between the shortest one and three times the one
-before (Brooker, "Exponential Backoff And Jitter", 2015), so that callers that fail together do not
-come back together. The limit grows with their number, so that all of them ask no more often than
-`rate`, up to what the caller can bear to wait.
+Decorrelated jitter: each delay is drawn uniformly between the shortest one and three times the
+previous one (Brooker, "Exponential Backoff And Jitter", 2015), so that callers that fail together
+do not retry together. The longest delay grows with the number of callers, so that all of them
+together call no more often than `rate`, as far as the caller can wait that long.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 
 
 class Backoff:
-    """One caller's pauses."""
+    """The retry delays of one caller."""
 
-    def __init__(self, first: float, most: float, seed: int) -> None:
-        self.first = first
-        self.most = most
+    def __init__(self, shortest: float, longest: float, seed: int) -> None:
+        self.shortest = shortest
+        self.longest = longest
         self._random = random.Random(seed)
-        self._last = first
+        self._last = shortest
 
-    def limit(self, callers: int, rate: float, most: float = math.inf) -> None:
-        """So many callers share a service that is to be asked `rate` times a second at the most.
+    def limit(self, callers: int, rate: float, ceiling: float = math.inf) -> None:
+        """Adapt to `callers` that share a service which may get `rate` calls per second in all.
 
-        No pause is longer than `most` for that.
+        The longest delay grows for that, but not above `ceiling`.
         """
-        # A pause is half of the limit on the whole.
-        self.most = min(max(self.most, 2.0 * callers / rate), most)
+        # A delay is half of the longest one on average.
+        self.longest = min(max(self.longest, 2.0 * callers / rate), ceiling)
 
     def pause(self) -> float:
-        """Return how long to wait after one more failure."""
-        self._last = min(self.most, self._random.uniform(self.first, GROWTH * self._last))
+        """Return how long to wait after another failure."""
+        self._last = min(self.longest, self._random.uniform(self.shortest, GROWTH * self._last))
         return self._last
 
     def reset(self) -> None:
-        """Start again from the shortest pause, after a call that succeeded."""
-        self._last = self.first
+        """Start over from the shortest delay, after a successful call."""
+        self._last = self.shortest
--- a/sailhitch/net/config.py
+++ b/sailhitch/net/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the environment and one JSON file, as typed values."""
+"""The platform's configuration, parsed from the environment and one JSON file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..core.resource_limits import ResourceLimits
 from ..policy_interface import Endpoint, EndpointState
 from ..settings import Settings, SettingsError, parse_settings
-from .shape import Shape, bad_figures, misfits, shape_of
+from .shape import Shape, shape_errors, shape_of, value_errors
 
 STATES: Final = {
     "active": EndpointState.READY,
@@ -24,10 +24,10 @@
 DEFAULT_DESCRIPTORS: Final = 1024
 MAX_CORES: Final = 1e6
 MAX_NAME_LENGTH: Final = 200
-MAX_NUMBER: Final = 1e15  # in an entry of the list
-# Settings and load header name a report's values differently, and both names are read. Each has the
-# value's name in `LoadReport`, and the factor to its unit.
-REPORT_NAMES: Final = {
+MAX_NUMBER: Final = 1e15  # in an entry of discovery's list
+# The settings and the load header use different names for the same value, and both are read. Maps
+# each to the name in `LoadReport` and the factor that converts to its unit.
+LOAD_REPORT_FIELDS: Final = {
     "queue": ("queue", 1.0),
     "depth": ("queue", 1.0),
     "inflight": ("inflight", 1.0),
@@ -38,16 +38,16 @@
 
 
 class ConfigError(ValueError):
-    """The configuration lacks something or holds a bad value; the text names the field."""
+    """The configuration has a missing or invalid value; the message names the field."""
 
 
 class EntryError(ValueError):
-    """An entry of discovery's list is out of form."""
+    """Discovery's list, or an entry of it, is malformed."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformNames:
-    """Names of the settings, and limits of connections. Times are microseconds."""
+    """Names defined in the settings, and connection limits. Times are microseconds."""
 
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
@@ -73,12 +73,12 @@
     known_endpoints: EndpointUpdate
     settings: Settings
     names: PlatformNames
-    operator: Address | None = None  # of the operators' endpoint
-    held_socket: int | None = None  # a listening descriptor that the platform holds
-    shape: Shape = ""  # of the file, which the next file must have too
+    operator: Address | None = None  # of the operator endpoint
+    held_socket: int | None = None  # descriptor of a listening socket that the platform passes
+    shape: Shape = ""  # of the file; a reloaded file must have it too
 
     def limits(self) -> ResourceLimits:
-        """Return what the process may use."""
+        """Return the resources that the process may use."""
         limits = self.settings.limits
         return ResourceLimits(
             memory_mb=self.memory_mb,
@@ -89,35 +89,35 @@
         )
 
     def connection_settings(self) -> ConnectionSettings:
-        """Return how to connect to hosts; they keep connections for longer than this process."""
+        """Return how to connect to hosts; hosts keep idle connections longer than this process."""
         return ConnectionSettings(
             self.names.connect_timeout, idle_lifetime(self.names.idle_timeout)
         )
 
 
 def parse_address(field: str, text: Any) -> Address:
-    """Return the address of `host:port` with a numeric IPv4 host; raises ConfigError."""
+    """Parse `host:port` with a numeric IPv4 host; raises ConfigError."""
     address = parse_host_port(text) if isinstance(text, str) else None
     if address is None:
-        raise ConfigError(f"{field}: not an address like 10.0.0.1:3000: {str(text)[:80]!r}")
+        raise ConfigError(f"{field}: not an address such as 10.0.0.1:3000: {str(text)[:80]!r}")
     return address
 
 
-def parse_entry(value: Any, wire: PlatformNames) -> EndpointAddress:
-    """Return one entry of discovery's list; raises EntryError."""
+def parse_entry(value: Any, names: PlatformNames) -> EndpointAddress:
+    """Parse one entry of discovery's list; raises EntryError."""
     if not isinstance(value, dict):
-        raise EntryError("not an object")
+        raise EntryError("not a JSON object")
     name = value.get("id")
     state = value.get("state")
     if not isinstance(name, str) or not name or len(name) > MAX_NAME_LENGTH:
-        raise EntryError("id: not a short text")
+        raise EntryError("id: not a string of 1 to 200 characters")
     if not isinstance(state, str) or state not in STATES:
-        raise EntryError("state: not one of " + ", ".join(STATES))
+        raise EntryError("state: must be one of " + ", ".join(STATES))
     numbers = []
-    for key, absent in (("weight", 1.0), ("cell", 0), ("started_ms", 0)):
-        number = value.get(key, absent)
-        number = absent if number is None else number
-        # JSON as Python reads it also knows NaN and Infinity.
+    for key, default in (("weight", 1.0), ("cell", 0), ("started_ms", 0)):
+        number = value.get(key, default)
+        number = default if number is None else number
+        # Python's JSON parser also accepts NaN and Infinity.
         if isinstance(number, bool) or not isinstance(number, int | float):
             raise EntryError(f"{key}: not a number")
         if not 0 <= number < MAX_NUMBER:
@@ -133,27 +133,27 @@
     listed = Endpoint(
         name,
         float(weight),
-        # A zone that the settings do not name is like no other, and surely not the own one.
-        wire.zones.get(zone, len(wire.zones)) if isinstance(zone, str) else len(wire.zones),
+        # A zone that the settings do not name differs from all others, and from the own one.
+        names.zones.get(zone, len(names.zones)) if isinstance(zone, str) else len(names.zones),
         int(cell),
         STATES[state],
         int(started * 1000),
-        wire.kinds.get(kind, 0) if isinstance(kind, str) else 0,
+        names.kinds.get(kind, 0) if isinstance(kind, str) else 0,
     )
     return EndpointAddress(listed, addr)
 
 
-def parse_endpoint_update(value: Any, wire: PlatformNames) -> EndpointUpdate:
-    """Discovery's answer; a bad entry is left out and counted. Raises EntryError."""
+def parse_endpoint_update(value: Any, names: PlatformNames) -> EndpointUpdate:
+    """Parse discovery's response; a bad entry is skipped and counted. Raises EntryError."""
     if not isinstance(value, dict):
-        raise EntryError("not an object")
+        raise EntryError("not a JSON object")
     version = value.get("version")
     full = value.get("full")
     servers = value.get("servers")
     if isinstance(version, bool) or not isinstance(version, int) or version < 0:
-        raise EntryError("version: not a whole number")
+        raise EntryError("version: not a non-negative integer")
     if not isinstance(full, bool):
-        raise EntryError("full: not true or false")
+        raise EntryError("full: not a boolean")
     if not isinstance(servers, list):
         raise EntryError("servers: not a list")
     entries: list[EndpointAddress] = []
@@ -161,7 +161,7 @@
     bad = 0
     for item in servers:
         try:
-            entries.append(parse_entry(item, wire))
+            entries.append(parse_entry(item, names))
         except EntryError:
             bad += 1
             name = item.get("id") if isinstance(item, dict) else None
@@ -171,11 +171,11 @@
 
 
 def parse_load_report(value: bytes) -> dict[str, float]:
-    """Return a load report by the module's names and units; what is out of form is left out."""
+    """Parse a load report into the module's names and units; malformed values are skipped."""
     found: dict[str, float] = {}
     for pair in value.split(b","):
         name, _, number = pair.partition(b"=")
-        known = REPORT_NAMES.get(name.strip().decode("latin-1"))
+        known = LOAD_REPORT_FIELDS.get(name.strip().decode("latin-1"))
         if known is None:
             continue
         try:
@@ -183,60 +183,60 @@
         except ValueError:
             continue
         if 0.0 <= amount < 1e9:
-            name_here, unit = known
-            found[name_here] = amount * unit
+            report_name, factor = known
+            found[report_name] = amount * factor
     return found
 
 
-def _names(value: Any, field: str) -> list[str]:
+def _parse_string_list(value: Any, field: str) -> list[str]:
     if value is None:
         return []
     if not isinstance(value, list):
         raise ConfigError(f"{field}: not a list")
     for i, name in enumerate(value):
         if not isinstance(name, str):
-            raise ConfigError(f"{field}[{i}]: not a text")
+            raise ConfigError(f"{field}[{i}]: not a string")
     return value
 
 
-def _whole(at: Mapping[str, Any], key: str, field: str, absent: int) -> int:
-    value = at.get(key, absent)
+def _positive_int(section: Mapping[str, Any], key: str, field: str, default: int) -> int:
+    value = section.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e12:
-        raise ConfigError(f"{field}.{key}: not a number above 0: {value!r}")
+        raise ConfigError(f"{field}.{key}: not a positive number: {value!r}")
     return int(value)
 
 
-def _object(at: Mapping[str, Any], key: str) -> Mapping[str, Any]:
-    value = at.get(key, {})
+def _object(parent: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+    value = parent.get(key, {})
     if not isinstance(value, dict):
-        raise ConfigError(f"{key}: not an object")
+        raise ConfigError(f"{key}: not a JSON object")
     return value
 
 
-def _descriptor(text: str | None) -> int | None:
+def _parse_descriptor(text: str | None) -> int | None:
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) < 7):
-        raise ConfigError(f"EDGE_SOCKET_FD: not the number of a descriptor: {text[:80]!r}")
+        raise ConfigError(f"EDGE_SOCKET_FD: not a file descriptor number: {text[:80]!r}")
     return int(text)
 
 
 def adopt_socket(descriptor: int) -> socket.socket:
-    """Return the listening socket that the platform holds; raises ConfigError where it is none."""
+    """Return the listening socket that the platform passes; raises ConfigError if it is invalid."""
     field = f"EDGE_SOCKET_FD: descriptor {descriptor}"
     try:
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
         raise ConfigError(f"{field}: {error.strerror}") from None
-    stream = sock.type == socket.SOCK_STREAM and sock.family == socket.AF_INET
-    if not stream or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+    is_tcp = sock.type == socket.SOCK_STREAM and sock.family == socket.AF_INET
+    if not is_tcp or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         sock.detach()
         raise ConfigError(f"{field}: not a listening TCP socket")
     return sock
 
 
 def parse_config(value: Any, env: Mapping[str, str]) -> Config:
-    """Return the configuration of the file's object; values of the environment go first.
+    """Parse the configuration file's object; environment variables take precedence.
 
     Raises ConfigError naming the field.
     """
@@ -244,14 +244,14 @@
         raise ConfigError("EDGE_CONFIG: not a JSON object")
     settings = _parse_settings(value)
     limits = _object(value, "limits")
-    allowed = _object(value["settings"], "limits")
+    raw_limits = _object(value["settings"], "limits")
     cores = _parse_cores(limits)
-    names = _parse_names(value["settings"], allowed, settings)
+    names = _parse_names(value["settings"], raw_limits, settings)
     seed = _parse_seed(value)
     known_endpoints = _parse_known_endpoints(value, names)
     name = env.get("EDGE_NAME") or value.get("name")
     if not isinstance(name, str) or not name:
-        raise ConfigError("EDGE_NAME: required and missing")
+        raise ConfigError("EDGE_NAME: required but missing")
     listen = env.get("EDGE_LISTEN") or value.get("listen")
     discovery = env.get("EDGE_DISCOVERY") or value.get("discovery")
     operator = env.get("EDGE_OPERATOR") or value.get("operator") or None
@@ -261,13 +261,13 @@
         discovery=parse_address("EDGE_DISCOVERY", discovery),
         seed=seed,
         cores=cores,
-        memory_mb=_whole(limits, "memory_mb", "limits", DEFAULT_MEMORY_MB),
-        descriptors=_whole(limits, "sockets", "limits", DEFAULT_DESCRIPTORS),
+        memory_mb=_positive_int(limits, "memory_mb", "limits", DEFAULT_MEMORY_MB),
+        descriptors=_positive_int(limits, "sockets", "limits", DEFAULT_DESCRIPTORS),
         known_endpoints=known_endpoints,
         settings=settings,
         names=names,
         operator=None if operator is None else parse_address("EDGE_OPERATOR", operator),
-        held_socket=_descriptor(env.get("EDGE_SOCKET_FD")),
+        held_socket=_parse_descriptor(env.get("EDGE_SOCKET_FD")),
         shape=shape_of(value),
     )
 
@@ -275,7 +275,7 @@
 def _parse_settings(value: dict[str, Any]) -> Settings:
     raw = value.get("settings")
     if raw is None:
-        raise ConfigError("settings: required and missing")
+        raise ConfigError("settings: required but missing")
     try:
         return parse_settings(raw)
     except SettingsError as error:
@@ -285,22 +285,27 @@
 def _parse_cores(limits: Mapping[str, Any]) -> float:
     cores = limits.get("cores", 1.0)
     if isinstance(cores, bool) or not isinstance(cores, int | float) or not 0 < cores < MAX_CORES:
-        raise ConfigError(f"limits.cores: not a number above 0: {cores!r}")
+        raise ConfigError(f"limits.cores: not a positive number: {cores!r}")
     return float(cores)
 
 
 def _parse_names(
-    raw: Mapping[str, Any], allowed: Mapping[str, Any], settings: Settings
+    raw: Mapping[str, Any], raw_limits: Mapping[str, Any], settings: Settings
 ) -> PlatformNames:
-    """Return the names of zones, kinds, classes and tenants, and the limits of connections."""
+    """Return the names of zones, kinds, classes and tenants, and the connection limits."""
     return PlatformNames(
-        zones={name: i for i, name in enumerate(_names(raw.get("dcs"), "settings.dcs"))},
-        kinds={name: i for i, name in enumerate(_names(raw.get("shapes"), "settings.shapes"))},
+        zones={
+            name: i for i, name in enumerate(_parse_string_list(raw.get("dcs"), "settings.dcs"))
+        },
+        kinds={
+            name: i
+            for i, name in enumerate(_parse_string_list(raw.get("shapes"), "settings.shapes"))
+        },
         classes={c.name.encode(): i for i, c in enumerate(settings.classes)},
         tenants={tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)},
-        connect_timeout=_whole(allowed, "connectTimeout", "settings.limits", 250_000),
-        idle_timeout=_whole(allowed, "connIdle", "settings.limits", 15_000_000),
-        max_requests=_whole(allowed, "maxOpen", "settings.limits", 20_000),
+        connect_timeout=_positive_int(raw_limits, "connectTimeout", "settings.limits", 250_000),
+        idle_timeout=_positive_int(raw_limits, "connIdle", "settings.limits", 15_000_000),
+        max_requests=_positive_int(raw_limits, "maxOpen", "settings.limits", 20_000),
         longest_deadline=max(c.deadline for c in settings.classes),
     )
 
@@ -322,39 +327,40 @@
 
 
 def reload_config(env: Mapping[str, str], before: Config) -> Config:
-    """Read the file anew; raises ConfigError with all that is wrong, a line each.
+    """Read the file again; raises ConfigError with all problems, one per line.
 
-    A running process's environment can't change. Where the new file names discovery, it holds.
+    The environment of a running process can't change, so a discovery address in the new file takes
+    precedence over the environment.
     """
     value = read_file(env)
-    problems = [*misfits(value, before.shape)]
+    problems = [*shape_errors(value, before.shape)]
     if isinstance(value, dict):
-        problems += bad_figures(value.get("settings"))
+        problems += value_errors(value.get("settings"))
     if problems:
         raise ConfigError("\n".join(dict.fromkeys(problems)))
-    named = {"EDGE_DISCOVERY"} if "discovery" in value else set()
-    return parse_config(value, {k: v for k, v in env.items() if k not in named})
+    overridden = {"EDGE_DISCOVERY"} if "discovery" in value else set()
+    return parse_config(value, {k: v for k, v in env.items() if k not in overridden})
 
 
 def load_config(env: Mapping[str, str]) -> Config:
-    """Read what the environment points to; raises ConfigError."""
+    """Read the configuration that the environment points to; raises ConfigError."""
     value = read_file(env)
     if isinstance(value, dict):
-        problems = [*bad_figures(value.get("settings"))]
+        problems = [*value_errors(value.get("settings"))]
         if problems:
             raise ConfigError("\n".join(problems))
     return parse_config(value, env)
 
 
 def read_file(env: Mapping[str, str]) -> Any:
-    """Return the file's value, whatever it is; raises ConfigError."""
+    """Return the JSON value of the file, of any type; raises ConfigError."""
     path = env.get("EDGE_CONFIG")
     if not path:
-        raise ConfigError("EDGE_CONFIG: required and missing")
+        raise ConfigError("EDGE_CONFIG: required but missing")
     try:
         with open(path, "rb") as file:
             return json.loads(file.read())
     except OSError as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: {error.strerror}") from None
     except (ValueError, RecursionError):
-        raise ConfigError(f"EDGE_CONFIG: {path}: not JSON") from None
+        raise ConfigError(f"EDGE_CONFIG: {path}: not valid JSON") from None
--- a/sailhitch/net/discovery_timing.py
+++ b/sailhitch/net/discovery_timing.py
@@ -1,4 +1,4 @@
-"""How long calls to discovery and the pauses between them may take."""
+"""Time limits of calls to discovery and of the delays between them."""
 
 from __future__ import annotations
 
@@ -7,57 +7,59 @@
 from ..settings import Settings
 
 # s after which a change counts as notified, from when discovery had it and could be reached,
-# whatever calls failed before. The same holds for what a silent watch misses.
+# however many calls failed before. This also applies to changes that a silent watch misses.
 NOTIFY_WITHIN: Final = 6.0
-PROCESSING_MARGIN: Final = 0.2  # s of that for the CPU
+PROCESSING_MARGIN: Final = 0.2  # s of that for processing
 
-# Where discovery is one service for all gateways.
+# If discovery is one service shared by all gateways.
 SHARED_CONNECT_TIMEOUT: Final = 0.5  # s
-SHARED_RESPONSE_TIMEOUT: Final = 1.7  # s, also for a whole list
-# Latest start of the next call, in s after the start of one that fails: its connection and its
-# response have to fit into what is left.
+SHARED_RESPONSE_TIMEOUT: Final = 1.7  # s, also for the full list
+# Latest start of the next call, in s after the start of one that fails. Connecting and the response
+# have to fit into the remaining time.
 SHARED_NEXT_CALL: Final = (
     NOTIFY_WITHIN - PROCESSING_MARGIN - SHARED_CONNECT_TIMEOUT - SHARED_RESPONSE_TIMEOUT
 )
-SHARED_WAIT: Final = SHARED_NEXT_CALL - SHARED_RESPONSE_TIMEOUT  # s that a watch waits
+SHARED_WAIT: Final = (
+    SHARED_NEXT_CALL - SHARED_RESPONSE_TIMEOUT
+)  # s that a watch call waits for an update
 SHARED_BACKOFF_MIN: Final = 0.25  # s
 SHARED_BACKOFF_MAX: Final = 1.0  # s, with few gateways
 
-# Where an agent on this machine pushes the list.
+# If an agent on this machine provides the list.
 AGENT_WAIT_MAX: Final = 0.4  # s
 AGENT_RESPONSE_TIMEOUT_MAX: Final = 0.3  # s
-# Parts of the drain rule's grace that a watch may wait, then be silent, and that a pause may take.
-# What is left is for the next call and for the CPU.
+# Shares of the drain rule's grace period: for the wait of a watch call, for its response after
+# that, and for the delay after a failed call. The rest is for the next call and for processing.
 AGENT_WAIT_SHARE: Final = 0.3
 AGENT_SILENCE_SHARE: Final = 0.25
 AGENT_PAUSE_SHARE: Final = 0.15
-MIN_GRACE: Final = 0.1  # s; by a shorter one a gateway would do nothing but call
+MIN_GRACE: Final = 0.1  # s; with a shorter one a gateway would only be busy with calls
 BACKOFF_MIN: Final = 0.05  # s
 BACKOFF_MAX: Final = 0.3  # s, with few gateways
 
-MIN_POLL_INTERVAL: Final = 0.02  # s between two calls if a response came at once with no update
-MAX_FAILING_CALLS: Final = 100.0  # per second, of all gateways together
+MIN_POLL_INTERVAL: Final = 0.02  # s between two calls if a response came at once without an update
+MAX_FAILING_CALLS: Final = 100.0  # per second, by all gateways together
 
 
 class CallTimes(NamedTuple):
-    """Times of calls and pauses, in seconds."""
+    """Time limits of calls and delays, in seconds."""
 
-    wait: float  # that a watch waits for an update
+    wait: float  # that a watch call waits for an update
     connect: float  # until a connection is established
-    call: float  # of a whole watch call, its wait included
-    snapshot_call: float  # of a call for the whole list, which has nothing to wait for
-    backoff_min: float  # after a failed call, with few failures before
-    backoff_max: float  # with few gateways
-    pause: float  # the longest, with any number of gateways
-    next_call: float  # from the start of a failed call to the start of the next, at the most
+    call: float  # of a complete watch call, including its wait
+    snapshot_call: float  # of a call for the full list, which does not wait
+    backoff_min: float  # shortest delay after a failed call
+    backoff_max: float  # longest delay, with few gateways
+    pause: float  # longest delay with any number of gateways
+    next_call: float  # at most, from the start of a failed call to the start of the next
 
 
 def call_times(settings: Settings) -> CallTimes:
-    """Return the times for the kind of discovery and the grace of the drain rule.
+    """Return the time limits for the kind of discovery and the drain rule's grace period.
 
-    What an agent has counts as notified, also while nobody asks for it. It may come back right
-    after it was sent a call that it never answers, even the first one of a process. That call,
-    connecting for it, the pause and the next call have to fit into the grace together.
+    A change that an agent has counts as notified even if no call asks for it. The agent may come
+    back right after a call that it never answers, even the first one of a process. That call, its
+    connect, the delay and the next call have to fit into the grace period together.
     """
     if settings.needs_watch:
         return CallTimes(
--- a/sailhitch/net/socket_poll.py
+++ b/sailhitch/net/socket_poll.py
@@ -1,4 +1,4 @@
-"""Ask the operating system, past the event loop, for events that are pending on a socket."""
+"""Query pending socket events from the operating system directly, bypassing the event loop."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def pending_events(descriptor: int, events: int) -> int:
-    """Return those of these poll(2) events that are pending; errors and hang-ups always count."""
+    """Return which of these poll(2) events are pending; errors and hang-ups are always included."""
     poll = select.poll()
     poll.register(descriptor, events)
     found = poll.poll(0)
--- a/sailhitch/net/tcp_info.py
+++ b/sailhitch/net/tcp_info.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a TCP connection (Linux, `struct tcp_info` of linux/tcp.h)."""
+"""Kernel statistics of a TCP connection (Linux, `struct tcp_info` in linux/tcp.h)."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def data_arrival(sock: socket.socket, earliest: int, now: int) -> int:
-    """Return when (us) the last data came on a connection, as far as known; `earliest` or later."""
+    """Return when (us) a connection last received data; `earliest` if unknown or before that."""
     age = _time_since_data(sock)
     return earliest if age is None else max(earliest, now - age)
 
 
 def _time_since_data(sock: socket.socket) -> int | None:
-    """Return how long ago (us) the last data came on a connection, read or not.
+    """Return how long ago (us) a connection last received data, read or unread.
 
     The kernel counts in milliseconds or, on some machines, in steps of up to ten. Returns None if
-    it doesn't say.
+    the kernel does not report it.
     """
     size = _LAST_DATA_RECEIVED_OFFSET + _LAST_DATA_RECEIVED.size
     try:
