--- a/sailhitch/net/client_connection.py
+++ b/sailhitch/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its state, its life from accept to close, and its flow control."""
+"""A client connection: state, lifecycle from accept to close, and flow control."""
 
 from __future__ import annotations
 
@@ -24,17 +24,19 @@
 if TYPE_CHECKING:
     from .listener import Listener
 
-RESET_AT_CLOSE: Final = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+RESET_AT_CLOSE: Final = struct.pack(
+    "ii", 1, 0
+)  # SO_LINGER on with a timeout of 0: close(2) sends a reset
 
-# What a connection does. Plain integers: they are compared several times in each request.
+# Phases of a connection. Plain integers, as they are compared several times per request.
 IDLE: Final = 0  # between two requests, or waiting for a response
-HEAD: Final = 1  # reads a request's head
-BODY: Final = 2  # reads a request's body
-CLOSING: Final = 3  # sends no new response
+HEAD: Final = 1  # reading a request head
+BODY: Final = 2  # reading a request body
+CLOSING: Final = 3  # sending no new response
 
 
 class ClientConnection(asyncio.Protocol):
-    """The state and the life of a client's connection; its subclasses read and write on it."""
+    """State and lifecycle of a client connection; subclasses read requests and write responses."""
 
     __slots__ = (
         "chunked",
@@ -70,22 +72,22 @@
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.phase = IDLE
-        self.request: RequestContext | None = None  # dispatched and not answered
-        self.pipelined: deque[RequestContext] = deque()  # read whole ahead of their turn
+        self.request: RequestContext | None = None  # dispatched, not answered yet
+        self.pipelined: deque[RequestContext] = deque()  # read completely, not dispatched yet
         self.incoming: RequestContext | None = None  # being read
-        self.discarding_body = False  # answered early: the rest of the body is read and dropped
+        self.discarding_body = False  # answered early: the rest of the body is discarded
         self.received_since_sweep = False
-        # Of the client that sends a streamed body, and of the one that reads a streamed response.
+        # Throughput of a request body the client streams, and of a response it reads.
         self.send_watchdog: ThroughputWatchdog | None = None
         self.read_watchdog: ThroughputWatchdog | None = None
-        self.response_source: ResponseSource | None = None  # of a streamed response
-        self.response_chunked = False  # that response is sent in chunks
-        self.unsent = 0  # bytes of responses that the client has not taken, as budgeted
-        self.queued_since = 0  # when the bytes of its first read came, at the earliest; 0: unknown
+        self.response_source: ResponseSource | None = None  # of the streamed response
+        self.response_chunked = False  # the streamed response uses the chunked coding
+        self.unsent = 0  # response bytes buffered for the client, as counted in the budget
+        self.queued_since = 0  # earliest arrival of the first read's bytes, if known; else 0
         self._reset_request()
 
     def _reset_request(self) -> None:
-        """Clear what was read of a request's head and body."""
+        """Clear the state of the request being read."""
         self.url = b""
         self.head_received = 0
         self.received = 0
@@ -93,14 +95,14 @@
         self.content_length: int | None = None
         self.chunked = self.upgrade = False
 
-    # --- What subclasses do
+    # --- Implemented by subclasses
 
     def close_unless_unread(self, reason: Reason) -> bool:
-        """Close to free a descriptor; return False if a request is here, unread."""
+        """Close to free a descriptor; return False if a request is open or has unread bytes."""
         raise NotImplementedError
 
     def sweep(self, now: int) -> None:
-        """Close the connection if it makes no progress; called several times a second."""
+        """Close the connection if it makes no progress; called several times per second."""
         raise NotImplementedError
 
     # --- Opening and closing
@@ -108,7 +110,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take over an accepted connection."""
         self.transport = cast(asyncio.Transport, transport)
-        # With no buffer allowed, `resume_writing` tells when the last byte has gone out.
+        # With a high-water mark of 0, `resume_writing` signals that the last byte was written.
         self.transport.set_write_buffer_limits(high=0)
         self.core.arriving.discard(self)
         self.core.clients[self] = None
@@ -122,49 +124,49 @@
         self.core.clients.pop(self, None)
         self.core.admission.on_closed(self.slot, self.core.clock())
         if exc is None and self.request is not None and not self.request.closed:
-            # A client's end comes with `eof_received` or an error: this side has closed.
+            # A client's close arrives as `eof_received` or as an error, so this side has closed.
             self.core.invariants.record(Violation.CLOSED_OWING, self.request)
         self._account_unsent(0)
         self._drop_requests()
 
     def eof_received(self) -> None:
         """Treat a half-closed connection as closed."""
-        # A half-closed connection counts as closed; the transport closes itself after this.
+        # The transport closes itself after this.
         self._drop_requests()
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed its connection, even if the loop has not read so.
+        """Return whether the client has closed its connection, even if the loop has not read that.
 
-        The event loop doesn't read the end while a body is held, nor while it is busy, and bytes
-        sent before the end hide it from a peek at the next byte.
+        The event loop does not read the end of the stream while reading is paused or while it is
+        busy, and unread bytes before the end hide it from a peek at the next byte.
         """
         if self.transport is None or self.sock.fileno() < 0:
             return True
         return has_event(self.sock.fileno(), select.POLLRDHUP)
 
-    def _abort_departed(self) -> None:
-        """Close after the client has gone, so that what it sent before is not read and sent on."""
+    def _abort_disconnected(self) -> None:
+        """Close after the client has disconnected, so that nothing it sent before is forwarded."""
         self._drop_requests()
         self.abort()
 
     def abort(self) -> None:
-        """Close at once, whatever is open; with a reset if a response is half sent.
+        """Close at once, whatever is open; with a reset if a response is partly sent.
 
-        An orderly close would complete a response whose end only the connection's end marks.
+        An orderly close would complete a response that is delimited by the end of the connection.
         """
         transport = self.transport
         if transport is None:
             return
-        half_sent = self.read_watchdog is not None or transport.get_write_buffer_size()
-        if half_sent and not self.is_closed():
+        partly_sent = self.read_watchdog is not None or transport.get_write_buffer_size()
+        if partly_sent and not self.is_closed():
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         transport.abort()
 
     def close_idle(self, reason: Reason = Reason.IDLE) -> bool:
-        """Close between two requests; return False if bytes of the next one are here, unread.
+        """Close between two requests; return False if unread bytes of the next one have arrived.
 
-        Closing then would lose a request that the kernel took in while this process was busy.
+        Closing then would lose a request that arrived while this process was busy.
         """
         transport = self.transport
         if transport is None or self._has_unread_bytes():
@@ -174,10 +176,10 @@
         return True
 
     def detach(self) -> int | None:
-        """Hand the connection over between two requests: return a duplicate of its descriptor.
+        """Hand over a connection between two requests: return a duplicate of its descriptor.
 
-        The caller closes it. Bytes that the loop has not read stay with the descriptor. Returns
-        None while a response is owed or written.
+        The caller closes the duplicate. Bytes that the loop has not read stay in the socket.
+        Returns None while a response is due or being written.
         """
         transport = self.transport
         if transport is None or not self.is_idle():
@@ -189,11 +191,11 @@
         except OSError:
             return None
         self._start_closing(Reason.MOVED)
-        transport.abort()  # of this process's descriptor only: the connection stands
+        transport.abort()  # closes this process's descriptor only; the connection stays open
         return descriptor
 
     def _start_closing(self, reason: Reason) -> None:
-        """Send no new response after this."""
+        """Enter the closing phase; no new response is sent after this."""
         self.phase = CLOSING
         transport = self.transport
         unsent = transport.get_write_buffer_size() if transport is not None else 0
@@ -202,7 +204,7 @@
     # --- State
 
     def is_idle(self) -> bool:
-        """Return whether no request is being read, waits or is open."""
+        """Return whether no request is being read, queued or open."""
         return self.phase == IDLE and self.request is None and not self.pipelined
 
     def has_body(self) -> bool:
@@ -210,14 +212,14 @@
         return self.chunked or bool(self.content_length)
 
     def is_closed(self) -> bool:
-        """Return whether this side has closed it and written all: its descriptor is freed next."""
+        """Return whether this side has closed and written all; the descriptor is freed next."""
         transport = self.transport
         return transport is None or (
             transport.is_closing() and not transport.get_write_buffer_size()
         )
 
     def has_unanswered_request(self) -> bool:
-        """Return whether the client may still get a response, or bytes already written."""
+        """Return whether the client is still due a response, or bytes of one."""
         if self.transport is None:
             return False
         if self.phase == CLOSING:
@@ -229,12 +231,12 @@
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
-            return False  # none, or the connection is broken
+            return False  # no bytes, or the connection is broken
 
     # --- Requests and accounting
 
     def _drop_requests(self) -> None:
-        """Cancel the open request, and drop those that are queued or being read."""
+        """Cancel the open request and drop those that are queued or being read."""
         request, self.request = self.request, None
         source = self.response_source
         self.response_source = None
@@ -247,7 +249,7 @@
         self._drop_undispatched()
 
     def _drop_undispatched(self) -> None:
-        """Drop requests that have not been dispatched: queued ones and the one being read."""
+        """Drop the queued requests and the one being read."""
         if self.incoming is not None:
             self.core.release_body(self.incoming)
             self.incoming = self.send_watchdog = None
@@ -268,24 +270,24 @@
             if size:
                 watchdog.resume(now)
             else:
-                watchdog.stop(now)  # it has read all there is
+                watchdog.stop(now)  # nothing left to read: the client cannot be slow
         self._account_unsent(size)
 
     # --- Flow control of a streamed request body
 
     def pause_reading(self) -> None:
-        """Pause reading the body; a `Source`."""
+        """Pause reading the request body; part of the `Source` interface."""
         if self.transport is not None and not self.discarding_body:
             self.transport.pause_reading()
             if self.send_watchdog is not None:
                 self.send_watchdog.stop(self.core.clock())
 
     def resume_reading(self) -> None:
-        """Resume reading the body; a `Source`."""
+        """Resume reading the request body; part of the `Source` interface."""
         if self.transport is not None and not self.transport.is_closing():
             if self.incoming is not None and not self.discarding_body and self.has_disconnected():
-                # Deferred: the policy module may be the caller, and is not re-entrant.
-                self.core.loop.call_soon(self._abort_departed)
+                # Deferred, as the caller may be the decision module, which is not re-entrant.
+                self.core.loop.call_soon(self._abort_disconnected)
                 return
             self.transport.resume_reading()
             if self.send_watchdog is not None:
--- a/sailhitch/net/downstream.py
+++ b/sailhitch/net/downstream.py
@@ -1,4 +1,4 @@
-"""A client's connection as a whole: dispatch of its requests, and its deadlines."""
+"""Dispatch of the requests of a client connection, and its deadlines."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from .request_reader import RequestReader
 from .responses import STATUS_LINES
 
-# How long a refused client's bytes are read and dropped (us), so that it gets its response...
+# us since it began to close for which a client's bytes are read and discarded, so that it gets its
+# response. LINGER_MAX applies while bytes keep arriving.
 LINGER_IDLE: Final = 1_000_000
-LINGER_MAX: Final = 8_000_000  # ...and while they go on coming
+LINGER_MAX: Final = 8_000_000
 TEXT: Final = b"Content-Type: text/plain\r\n"
 
 
 class Downstream(RequestReader):
-    """A client's connection: one request at a time, and its response."""
+    """A client connection that handles one request at a time."""
 
     __slots__ = ()
 
     # --- Dispatch
 
     def _dispatch(self, request: RequestContext) -> None:
-        """Start a request whose turn it is; answer it here if no host is to get it."""
+        """Start a request; answer it directly if no host is to get it."""
         pool = request.pool
         tenant = str(request.tenant) if pool is not None else None
         self.core.admission.on_request(self.slot, self.core.clock(), tenant)
@@ -37,25 +38,25 @@
             else:
                 self._answer_health_check(request)
         elif request.name in self.core.request_by_name:
-            # Hosts know a request by its id: with two of one id open, one client might get the
-            # other's response.
+            # Hosts identify a request by its id: with two open requests of the same id, a client
+            # might get the other's response.
             if request is self.incoming:
                 self.incoming = None
             self.core.release_body(request)
-            self._reject(409, "a request with this id is open")
+            self._reject(409, "a request with this id is already open")
         else:
             self.request = request
             self.core.request(request)
 
     def _answer_health_check(self, request: RequestContext) -> None:
-        """Answer the health check of this gateway."""
+        """Answer a health check of this gateway."""
         if self.core.ready:
             self._write_response(request, b"200 OK", TEXT, b"ready\n")
         else:
             self._write_response(request, STATUS_LINES[503], TEXT, b"not ready\n")
 
     def _dispatch_next(self) -> None:
-        """Dispatch the next request if no response is owed and it is here already."""
+        """Dispatch the next request if it has arrived and no response is due before it."""
         if self.request is not None or self.transport is None or self.phase == CLOSING:
             return
         if self.pipelined:
@@ -68,26 +69,26 @@
     # --- Eviction and deadlines
 
     def close_unless_unread(self, reason: Reason) -> bool:
-        """Close to free a descriptor; return False if a request is here, unread."""
+        """Close to free a descriptor; return False if a request is open or has unread bytes."""
         transport = self.transport
         if transport is None:
             return False
         if self.phase == CLOSING:
-            transport.abort()  # its response is written; it only lingers
+            transport.abort()  # its response is written; it is only lingering
             return True
         if self.is_idle():
             return self.close_idle(reason)
         if self.phase in (HEAD, BODY) and self.request is None:
-            self._reject(503, "no room", reason)
+            self._reject(503, "no descriptors left", reason)
             return True
         return False
 
     def sweep(self, now: int) -> None:
-        """Close the connection if it makes no progress; called several times a second.
+        """Close the connection if it makes no progress; called several times per second.
 
-        Covers silent clients, heads and bodies that stall or trickle, and responses that are not
-        read. An honest client behind a link so bad that a request takes seconds to arrive is
-        closed too.
+        Covers silent clients, heads and bodies that stall or trickle in, and responses that are not
+        read. A well-behaved client is closed too if its link is so bad that a request takes seconds
+        to arrive.
         """
         transport = self.transport
         if transport is None:
@@ -103,20 +104,20 @@
             self._check_deadline(size, now)
 
     def _sweep_closing(self, transport: asyncio.Transport, size: int, now: int) -> None:
-        """Abort a connection that is being closed, once it has lingered for long enough.
+        """Abort a closing connection once it has lingered for long enough.
 
-        Bytes left to write get as long as any response. A reset would take the response from a
-        client that is still sending what was refused.
+        Unsent bytes get as long as any response. Until then there is no reset, as it would lose the
+        response for a client that is still sending a rejected request.
         """
         self.core.admission.on_write_progress(self.slot, now, size)
-        patience = self.core.admission.limit(State.WRITING) if size else LINGER_IDLE
+        limit = self.core.admission.limit(State.WRITING) if size else LINGER_IDLE
         age = now - self.slot.since
-        if age > (LINGER_MAX if self.received_since_sweep else patience):
+        if age > (LINGER_MAX if self.received_since_sweep else limit):
             transport.abort()
         self.received_since_sweep = False
 
     def _check_deadline(self, size: int, now: int) -> None:
-        """Record progress, and close the connection if its state has lasted for too long."""
+        """Record progress, and close the connection if its state has exceeded its time limit."""
         admission = self.core.admission
         if self.phase == BODY:
             admission.on_body_bytes(self.slot, now, self.received)
--- a/sailhitch/net/response_writer.py
+++ b/sailhitch/net/response_writer.py
@@ -1,4 +1,4 @@
-"""Write responses to a client: whole ones, streamed ones and this gateway's own errors."""
+"""Write responses to a client: complete ones, streamed ones and this gateway's own errors."""
 
 from __future__ import annotations
 
@@ -14,65 +14,65 @@
 from .http import chunk
 from .responses import (
     STATUS_LINES,
-    WITHOUT_LENGTH,
+    STATUSES_WITHOUT_LENGTH,
     closing_response,
     forwarded_fields,
     retry_after_field,
     status_line,
 )
 
-WRITE_HIGH_WATER: Final = 64 * 1024  # unsent bytes from which on the host is not read
+WRITE_HIGH_WATER: Final = 64 * 1024  # unsent bytes above which reading from the host is paused
 # Limits on a client that reads a streamed response; times in microseconds.
-MIN_READ_RATE: Final = 8 * 1024  # bytes a second, on the whole...
-READ_GRACE: Final = 10_000_000  # ...after this time
-READ_STALL: Final = (10_000_000, 4_000_000)  # without a byte: at no strain, and at full strain
+MIN_READ_RATE: Final = 8 * 1024  # bytes/s on average, enforced after READ_GRACE
+READ_GRACE: Final = 10_000_000
+READ_STALL: Final = (10_000_000, 4_000_000)  # time without a byte, at no and at full pressure
 
 
 class ResponseWriter(ClientConnection):
-    """A client's connection that writes responses; the core's `Client`."""
+    """A client connection that writes responses; implements the core's `Client`."""
 
     __slots__ = ()
 
     def _dispatch_next(self) -> None:
-        """Dispatch the next request, if it is here already."""
+        """Dispatch the next request, if it has arrived already."""
         raise NotImplementedError
 
-    # --- Whole responses
+    # --- Complete responses
 
     def serve(self, request: RequestContext, response: Response) -> None:
-        """Send a host's whole response."""
+        """Send a host's complete response."""
         status, fields, body = response
         self._write_response(request, status_line(status), forwarded_fields(fields), body)
 
     def refuse(self, request: RequestContext, retry_after: int) -> None:
-        """Answer 503; `retry_after` is in microseconds, 0 leaves the field out."""
+        """Answer 503; `retry_after` is in microseconds, 0 omits the field."""
         self._write_response(request, STATUS_LINES[503], retry_after_field(retry_after), b"")
 
     def fail(self, request: RequestContext, late: bool) -> None:
-        """Answer 504 (`late`) or 502; neither says whether the request took effect."""
+        """Answer 504 if `late`, else 502; neither tells whether the request took effect."""
         self._write_response(request, STATUS_LINES[504 if late else 502], b"", b"")
 
     def _write_response(
         self, request: RequestContext, status: bytes, fields: bytes, body: bytes | bytearray
     ) -> None:
-        """Send a whole response, then close or go on with the next request."""
+        """Send a complete response, then close or continue with the next request."""
         transport = self.transport
         self.request = None
         if transport is None:
             return
-        early = request is self.incoming  # before the whole of its body came
+        early = request is self.incoming  # before its body was complete
         close = early or self._must_close(request)
         if not close and self.phase == IDLE and not self.pipelined:
-            # Closing costs the client nothing here: the response says so, and no request crosses.
-            keeps = self.core.admission.is_retained(self.slot, self.core.clock())
-            close = not (keeps or self._has_unread_bytes())
+            # Closing is safe here: the response announces it, and no request is on its way.
+            retained = self.core.admission.is_retained(self.slot, self.core.clock())
+            close = not (retained or self._has_unread_bytes())
         parts = b"HTTP/1.1 %s\r\n%s%sContent-Length: %d\r\n\r\n" % (
             status,
             fields,
             self._connection_field(request, close),
             len(body),
         )
-        if status[:3] in WITHOUT_LENGTH:
+        if status[:3] in STATUSES_WITHOUT_LENGTH:
             parts = parts.replace(b"Content-Length: 0\r\n\r\n", b"\r\n")
         transport.write(parts if request.head_only else parts + body)
         self._account_unsent(transport.get_write_buffer_size())
@@ -82,22 +82,22 @@
             self._finish_response(close)
 
     def _must_close(self, request: RequestContext) -> bool:
-        """Return whether this request's response is the connection's last, whatever else holds.
+        """Return whether the connection has to be closed after this request's response.
 
-        At the gateway's end requests that have been read behind it are taken, and closing
-        the connection would lose them.
+        When the gateway shuts down, pipelined requests that have been read already are served
+        first, as closing the connection would lose them.
         """
-        ends = self.core.closing_clients or self.listener.retired
-        return not request.keep_alive or (ends and not self.pipelined)
+        shutting_down = self.core.closing_clients or self.listener.retired
+        return not request.keep_alive or (shutting_down and not self.pipelined)
 
     def _connection_field(self, request: RequestContext, close: bool) -> bytes:
-        """Return the `Connection` field of a response, empty where it goes without saying."""
+        """Return the `Connection` field of a response; empty where the default applies."""
         if close:
             return b"Connection: close\r\n"
         return b"Connection: keep-alive\r\n" if request.is_http_1_0 else b""
 
     def _finish_response(self, close: bool) -> None:
-        """Close after a response, or go on with the next request."""
+        """Close after a response, or continue with the next request."""
         transport = self.transport
         assert transport is not None
         if close:
@@ -105,7 +105,7 @@
             self._drop_undispatched()
             transport.close()
         elif self.pipelined or (self.incoming is not None and self.received > MAX_BUFFERED_BODY):
-            # A response may be given from inside the policy module, which is not re-entrant.
+            # The caller may be the decision module, which is not re-entrant.
             self.core.loop.call_soon(self._dispatch_next)
         else:
             now = self.core.clock()
@@ -116,9 +116,9 @@
                 self.core.pass_on_connection(self)
 
     def _discard_rest_of_body(self) -> None:
-        """Read and drop the rest of a body that was answered early, then close.
+        """Read and discard the rest of a body that was answered early, then close.
 
-        Closing with bytes unread would reset the connection and lose the response.
+        Closing with unread bytes would reset the connection and lose the response.
         """
         self.discarding_body = True
         self._start_closing(Reason.ANSWERED)
@@ -133,7 +133,7 @@
         length: int | None,
         source: ResponseSource,
     ) -> None:
-        """Send the head of a host's response whose body follows by `more`.
+        """Send the head of a host's response; the body follows through `more`.
 
         `length` is that of the body; None if unknown.
         """
@@ -149,7 +149,7 @@
         elif self.response_chunked:
             framing = b"Transfer-Encoding: chunked\r\n"
         else:
-            # Only the end of the connection marks the end of the response.
+            # The response is delimited by the close of the connection.
             framing = b""
             request.keep_alive = False
         request.keep_alive = not self._must_close(request)
@@ -164,7 +164,7 @@
         self._account_written(transport.get_write_buffer_size(), now)
 
     def more(self, data: bytes) -> None:
-        """Send more of the body; hold the host above `WRITE_HIGH_WATER` unsent bytes."""
+        """Send more of the body; pause the host above `WRITE_HIGH_WATER` unsent bytes."""
         transport = self.transport
         request = self.request
         if transport is None or request is None or request.head_only:
@@ -190,12 +190,12 @@
         self._finish_response(not request.keep_alive)
 
     def cut(self) -> None:
-        """Abort a streamed response: a reset shows in any framing that it is incomplete."""
+        """Abort a streamed response; with any framing a reset shows that it is incomplete."""
         self.abort()
         self.response_source = self.read_watchdog = None
 
     def resume_writing(self) -> None:
-        """Go on with the host once the client has taken all that was written."""
+        """Resume reading from the host once the client has taken everything written."""
         transport = self.transport
         if self.response_source is not None and transport is not None:
             self._account_written(transport.get_write_buffer_size(), self.core.clock())
@@ -222,8 +222,8 @@
     def _reject(self, status: int, why: str, reason: Reason = Reason.REJECTED) -> None:
         """Answer a malformed or unwanted request with an error, and close.
 
-        An earlier request that is still open on this connection gets this as its response too, as
-        nothing after malformed bytes can be framed. A client that pipelines and errs in a later
+        This is also the response to an earlier request that is still open on this connection, as
+        the stream can't be framed after malformed bytes. A client that pipelines and sends a bad
         request has to repeat the earlier one.
         """
         if self.phase == CLOSING:
@@ -232,14 +232,14 @@
             self.core.counters.bad_requests += 1
             self.core.admission.record_violation(self.slot)
         self.core.logger.write_limited(
-            f"reject {status}", f"client refused with {status}: {why[:100]}"
+            f"reject {status}", f"client rejected with {status}: {why[:100]}"
         )
         if self.request is not None and status == 503:
-            status = 502  # the open request may have run; a 503 would say that it has not
+            status = 502  # the open request may have run, but a 503 promises that it has not
         after = self.core.retry_after() if status == 503 else 0
         self._start_closing(reason)
         if self.response_source is not None:
-            self.abort()  # no status can follow half a response
+            self.abort()  # a status line can't follow part of a response
             self._drop_requests()
             return
         self._drop_requests()
@@ -248,6 +248,6 @@
         if not self.transport.is_reading():
             self.transport.resume_reading()
         self.transport.write(closing_response(status, after))
-        # Closing with bytes unread would reset the connection and lose the response.
+        # Closing with unread bytes would reset the connection and lose the response.
         if self.transport.can_write_eof():
             self.transport.write_eof()
--- a/sailhitch/net/responses.py
+++ b/sailhitch/net/responses.py
@@ -18,18 +18,18 @@
     503: b"503 Service Unavailable",
     504: b"504 Gateway Timeout",
 }
-WITHOUT_LENGTH: Final = (b"204", b"304")  # no Content-Length in these (RFC 9110, 8.6)
+STATUSES_WITHOUT_LENGTH: Final = (b"204", b"304")  # no Content-Length (RFC 9110, 8.6)
 
 
-def retry_after_field(time: int) -> bytes:
-    """Return the Retry-After field for a time in microseconds; empty for 0."""
-    return b"Retry-After: %.3f\r\n" % (time / 1e6) if time > 0 else b""
+def retry_after_field(delay: int) -> bytes:
+    """Return the Retry-After field for a delay in microseconds; empty for 0."""
+    return b"Retry-After: %.3f\r\n" % (delay / 1e6) if delay > 0 else b""
 
 
 def status_line(status: int) -> bytes:
     """Return the status code with its reason phrase."""
     if status == 200:
-        return b"200 OK"  # nearly all of them
+        return b"200 OK"  # by far the most common
     try:
         return b"%d %s" % (status, HTTPStatus(status).phrase.encode())
     except ValueError:
@@ -37,9 +37,9 @@
 
 
 def closing_response(status: int, retry_after: int = 0) -> bytes:
-    """Return a whole response without a body after which the connection is closed.
+    """Return a complete response without a body, after which the connection is closed.
 
-    `retry_after` is in microseconds; 0 leaves the field out.
+    `retry_after` is in microseconds; 0 omits the field.
     """
     return b"HTTP/1.1 %s\r\n%sContent-Length: 0\r\nConnection: close\r\n\r\n" % (
         STATUS_LINES[status],
@@ -50,16 +50,18 @@
 def forwarded_fields(fields: list[HeaderField]) -> bytes:
     """Return the fields of a host's response that are forwarded to the client, serialized.
 
-    Hop-by-hop fields, those that `Connection` names and the host's own load report are left out.
+    Hop-by-hop fields, those listed in `Connection` and the host's `Srv-` fields are omitted.
     """
-    named: set[bytes] = set()
+    connection_options: set[bytes] = set()
     for low, _, value in fields:
         if low == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
+            connection_options.update(part.strip().lower() for part in value.split(b","))
     return b"".join(
         [
             name + b": " + value + b"\r\n"
             for low, name, value in fields
-            if low not in HOP_BY_HOP_FIELDS and low not in named and not low.startswith(b"srv-")
+            if low not in HOP_BY_HOP_FIELDS
+            and low not in connection_options
+            and not low.startswith(b"srv-")
         ]
     )
