--- a/sailhitch/net/discovery.py
+++ b/sailhitch/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: one connection, one call after the other, updates in their order."""
+"""The watch on discovery: one call at a time on one connection, updates in order."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from .system_errors import (
     LOCAL_CONNECT_ERRORS,
     RETRY_PAUSE,
-    Shortage,
-    free_if_lasting,
+    FailureTracker,
+    free_if_persistent,
 )
 
 PATH: Final = "/registry/instances"
-IMMEDIATE: Final = 50_000  # us; a response after less than that came at once
+IMMEDIATE_RESPONSE: Final = 50_000  # us; a faster response came without waiting for an update
 
 
-class MovedError(Exception):
-    """Discovery has a new address; the call at the old one counts for nothing."""
+class AddressChangedError(Exception):
+    """Discovery has a new address; the call to the old one is ignored."""
 
 
 class Discovery:
-    """Keeps the watch and passes updates to the pool."""
+    """Runs the watch and passes updates to the pool."""
 
     def __init__(self, pool: Pool, config: Config) -> None:
         self.pool = pool
@@ -40,100 +40,99 @@
         self.address = config.discovery
         self.version = config.known_endpoints.version
         self.settled = asyncio.Event()  # the first call has ended
-        self._wanted = asyncio.Event()
-        self._moved = asyncio.Event()
+        self._watch_wanted = asyncio.Event()
+        self._address_changed = asyncio.Event()
         self._call: Call | None = None
-        self._response: asyncio.Future[None] | None = None  # of the open call
+        self._response: asyncio.Future[None] | None = None  # to the open call
         self._seed = config.seed
-        self._shortage = Shortage()
-        self._adopt(config.settings)
-        # Whether the next call asks for the whole list. Where discovery is shared, a watch from the
-        # known list on costs it least.
+        self._resource_failures = FailureTracker()
+        self._apply_settings(config.settings)
+        # Whether the next call asks for the full list. A shared discovery service has the least
+        # work if gateways watch for changes to the list that they know.
         self._needs_snapshot = not self.is_shared
         pool.set_watch_wanted = self.set_wanted
         pool.has_unread_event = self.has_unread_event
 
-    def _adopt(self, settings: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         self.is_shared = settings.needs_watch
         self.times = call_times(settings)
         self._backoff = Backoff(self.times.backoff_min, self.times.backoff_max, self._seed)
         self._backoff.limit(settings.gateway_count, MAX_FAILING_CALLS, self.times.pause)
 
     def set_wanted(self, on: bool) -> None:
-        """Open the watch or end it, where the decision module schedules it."""
+        """Open or end the watch, if the decision module schedules it."""
         if on:
-            self._wanted.set()
+            self._watch_wanted.set()
         else:
-            self._wanted.clear()
+            self._watch_wanted.clear()
 
     def has_unread_event(self) -> bool:
-        """Return whether a response, or the end of a call, has not been passed on yet."""
+        """Return whether a response, or the end of a call, has not been processed yet."""
         if self._response is not None and self._response.done():
             return True
         return self._call is not None and self._call.has_unread_bytes()
 
     def inherit(self, version: int) -> None:
-        """Go on from the list of this gateway's other process.
+        """Continue from the list of the gateway's previous process.
 
-        What discovery told the gateway counts as notified to this process moments after its start,
-        so it asks at once for what came after that list.
+        Changes that discovery sent to the gateway count as notified to this process moments after
+        its start, so it asks at once for changes since that list.
         """
         self.version = version
         self.settled.set()
-        self._wanted.set()
+        self._watch_wanted.set()
 
     def reconfigure(self, config: Config) -> None:
         """Use another configuration's names, address and times."""
         before = self.names
         self.names = config.names
         if (before.zones, before.kinds) != (self.names.zones, self.names.kinds):
-            self._needs_snapshot = True  # the list was read by other names
+            self._needs_snapshot = True  # the current list was parsed with other names
         if config.settings.needs_watch and not self.is_shared:
-            self._wanted.set()  # until now it was watched without being asked
-        self._adopt(config.settings)
-        self._move(config.discovery)
+            self._watch_wanted.set()  # before, the watch did not wait for the decision module
+        self._apply_settings(config.settings)
+        self._change_address(config.discovery)
 
-    def _move(self, address: Address) -> None:
-        """Ask at another address from now on, and at once for the whole list.
+    def _change_address(self, address: Address) -> None:
+        """Use another address from now on, and ask it for the full list at once.
 
-        Versions of two services don't compare, so none is kept. An open call is aborted: its
-        response could be older than what the new service says.
+        Versions of two services can't be compared, so the old one is dropped. An open call is
+        aborted: its response could be older than what the new service sends.
         """
         if address == self.address:
             return
         self.address = address
         self._needs_snapshot = True
-        self.pool.list_valid_at = 0  # it was valid at the old service
-        self._drop()
-        # Waiting for the module's backoff could outlast the time after which the new service's
-        # updates count as notified.
-        self._wanted.set()
-        self._moved.set()
+        self.pool.list_valid_at = 0  # it was confirmed by the old service
+        self._close_call()
+        # The decision module's backoff could last longer than the time after which updates of
+        # the new service count as notified.
+        self._watch_wanted.set()
+        self._address_changed.set()
 
     async def run(self) -> None:
-        """Watch for as long as the process lives, whatever a list does to it.
+        """Watch for as long as the process lives, whatever error a list causes.
 
-        Without the watch it would use an old list for ever, and never learn of a drain.
+        Without the watch the process would use an old list forever, and never learn of a drain.
         """
         while True:
             try:
                 await self._watch()
             except Exception as error:
                 self.core.fault("the watch on discovery", error)
-                self._drop()
+                self._close_call()
                 self._needs_snapshot = True
                 await self._pause(min(self.times.pause, BACKOFF_MAX))
 
     async def _wait_until_wanted(self) -> None:
-        """Wait until the module wants a watch, but no longer than updates may wait for one.
+        """Wait until the decision module wants a watch, but no longer than updates may be delayed.
 
-        The module spreads the first calls of a fleet over a part of the settings' time, which may
-        be longer.
+        The module spreads the first calls of a fleet over a configured time, which may be longer.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.times.next_call):
-                await self._wanted.wait()
-        self._wanted.set()
+                await self._watch_wanted.wait()
+        self._watch_wanted.set()
 
     async def _watch(self) -> None:
         reopened = False  # a silent watch is reopened at once, but only once
@@ -145,11 +144,11 @@
             address = self.address
             try:
                 has_entries = await self._poll(address)
-            except MovedError:
-                self._drop()
+            except AddressChangedError:
+                self._close_call()
                 continue
             except (CallError, OSError, TimeoutError) as error:
-                self._drop()
+                self._close_call()
                 if self.address != address:
                     continue
                 if isinstance(error, CallError) and error.partial:
@@ -157,42 +156,44 @@
                     self._needs_snapshot = True
                 self.settled.set()
                 self.core.counters.bad_lists += 1
-                why = str(error) or type(error).__name__
-                self.core.logger.write_limited("discovery", f"discovery: call failed: {why[:120]}")
+                reason = str(error) or type(error).__name__
+                self.core.logger.write_limited(
+                    "discovery", f"discovery: call failed: {reason[:120]}"
+                )
                 if isinstance(error, SilentError) and not reopened:
-                    # What it misses is about to count as notified, or does so already.
+                    # Updates that it misses are about to count as notified, or do already.
                     reopened = True
                     continue
                 if self.is_shared:
                     self.pool.on_watch_failed()
-                await self._pause(self._until_next(started))
+                await self._pause(self._delay_before_next(started))
                 continue
             reopened = False
             self._backoff.reset()
             self.settled.set()
             idle = not has_entries and self.version == version
-            if idle and self.core.clock() - started < IMMEDIATE:
+            if idle and self.core.clock() - started < IMMEDIATE_RESPONSE:
                 await self._pause(MIN_POLL_INTERVAL)
 
-    def _until_next(self, started: int) -> float:
+    def _delay_before_next(self, started: int) -> float:
         """Return how long to wait after a failed call that began at `started`.
 
-        Updates since then arrive with the next call's response, and count as notified however many
-        calls fail. The decision module's own backoff knows nothing of connections and of how long
-        a call took.
+        Updates since then arrive with the next response, and count as notified however many calls
+        fail. The decision module's own backoff does not consider connections, nor how long a call
+        took.
         """
         left = self.times.next_call - (self.core.clock() - started) / 1e6
         return max(0.0, min(self._backoff.pause(), left))
 
     async def _pause(self, seconds: float) -> None:
-        """Wait between two calls, unless discovery moves."""
-        self._moved.clear()
+        """Wait between two calls, unless the address of discovery changes."""
+        self._address_changed.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._moved.wait()
+                await self._address_changed.wait()
 
     async def _poll(self, address: Address) -> bool:
-        """Make one call; return whether it brought entries."""
+        """Make one call; return whether its response had entries."""
         snapshot = self._needs_snapshot
         self._needs_snapshot = False
         target = PATH
@@ -210,16 +211,16 @@
         return bool(update.entries)
 
     async def _fetch(self, target: str, address: Address, limit: float) -> Call:
-        """Return the call with its response; raises CallError, MovedError or OSError."""
+        """Return the call with its response; raises CallError, AddressChangedError or OSError."""
         loop = self.core.loop
         call = self._call
         reused = call is not None and call.is_usable()
         if call is None or not reused:
-            self._drop()
+            self._close_call()
             call = await self._connect(address, min(limit, loop.time() + self.times.connect))
             if self.address != address:
                 call.close()
-                raise MovedError
+                raise AddressChangedError
             self._call = call
         done: asyncio.Future[None] = loop.create_future()
         self._response = done
@@ -227,18 +228,18 @@
         try:
             await wait_until_done(done, limit - loop.time())
         finally:
-            self._response = None  # up to the pool nothing is waited for any more
+            self._response = None  # no await from here until the pool has the update
         if not done.done():
             done.cancel()
             error = SilentError if reused else CallError
-            raise error("no answer in time", call.has_begun())
+            raise error("no response in time", call.has_begun())
         done.result()
         if self.address != address:
-            raise MovedError
+            raise AddressChangedError
         return call
 
     def _read_update(self, call: Call, snapshot: bool) -> EndpointUpdate:
-        """Return the update of a response; raises CallError."""
+        """Parse the update in a response; raises CallError."""
         if call.status != 200:
             raise CallError(f"status {call.status}")
         try:
@@ -246,17 +247,17 @@
         except (ValueError, RecursionError) as error:
             raise CallError(f"malformed list: {error}", partial=True) from None
         if snapshot and not update.is_snapshot:
-            raise CallError("changes instead of the whole list")
+            raise CallError("got changes instead of the full list")
         if not snapshot and update.version < self.version:
-            # It is older than what was applied, and would undo a drain.
-            raise CallError(f"version {update.version} after {self.version}", partial=True)
+            # Applying an older list would undo a drain.
+            raise CallError(f"version {update.version} is older than {self.version}", partial=True)
         return update
 
     def _apply_update(self, update: EndpointUpdate) -> None:
         """Pass an update to the pool.
 
-        Changes that can't be read leave a hole in the list that no later change fills: a drain
-        would be missed. So the whole list is asked for next.
+        Changes that can't be parsed are never sent again, so a drain could be missed. The next call
+        therefore asks for the full list.
         """
         if not update.is_snapshot and update.invalid_count > 0:
             self._needs_snapshot = True
@@ -264,7 +265,7 @@
         if update.invalid_count:
             self.core.counters.bad_lists += 1
             self.core.logger.write_limited(
-                "entries", f"discovery: {update.invalid_count} entries out of form"
+                "entries", f"discovery: {update.invalid_count} malformed entries"
             )
         if update.is_snapshot or update.entries or self.is_shared:
             self.pool.on_endpoint_update(update)
@@ -273,19 +274,20 @@
     async def _connect(self, address: Address, limit: float) -> Call:
         """Return a new connection; raises OSError or TimeoutError.
 
-        Clients may have taken every descriptor while discovery was down. Unless one of theirs is
-        closed, the watch would never return, and this process never learn of a drain.
+        Clients may have taken every descriptor while discovery was down. Unless one of their
+        connections is closed, the watch can't be reopened, and this process never learns of a
+        drain.
         """
         loop = self.core.loop
         while True:
             try:
                 call = await self._connect_once(address, limit)
             except OSError as error:
-                self._connect_failed(error)
+                self._on_connect_failed(error)
                 if error.errno not in LOCAL_CONNECT_ERRORS or loop.time() + RETRY_PAUSE >= limit:
                     raise
             else:
-                self._shortage.on_success()
+                self._resource_failures.on_success()
                 return call
             await asyncio.sleep(RETRY_PAUSE)
 
@@ -301,11 +303,11 @@
         finally:
             connecting.cancel()
 
-    def _connect_failed(self, error: OSError) -> None:
-        """Free descriptors if the system has had none for a while, for the next attempt."""
-        free_if_lasting(self.core, self._shortage, error.errno or 0)
+    def _on_connect_failed(self, error: OSError) -> None:
+        """Free descriptors for the next try if the system keeps running out of them."""
+        free_if_persistent(self.core, self._resource_failures, error.errno or 0)
 
-    def _drop(self) -> None:
+    def _close_call(self) -> None:
         if self._call is not None:
             self._call.close()
             self._call = None
--- a/sailhitch/net/discovery_call.py
+++ b/sailhitch/net/discovery_call.py
@@ -1,4 +1,4 @@
-"""A connection to discovery, and one call at a time on it."""
+"""A connection to discovery that carries one call at a time."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from .http import COMPLETE, MalformedError, ResponseReader
 from .socket_poll import has_event
 
-MAX_RESPONSE_BYTES: Final = 2 << 20  # some ten thousand hosts
-STATUS_UNREAD: Final = 0  # of a response whose head is incomplete
+MAX_RESPONSE_BYTES: Final = 2 << 20  # about ten thousand hosts
+STATUS_UNREAD: Final = 0  # status until a response head is complete
 
 
 class CallError(Exception):
-    """A call brought no list; the text says why.
+    """A call did not return a list; the message says why.
 
-    `partial`: a response had begun, so that an update may have been lost.
+    `partial`: a response had begun, so an update may have been lost.
     """
 
     def __init__(self, reason: str, partial: bool = False) -> None:
@@ -26,7 +26,7 @@
 
 
 class SilentError(CallError):
-    """A watch on a connection that had answered before has fallen silent."""
+    """A watch got no response on a connection that had carried earlier calls."""
 
 
 class Call(ResponseReader, asyncio.Protocol):
@@ -46,7 +46,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, target: str, address: Address, done: asyncio.Future[None]) -> None:
-        """Send a call; `done` ends with its response, or with a CallError."""
+        """Send a call; `done` completes with its response, or fails with a CallError."""
         assert self.transport is not None
         self.reset()
         self.body = bytearray()
@@ -55,14 +55,14 @@
         host = f"{address[0]}:{address[1]}"
         self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
 
-    def head_read(self) -> None:
-        """Do nothing: the status is checked once the response is complete."""
+    def handle_head(self) -> None:
+        """Do nothing; the status is checked once the response is complete."""
 
-    def body_read(self, data: bytes) -> None:
+    def handle_body(self, data: bytes) -> None:
         """Collect the body; raises MalformedError."""
         self.body += data
         if len(self.body) > MAX_RESPONSE_BYTES:
-            raise MalformedError("answer too large")
+            raise MalformedError("response too large")
 
     def data_received(self, data: bytes) -> None:
         """Read bytes of the response."""
@@ -73,21 +73,21 @@
         try:
             self.feed(data)
         except MalformedError as error:
-            self._fail(f"malformed answer: {error}")
+            self._fail(f"malformed response: {error}")
             return
         if self.phase == COMPLETE:
             self._finish()
 
     def eof_received(self) -> None:
-        """End a response that has no length."""
+        """End a response that is delimited by the close of the connection."""
         self.keep_alive = False
         if self.done is not None and self.on_eof():
             self._finish()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the call, if one is open."""
+        """Fail the open call, if any."""
         self.parser = None
-        self._fail("connection broke")
+        self._fail("connection lost")
         self.transport = None
 
     def _finish(self) -> None:
@@ -102,13 +102,13 @@
         self.close()
 
     def _take_done(self) -> asyncio.Future[None] | None:
-        """Return the open call's future, if somebody waits for it; no call is open after that."""
+        """Return the open call's future, if it is still awaited, and clear it."""
         done = self.done
         self.done = None
         return None if done is None or done.done() else done
 
     def has_begun(self) -> bool:
-        """Return whether part of a list, or of something that is no response, was received."""
+        """Return whether part of a list, or bytes that are not a response, were received."""
         return self.has_received and self.status in (STATUS_UNREAD, 200)
 
     def close(self) -> None:
--- a/sailhitch/net/http.py
+++ b/sailhitch/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as both sides need it: fields that stay on one hop, and reading a peer's answer."""
+"""HTTP/1.1 for both sides: hop-by-hop fields, the chunked coding, and a response reader."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import httptools
 
-# Fields that belong to one connection and never go on to the next.
+# Fields that apply to one connection only and are never forwarded.
 HOP_BY_HOP_FIELDS: Final = frozenset(
     {
         b"connection",
@@ -23,33 +23,35 @@
         b"upgrade",
     }
 )
-BLANK: Final = b" \t"  # around a field's value (RFC 9110, 5.6.3)
-MAX_HEAD: Final = 32 * 1024  # a longer head is no head
+OPTIONAL_WHITESPACE: Final = b" \t"  # around a field value (RFC 9110, 5.6.3)
+MAX_HEAD_BYTES: Final = 32 * 1024  # longer heads are rejected
 
-WAITING = 0
+# Phases of a response that is being read.
+WAITING = 0  # for the end of its head
 BODY = 1
-COMPLETE = 2  # where an answer stands
+COMPLETE = 2
 
 
 def chunk(data: bytes | bytearray, last: bool) -> bytes:
-    """Return a piece of a body in the chunked coding (RFC 9112, 7.1); an empty one says nothing."""
+    """Return part of a body in the chunked coding (RFC 9112, 7.1); no chunk if `data` is empty."""
     piece = b"%x\r\n%s\r\n" % (len(data), data) if data else b""
     return piece + b"0\r\n\r\n" if last else piece
 
 
 class MalformedError(Exception):
-    """What came is not the answer to one request."""
+    """The bytes received are not a valid response to the one request."""
 
 
 class ResponseReader:
-    """Reads one answer at a time from a connection and checks its framing.
-
-    The subclass gets `head_read` and `body_read`; after `feed` it looks at `phase`. Bytes after the
-    end of an answer belong to nobody. The answer is whole without them and stands; the connection
-    is of no further use, as nobody can tell what the next answer on it would belong to. Guards
-    against any peer that says more than it was asked, in whatever form. An answer whose
-    stated length is too short would be cut there; only a peer that contradicts itself (two lengths)
-    shows that, and the parser refuses it.
+    """Reads one response at a time from a connection and checks its framing.
+
+    Subclasses implement `handle_head` and `handle_body`, and check `phase` after `feed`.
+
+    Bytes after the end of a response belong to no request. The response is valid without them, but
+    the connection is not reused, as the next response on it could belong to any request. This
+    guards against every peer that sends more than it was asked for, in whatever form. A response
+    whose stated length is too short is cut there; that is only noticeable if the peer states two
+    lengths, which the parser rejects.
     """
 
     __slots__ = (
@@ -69,7 +71,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Get ready for the answer to the next request."""
+        """Prepare for the response to the next request."""
         self.phase = WAITING
         self.status = self.head_size = 0
         self.fields: list[tuple[bytes, bytes, bytes]] = []
@@ -77,7 +79,7 @@
         self.chunked = self.keep_alive = self.interim = False
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; raises MalformedError where they are no proper answer."""
+        """Parse received bytes; raises MalformedError if they are not a valid response."""
         parser = self.parser
         if parser is None:
             return
@@ -89,23 +91,23 @@
                 return
             raise MalformedError(str(error.__context__ or error)) from None
         if self.phase == WAITING:
-            # A field without an end shows in no callback, however long it grows.
+            # An unterminated field reaches no parser callback, however long it grows.
             self.head_size += len(data)
-            if self.head_size > 4 * MAX_HEAD:
+            if self.head_size > 4 * MAX_HEAD_BYTES:
                 raise MalformedError("head too large")
 
     def on_eof(self) -> bool:
-        """Return the peer has closed its side: whether that ends the answer properly."""
+        """Handle the end of the stream; return whether the response is complete."""
         if self.phase == BODY and self.length is None and not self.chunked:
             self.phase = COMPLETE
         return self.phase == COMPLETE
 
-    # --- What httptools calls
+    # --- httptools callbacks
 
     def on_message_begin(self) -> None:
         """Start a response head."""
         if self.phase != WAITING:
-            raise MalformedError("bytes after the answer")
+            raise MalformedError("bytes after the response")
         self.fields = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -113,10 +115,10 @@
         if self.phase != WAITING:
             return  # a trailer
         self.head_size += len(name) + len(value)
-        if self.head_size > MAX_HEAD:
+        if self.head_size > MAX_HEAD_BYTES:
             raise MalformedError("head too large")
-        # The parser leaves the space behind a value, which is none of it (RFC 9112, 5).
-        self.fields.append((name.lower(), name, value.strip(BLANK)))
+        # The parser keeps trailing whitespace, which is not part of the value (RFC 9112, 5).
+        self.fields.append((name.lower(), name, value.strip(OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
         """Read the status and framing; raises MalformedError."""
@@ -131,7 +133,7 @@
         for low, _, value in self.fields:
             if low == b"content-length":
                 if not value.isdigit() or len(value) > 18:
-                    raise MalformedError("content-length is no number")
+                    raise MalformedError("content-length is not a number")
                 self.length = int(value)
             elif low == b"transfer-encoding":
                 if value.strip().lower() != b"chunked":
@@ -139,23 +141,23 @@
                 self.chunked = True
         self.keep_alive = parser.should_keep_alive()
         self.phase = BODY
-        self.head_read()
+        self.handle_head()
 
     def on_body(self, data: bytes) -> None:
-        """Pass on part of the body."""
-        self.body_read(data)
+        """Pass part of the body to the subclass."""
+        self.handle_body(data)
 
     def on_message_complete(self) -> None:
         """End the response, unless it was an interim one."""
         if self.interim:
-            self.interim = False  # 1xx: the answer itself is still to come
+            self.interim = False  # 1xx: the final response is still to come
         else:
             self.phase = COMPLETE
 
-    def head_read(self) -> None:
+    def handle_head(self) -> None:
         """Handle a response head; `status` and `fields` are set."""
         raise NotImplementedError
 
-    def body_read(self, data: bytes) -> None:
+    def handle_body(self, data: bytes) -> None:
         """Handle part of a response body."""
         raise NotImplementedError
--- a/sailhitch/net/intake.py
+++ b/sailhitch/net/intake.py
@@ -1,6 +1,7 @@
-"""Maps a request's head to its pool, class, deadline and idempotency key.
+"""Map a request head to its pool, class, deadline and idempotency key.
 
-A front reads heads and an intake interprets them, so that a front need not know its clients.
+Connections parse heads and an intake interprets them, so that the connection code does not depend
+on the protocol of its clients.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from .http import HOP_BY_HOP_FIELDS
 
 READY_PATH: Final = b"/health/ready"
-# Fields that are for this gateway, and are forwarded in its own form or not at all.
+# Fields addressed to this gateway, which are forwarded in its own form or not at all.
 OWN: Final = HOP_BY_HOP_FIELDS | {b"req-deadline-ms"}
-READ: Final = frozenset(
+READ_FIELDS: Final = frozenset(
     {
         b"content-length",
         b"cookie",
@@ -35,15 +36,15 @@
         b"transfer-encoding",
     }
 )
-# us in which a client may use the settings of before, as it learns of new ones at another time.
+# us for which clients may still use the previous settings, as they learn of new ones later.
 PREVIOUS_CLASSES_TTL: Final = 1_100_000
 STRICTNESS: Final = {Idempotency.SAFE: 0, Idempotency.KEYED: 1, Idempotency.UNSAFE: 2}
-# Fields that may come once only: a second one would be ambiguous.
-SINGLE: Final = READ - {b"cookie", b"expect"}
+# Fields that may occur once only: a second one would be ambiguous.
+SINGLE_FIELDS: Final = READ_FIELDS - {b"cookie", b"expect"}
 
 
 class RejectError(Exception):
-    """A malformed request, with the status to respond with."""
+    """The request is malformed; `status` is that of the response."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -51,7 +52,7 @@
 
 
 class Head(Protocol):
-    """A request's head as a front has read it, with its framing checked."""
+    """A request head as parsed from a connection, with its framing checked."""
 
     method: bytes
     url: bytes
@@ -64,18 +65,20 @@
 class Intake(Protocol):
     """Interprets requests."""
 
-    own: frozenset[bytes]  # fields that are not forwarded as received
+    own: frozenset[bytes]  # fields that are not forwarded unchanged
 
     def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
-        """Fill in the request; return False for one to the gateway itself, which no host gets.
+        """Fill in the request; return False if it is for the gateway itself, not for a host.
 
-        The response to that is the request's `fallback_response`, or the health check's if there is
-        none. `found` has the last value of each field in `READ`. Raises RejectError.
+        The response to that is the request's `fallback_response`, or that of the health check if
+        there is none. `found` has the last value of each field in `READ_FIELDS`.
+
+        Raises RejectError.
         """
 
 
 class PreviousClass(NamedTuple):
-    """A class before new settings: the form in which requests come, and how to treat them."""
+    """A class of the previous settings: the form its requests have, and how to treat them."""
 
     idempotency: Idempotency
     request_class: RequestClass
@@ -84,10 +87,10 @@
 def previous_classes(
     before: Sequence[RequestClass], after: Sequence[RequestClass]
 ) -> dict[bytes, PreviousClass]:
-    """Return the classes that are removed, or whose idempotency changes, by name.
+    """Return the classes that are removed or change their idempotency, by name.
 
-    A request in the form of before is held to the stricter idempotency of both: to the old one if
-    that is it, and else to the strictest there is, as its form may lack what the new one needs.
+    A request in the previous form gets the stricter of both idempotencies: the old one if it is
+    stricter, else the strictest of all, as the request may lack what the new one requires.
     """
     previous = {}
     current = {request_class.name: request_class for request_class in after}
@@ -103,7 +106,7 @@
 
 
 class PlatformIntake:
-    """Reads the platform's fields, which every request must have."""
+    """Interprets the platform's header fields, which every request must have."""
 
     own = OWN
 
@@ -114,22 +117,22 @@
         self.previous_until = 0
 
     def reconfigure(self, now: int, settings: Settings, names: PlatformNames) -> list[RequestClass]:
-        """Use other settings; return the classes that requests may have besides theirs."""
+        """Use other settings; return the previous classes that requests may still have."""
         self.previous = previous_classes(self.pool.settings.classes, settings.classes)
         self.previous_until = now + PREVIOUS_CLASSES_TTL
         self.names = names
         return [previous.request_class for previous in self.previous.values()]
 
     def _previous_class(self, name: bytes) -> PreviousClass | None:
-        """How a request of this class may come just after new settings, besides its new form."""
-        older = self.previous.get(name)
-        if older is not None and self.pool.core.clock() >= self.previous_until:
+        """Return the previous form of a class, while requests may still have it."""
+        previous = self.previous.get(name)
+        if previous is not None and self.pool.core.clock() >= self.previous_until:
             self.previous = {}
             return None
-        return older
+        return previous
 
     def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
-        """Interpret a request by the platform's protocol; raises RejectError."""
+        """Interpret a request of the platform's protocol; raises RejectError."""
         if head.url.partition(b"?")[0] == READY_PATH and b"req-id" not in found:
             return False
         request.pool = self.pool
@@ -138,17 +141,17 @@
         name = found.get(b"req-kind", b"")
         number = names.classes.get(name)
         kind = None if number is None else self.pool.settings.classes[number]
-        # No client waits for longer than any class may take.
+        # No request takes longer than the longest deadline of a class.
         wait = read_wait(found.get(b"req-deadline-ms", b""))
         request.wait_ms = min(wait, names.longest_deadline // 1000)
-        keyed = found.get(b"idempotency-key")
-        if kind is None or not _fits(kind.idempotency, head, keyed):
-            older = self._previous_class(name)
-            if older is None and kind is None:
+        idempotency_key = found.get(b"idempotency-key")
+        if kind is None or not _matches_form(kind.idempotency, head, idempotency_key):
+            previous = self._previous_class(name)
+            if previous is None and kind is None:
                 raise RejectError(400, "Req-Kind missing or unknown")
-            if older is None or not _fits(older.idempotency, head, keyed):
-                raise RejectError(400, "method, body or Idempotency-Key do not fit the class")
-            kind = older.request_class
+            if previous is None or not _matches_form(previous.idempotency, head, idempotency_key):
+                raise RejectError(400, "method, body or Idempotency-Key does not match the class")
+            kind = previous.request_class
         request.request_class = kind
         request.tenant = names.tenants.get(found.get(b"req-owner", b""), len(names.tenants))
         request.is_retry = found.get(b"req-retry") == b"1"
@@ -160,35 +163,35 @@
         return True
 
 
-def _fits(effect: str, head: Head, keyed: bytes | None) -> bool:
-    """Return whether a request's form is that of classes with such an effect (PROTOCOL)."""
-    if keyed == b"":
+def _matches_form(idempotency: str, head: Head, key: bytes | None) -> bool:
+    """Return whether a request has the form for classes of this idempotency (PROTOCOL)."""
+    if key == b"":
         return False
-    if effect == Idempotency.SAFE:
-        return head.method == b"GET" and not head.has_body() and keyed is None
-    return head.method == b"POST" and (keyed is not None) == (effect == Idempotency.KEYED)
+    if idempotency == Idempotency.SAFE:
+        return head.method == b"GET" and not head.has_body() and key is None
+    return head.method == b"POST" and (key is not None) == (idempotency == Idempotency.KEYED)
 
 
 def read_name(name: bytes) -> bytes:
-    """Return a request's id; raises RejectError."""
-    if not name or len(name) > 128 or (not name.isalnum() and not _token(name)):
-        raise RejectError(400, "Req-Id missing or bad")
+    """Check a request's id and return it; raises RejectError."""
+    if not name or len(name) > 128 or (not name.isalnum() and not _is_visible_ascii(name)):
+        raise RejectError(400, "Req-Id missing or invalid")
     return name
 
 
 def read_wait(wait: bytes) -> int:
-    """Return how long a client waits, in ms; raises RejectError."""
+    """Parse how long a client waits, in ms; raises RejectError."""
     if not wait.isdigit() or len(wait) > 9 or int(wait) == 0:
-        raise RejectError(400, "Req-Deadline-Ms missing or bad")
+        raise RejectError(400, "Req-Deadline-Ms missing or invalid")
     return int(wait)
 
 
-def _token(name: bytes) -> bool:
+def _is_visible_ascii(name: bytes) -> bool:
     return all(33 <= byte < 127 for byte in name)
 
 
 def read_cookie_key(value: Any) -> int | None:
-    """Return what a request is about: the cookie `sid`, where it is hex digits."""
+    """Return the affinity key of a request: the cookie `sid` as a hex number, if it is one."""
     for part in value.split(b";"):
         name, _, text = part.strip().partition(b"=")
         if name == b"sid":
--- a/sailhitch/net/listener.py
+++ b/sailhitch/net/listener.py
@@ -1,4 +1,4 @@
-"""Accept clients' connections, as many as there are descriptors for."""
+"""Accept client connections, limited by the file descriptors that are available."""
 
 from __future__ import annotations
 
@@ -18,31 +18,32 @@
 from .system_errors import (
     CONNECTION_LOST_IN_QUEUE,
     RETRY_PAUSE,
-    Shortage,
-    free_if_lasting,
+    FailureTracker,
+    free_if_persistent,
 )
 from .tcp_info import data_arrival
 
-ACCEPT_BATCH: Final = 64  # connections accepted in one turn of the loop
-ACCEPT_PAUSE: Final = 0.05  # s without accepting after an error
-SEND_BUFFER: Final = 256 * 1024  # bytes of a response that the kernel may hold
-RECEIVE_BUFFER: Final = 128 * 1024  # bytes of a body that the kernel may hold
-EMPTYING: Final = 1_000_000  # us for which a closing listener goes on emptying its queue
+ACCEPT_BATCH: Final = 64  # connections accepted in one event loop iteration
+ACCEPT_PAUSE: Final = 0.05  # s without accepting after accept(2) failed
+SEND_BUFFER: Final = 256 * 1024  # bytes of a response that the kernel may buffer
+RECEIVE_BUFFER: Final = 128 * 1024  # bytes of a request body that the kernel may buffer
+CLOSE_TIMEOUT: Final = 1_000_000  # us that a closing listener keeps emptying its accept queue
 
 
-class Accepted(Enum):
-    """Why a round of accepting ended."""
+class AcceptResult(Enum):
+    """Why a batch of accepts ended."""
 
     QUEUE_EMPTY = auto()
-    MORE_MAY_WAIT = auto()  # the round's number is reached, or descriptors are about to be free
-    SYSTEM_FAILED = auto()  # the connection still waits; it is accepted once the system can
+    MORE_MAY_WAIT = auto()  # the batch is full, or descriptors are about to become free
+    SYSTEM_FAILED = auto()  # accept(2) failed; the connection stays in the queue for a later try
 
 
 class Listener:
-    """Accepts each connection into a free descriptor only, and refuses it where there is none.
+    """Accepts a connection only if a descriptor is free for it, and answers 503 otherwise.
 
-    The event loop's own server accepts whatever waits before anybody can decide. A crowd that
-    connects at once can so have honest clients refused; those inside go on being served.
+    The event loop's own server accepts every waiting connection before the gateway can decide.
+    When many clients connect at once, well-behaved ones may be refused too; clients that are
+    connected already go on being served.
     """
 
     def __init__(
@@ -51,9 +52,9 @@
         intake: Intake,
         address: Address,
         backlog: int,
-        held: socket.socket | None = None,
+        listening_socket: socket.socket | None = None,
     ) -> None:
-        """Listen at an address, or on the socket `held` that listens there and others hold too.
+        """Listen at an address, or on `listening_socket`, which other processes may share.
 
         Raises OSError if the address can't be bound.
         """
@@ -62,14 +63,16 @@
         self.backlog = backlog
         self.tasks: set[asyncio.Task[None]] = set()
         self.retired = False
-        self._shortage = Shortage()
-        self._backlog_since = 0  # since when connections wait that can't be accepted; 0: none do
-        self.sock = held or socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        self._resource_failures = FailureTracker()
+        self._backlog_since = 0  # since when connections wait that can't be accepted; 0: none
+        self.sock = listening_socket or socket.socket(
+            socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK
+        )
         # Accepted connections inherit this. By default the kernel buffers megabytes of a response
-        # for a client that reads none of it, which no budget accounts for.
+        # for a client that does not read, and no memory budget accounts for them.
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
-        if held is not None:
+        if listening_socket is not None:
             self.sock.setblocking(False)
             return
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -83,69 +86,71 @@
     # --- Accepting
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting."""
         self.core.loop.add_reader(self.sock, self._on_readable)
 
     def _on_readable(self) -> None:
-        """Accept who waits; pause where the system fails, as the loop would spin here."""
+        """Accept waiting connections; pause if accept(2) fails, so that the loop does not spin."""
         now = self.core.clock()
         arrived = self.core.arrival(now)
         if arrived < now and not self._backlog_since:
             self._backlog_since = arrived  # the event loop stalled
-        if self._accept(ACCEPT_BATCH) is Accepted.SYSTEM_FAILED:
+        if self._accept(ACCEPT_BATCH) is AcceptResult.SYSTEM_FAILED:
             self._pause_accepting()
 
-    def _accept(self, most: int, last: bool = False) -> Accepted:
-        """Accept up to `most` waiting connections; `last` does not wait for descriptors."""
+    def _accept(self, limit: int, closing: bool = False) -> AcceptResult:
+        """Accept up to `limit` connections; when `closing`, do not wait for free descriptors."""
         core = self.core
-        for _ in range(most):
-            way = core.admission_verdict()
-            if way == Verdict.WAIT and not last:
+        for _ in range(limit):
+            verdict = core.admission_verdict()
+            if verdict == Verdict.WAIT and not closing:
                 self._backlog_since = self._backlog_since or core.clock()
-                return Accepted.MORE_MAY_WAIT  # descriptors being closed are free in the next turn
+                return (
+                    AcceptResult.MORE_MAY_WAIT
+                )  # closing descriptors are free in the next iteration
             try:
                 sock, peer = self.sock.accept()
             except BlockingIOError:
                 self._backlog_since = 0
-                return Accepted.QUEUE_EMPTY
+                return AcceptResult.QUEUE_EMPTY
             except OSError as error:
                 if error.errno in CONNECTION_LOST_IN_QUEUE:
                     continue
                 self._accept_failed(error)
-                return Accepted.SYSTEM_FAILED
-            self._shortage.on_success()
-            if way == Verdict.ADMIT and core.admission.admits(core.clock(), peer[0]):
+                return AcceptResult.SYSTEM_FAILED
+            self._resource_failures.on_success()
+            if verdict == Verdict.ADMIT and core.admission.admits(core.clock(), peer[0]):
                 self._admit(sock, core.admission.on_opened(core.clock(), peer[0]))
             else:
                 self._reject_connection(sock)
-        return Accepted.MORE_MAY_WAIT
+        return AcceptResult.MORE_MAY_WAIT
 
     def _accept_failed(self, error: OSError) -> None:
-        """Log a failure of the system, and free descriptors where it lasts."""
+        """Log a failed accept(2), and free descriptors if the failure persists."""
         self._backlog_since = self._backlog_since or self.core.clock()
         self.core.logger.write_limited("accept", f"accept failed: {error.strerror}")
-        free_if_lasting(self.core, self._shortage, error.errno or 0)
+        free_if_persistent(self.core, self._resource_failures, error.errno or 0)
 
     def adopt(self, descriptor: int) -> None:
-        """Take over an idle connection that another process of this gateway hands on."""
+        """Take over an idle connection that another process of this gateway hands over."""
         sock = socket.socket(fileno=descriptor)
         try:
             address = sock.getpeername()[0]
         except OSError:
-            sock.close()  # its client has gone meanwhile
+            sock.close()  # the client has disconnected in the meantime
             return
         self._admit(sock, self.core.admission.on_adopted(self.core.clock(), address))
 
     def _admit(self, sock: socket.socket, slot: ConnectionSlot) -> None:
         """Serve an admitted connection.
 
-        What it has sent may have waited for as long as accepting failed or the event loop
-        stalled, and its client's time has run since.
+        While accepting failed or the event loop stalled, bytes from the client may have waited in
+        the kernel. The client's deadline counts from when they arrived.
         """
         client = Downstream(self, sock, slot)
         now = self.core.clock()
         waiting_since = self._backlog_since or self.core.arrival(now)
-        if waiting_since < now and _has_bytes(sock):
+        if waiting_since < now and _has_unread_bytes(sock):
             client.queued_since = data_arrival(sock, waiting_since, now)
         self.core.arriving.add(client)
         # The event loop itself holds only a weak reference to a task.
@@ -162,20 +167,23 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await core.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:
-            sock.close()  # it has gone already
+            sock.close()  # the client has disconnected already
             core.admission.on_closed(client.slot, core.clock())
         finally:
-            core.arriving.discard(client)  # connected or gone by now
+            core.arriving.discard(client)  # attached or closed by now
 
     def _reject_connection(self, sock: socket.socket) -> None:
         """Answer 503 and close, without a slot.
 
-        What has come is read first: a close with bytes unread would reset the connection and lose
-        the response. A request that comes later crosses the close, and its client repeats it.
+        Bytes that have arrived are read first: closing with unread bytes would reset the
+        connection and lose the response. A request that arrives later crosses the close, and its
+        client repeats it.
         """
         self.core.counters.crowded += 1
         self.core.admission.on_rejected()
-        self.core.logger.write_limited("crowd", "no place for a client's connection; turned away")
+        self.core.logger.write_limited(
+            "crowd", "no free slot for a new client connection; rejected with 503"
+        )
         with contextlib.suppress(OSError):
             sock.setblocking(False)
             with contextlib.suppress(BlockingIOError):
@@ -195,7 +203,7 @@
     # --- Stopping
 
     def retire(self) -> None:
-        """Stop for good: open requests are finished, and their connections end with them."""
+        """Stop for good: complete open requests, and close each connection after its last one."""
         self.close()
         self.retired = True
         for client in list(self.core.clients):
@@ -203,38 +211,38 @@
                 client.close_idle(Reason.ANSWERED)
 
     def stop_accepting(self) -> None:
-        """Stop accepting; waiting connections are left to others who hold this socket."""
+        """Stop accepting; waiting connections are left to the other processes on this socket."""
         self.core.loop.remove_reader(self.sock)
         self.sock.close()
 
     def discard(self) -> None:
-        """Close the socket without accepting anybody."""
+        """Close the socket without accepting waiting connections."""
         self.sock.close()
 
     def close(self) -> None:
-        """Stop listening; who has connected by now is admitted or refused.
+        """Stop listening, after admitting or rejecting every connection in the accept queue.
 
-        Connections still in the kernel's queue at the socket's close are reset without a response.
-        So where the system fails to accept them, the close waits, for EMPTYING at most.
+        Connections still in the kernel's queue when the socket closes are reset without a response.
+        If accept(2) fails, closing is therefore delayed by up to CLOSE_TIMEOUT.
         """
         if self.sock.fileno() < 0 or self in self.core.draining_listeners:
-            return  # closed before: settings that come at the process's end do so again
+            return  # closed already: settings that arrive during shutdown close it again
         self.core.loop.remove_reader(self.sock)
-        self._empty_queue(self.core.clock() + EMPTYING)
+        self._empty_queue(self.core.clock() + CLOSE_TIMEOUT)
 
-    def _empty_queue(self, give_up: int) -> None:
-        """Accept all who wait, then close the socket; again after a failure, until `give_up`."""
-        failed = self._accept(self.backlog, last=True) is Accepted.SYSTEM_FAILED
-        if failed and self.core.clock() < give_up:
+    def _empty_queue(self, deadline: int) -> None:
+        """Accept all waiting connections, then close; retry after a failure until `deadline`."""
+        failed = self._accept(self.backlog, closing=True) is AcceptResult.SYSTEM_FAILED
+        if failed and self.core.clock() < deadline:
             self.core.draining_listeners.add(self)
-            self.core.loop.call_later(RETRY_PAUSE, self._empty_queue, give_up)
+            self.core.loop.call_later(RETRY_PAUSE, self._empty_queue, deadline)
             return
         self.core.draining_listeners.discard(self)
         self.sock.close()
 
 
-def _has_bytes(sock: socket.socket) -> bool:
-    """Return whether something has come on a connection that nobody has read from."""
+def _has_unread_bytes(sock: socket.socket) -> bool:
+    """Return whether the kernel holds unread bytes of a connection."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except OSError:
--- a/sailhitch/net/platform.py
+++ b/sailhitch/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform's wiring: one pool, one HTTP/1.1 listener, members from its discovery."""
+"""The gateway as the platform runs it: one pool, one HTTP/1.1 listener, hosts from discovery."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Platform:
-    """A gateway as the platform starts it."""
+    """A gateway that is configured by the platform."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, log: Log) -> None:
         self.config = config
@@ -36,35 +36,37 @@
         self.core.pools.append(self.pool)
         self.intake = PlatformIntake(self.pool, config.names)
         self.discovery = Discovery(self.pool, config)
-        # What of the gateway's bounds is this process's, where it has another beside it.
-        self.apply_share: Callable[[ResourceLimits], ResourceLimits] = lambda whole: whole
+        # This process's share of the gateway's limits, while another process of it is running.
+        self.apply_share: Callable[[ResourceLimits], ResourceLimits] = lambda limits: limits
 
     def begin(self) -> None:
-        """Start with the list as last known; nothing is listened for yet."""
+        """Start with the last known list of hosts; does not listen yet."""
         self.core.begin()
         self.pool.start(self.config.known_endpoints)
 
-    def inherit(self, roster: EndpointUpdate) -> None:
-        """Go by the list of the process before this one, which is newer than the file's."""
-        self.pool.apply_update(roster, WatchEventKind.RESTORED)
-        self.discovery.inherit(roster.version)
+    def inherit(self, endpoints: EndpointUpdate) -> None:
+        """Use the list of hosts of the previous process, which is newer than that in the file."""
+        self.pool.apply_update(endpoints, WatchEventKind.RESTORED)
+        self.discovery.inherit(endpoints.version)
 
-    def listen(self, address: Address, backlog: int, held: socket.socket | None = None) -> Listener:
-        """Return where clients come; they are taken in once it is started. Raises OSError."""
-        return Listener(self.core, self.intake, address, backlog, held)
+    def listen(
+        self, address: Address, backlog: int, listening_socket: socket.socket | None = None
+    ) -> Listener:
+        """Return a listener for clients; it accepts once it is started. Raises OSError."""
+        return Listener(self.core, self.intake, address, backlog, listening_socket)
 
     def resize(self) -> None:
-        """Go by what is this process's of the bounds as they are."""
+        """Apply this process's share of the current limits."""
         self.core.reconfigure(self.apply_share(self.config.limits()))
 
     def reconfigure(self, config: Config) -> None:
-        """Go by a new configuration, with all that is open going on.
+        """Apply a new configuration; open requests and connections continue.
 
-        Its list of hosts is older than what discovery has said since, and name, listening address
-        and seed belong to the process. They stay.
+        Its list of hosts is ignored, as discovery has sent newer ones since. Name, listening
+        address and seed belong to the process and are kept, too.
         """
         self.config = config
         self.resize()
-        also = self.intake.reconfigure(self.core.clock(), config.settings, config.names)
-        self.pool.reconfigure(config.settings, config.connection_settings(), also)
+        previous_classes = self.intake.reconfigure(self.core.clock(), config.settings, config.names)
+        self.pool.reconfigure(config.settings, config.connection_settings(), previous_classes)
         self.discovery.reconfigure(config)
--- a/sailhitch/net/request_head.py
+++ b/sailhitch/net/request_head.py
@@ -1,4 +1,4 @@
-"""Interpret the head of a request: which fields count, how long its body is, what is forwarded."""
+"""Interpret a request head: relevant fields, body framing, and what is forwarded."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 from ..core.budget import MAX_BODY_BYTES
 from ..core.response import HeaderField
-from .intake import READ, SINGLE, RejectError
+from .intake import READ_FIELDS, SINGLE_FIELDS, RejectError
 
-LENGTH_DIGITS: Final = 18  # of a Content-Length
+MAX_LENGTH_DIGITS: Final = 18  # of a Content-Length
 
 
 def select_fields(fields: list[HeaderField]) -> tuple[dict[bytes, bytes], set[bytes]]:
-    """Return the fields that this gateway reads, and the names that `Connection` lists.
+    """Return the fields that this gateway reads, and the field names listed in `Connection`.
 
-    Raises RejectError where a field comes twice that may come once.
+    Raises RejectError if a field that may occur once is repeated.
     """
     found: dict[bytes, bytes] = {}
-    named: set[bytes] = set()
+    connection_options: set[bytes] = set()
     for low, _, value in fields:
-        if low in READ:
-            if low in found and low in SINGLE:
-                raise RejectError(400, "a field came twice")
+        if low in READ_FIELDS:
+            if low in found and low in SINGLE_FIELDS:
+                raise RejectError(400, "repeated header field")
             found[low] = value
         elif low == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
-    return found, named
+            connection_options.update(part.strip().lower() for part in value.split(b","))
+    return found, connection_options
 
 
 def body_framing(found: dict[bytes, bytes]) -> tuple[bool, int | None]:
     """Return whether the body is chunked, and its Content-Length or None.
 
-    Refuses, by RejectError, whatever two readers could frame differently (request smuggling). The
-    parser refuses most of it as well; this does not rely on it.
+    Raises RejectError for anything that two parsers could frame differently (request smuggling).
+    The HTTP parser rejects most of that too, but this check does not rely on it.
     """
     coding = found.get(b"transfer-encoding")
     length = found.get(b"content-length")
@@ -44,8 +44,8 @@
         return True, None
     if length is None:
         return False, None
-    if not length.isdigit() or len(length) > LENGTH_DIGITS:
-        raise RejectError(400, "content-length is no number")
+    if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
+        raise RejectError(400, "content-length is not a number")
     size = int(length)
     if size > MAX_BODY_BYTES:
         raise RejectError(413, "body too large")
@@ -53,21 +53,22 @@
 
 
 def forwarded_lines(
-    fields: list[HeaderField], named: set[bytes], dropped: frozenset[bytes]
+    fields: list[HeaderField], connection_options: set[bytes], dropped: frozenset[bytes]
 ) -> list[bytes]:
-    """Return the lines of a request's fields that go on to a host.
+    """Return the field lines of a request that are forwarded to a host.
 
-    `named` are the names that `Connection` lists, `dropped` those the intake never forwards.
+    `connection_options` are the field names listed in `Connection`; `dropped` are the fields that
+    the intake never forwards.
     """
     return [
         name + b": " + value
         for low, name, value in fields
-        if low not in dropped and (low not in named or low in READ)
+        if low not in dropped and (low not in connection_options or low in READ_FIELDS)
     ]
 
 
 def without_upgrade(method: bytes, url: bytes, fields: list[HeaderField]) -> bytes:
-    """Return the head of a request anew, without its wish for another protocol."""
+    """Return a request head without the fields that ask for a protocol upgrade."""
     lines = [
         name + b": " + value
         for low, name, value in fields
--- a/sailhitch/net/request_reader.py
+++ b/sailhitch/net/request_reader.py
@@ -1,6 +1,6 @@
-"""Read requests from a client's connection.
+"""Read requests from a client connection.
 
-Every malformed request ends here, with nothing sent to a host.
+Malformed requests are rejected here, before anything is sent to a host.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from ..core.throughput_watchdog import ThroughputWatchdog
 from ..core.upload import Upload
 from .client_connection import BODY, CLOSING, HEAD, IDLE
-from .http import BLANK, MAX_HEAD
+from .http import MAX_HEAD_BYTES, OPTIONAL_WHITESPACE
 from .intake import RejectError
 from .request_head import body_framing, forwarded_lines, select_fields, without_upgrade
 from .response_writer import ResponseWriter
 from .tcp_info import data_arrival
 
-MAX_PIPELINED: Final = 4  # requests that a client may send ahead of its responses
+MAX_PIPELINED: Final = 4  # requests that a client may send before it gets a response
 
 
 class RequestReader(ResponseWriter):
-    """A client's connection that reads requests; its parser's callbacks are the `on_` methods."""
+    """A client connection that reads requests; the `on_` methods are the parser's callbacks."""
 
     __slots__ = ()
 
     def _dispatch(self, request: RequestContext) -> None:
-        """Start a request whose turn it is."""
+        """Start a request."""
         raise NotImplementedError
 
     # --- Bytes
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of requests."""
+        """Parse received bytes."""
         self.received_since_sweep = True
         if self.parser is None or (self.phase == CLOSING and not self.discarding_body):
             return
@@ -51,13 +51,13 @@
         except Exception as error:
             # An exception that reached the event loop would leave the client without a response.
             self.core.logger.write_limited("reading", f"reading a request failed: {error!r:.100}")
-            self._reject(400, "unreadable")
+            self._reject(400, "could not be read")
             return
-        self.queued_since = 0  # what comes with a later read has not waited for the accept
+        self.queued_since = 0  # bytes of later reads have not waited for the accept
         self._advance(size)
 
     def _advance(self, size: int) -> None:
-        """Act on what a read of `size` bytes brought, now that all of it is parsed."""
+        """Act on a read of `size` bytes, now that all of it is parsed."""
         incoming = self.incoming
         if incoming is not None and incoming.upload is not None:
             self._forward_upload(incoming.upload, size)
@@ -65,23 +65,23 @@
             self._dispatch_next()  # earlier requests go first
             if self.incoming is incoming and incoming.upload is None:
                 self._begin_upload(incoming)
-        elif self.phase == HEAD and self.head_received > 2 * MAX_HEAD:
+        elif self.phase == HEAD and self.head_received > 2 * MAX_HEAD_BYTES:
             self._reject(431, "head too large")
         elif self.request is None:
             if self.phase != IDLE and not self.pipelined:
                 self.core.admission.on_reading(self.slot, self.core.clock(), self.phase == BODY)
-            # Only after parsing: malformed bytes right behind a request make it suspect too.
+            # Only after parsing: malformed bytes right after a request make that request suspect.
             self._dispatch_next()
 
     def _parse(self, data: bytes) -> bytes:
-        """Parse bytes; return what is left to parse from the start of a message."""
+        """Parse bytes; return those that are to be parsed again, as the start of a message."""
         assert self.parser is not None
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
             if not self.upgrade:
                 raise RejectError(400, "unexpected upgrade") from None
-            # Upgrades are not supported; the request is served as if it asked for none.
+            # Upgrades are not supported; the request is served as if it had not asked for one.
             offset = int(error.args[0])
             return self._restart_without_upgrade() + data[offset:]
         except httptools.HttpParserCallbackError as error:
@@ -95,7 +95,7 @@
         return b""
 
     def _restart_without_upgrade(self) -> bytes:
-        """Begin anew with this head, its wish for another protocol left out."""
+        """Replace the parser; return the current head to parse again, without upgrade fields."""
         head = without_upgrade(self.method, self.url, self.fields)
         self.parser = httptools.HttpRequestParser(self)
         self._reset_request()
@@ -113,7 +113,7 @@
     def on_url(self, url: bytes) -> None:
         """Collect the request target; raises RejectError."""
         self.url += url
-        if len(self.url) > MAX_HEAD:
+        if len(self.url) > MAX_HEAD_BYTES:
             raise RejectError(431, "target too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -121,9 +121,9 @@
         if self.phase != HEAD:
             return  # a trailer
         self.received += len(name) + len(value)
-        if self.received > MAX_HEAD:
+        if self.received > MAX_HEAD_BYTES:
             raise RejectError(431, "head too large")
-        self.fields.append((name.lower(), name, value.strip(BLANK)))
+        self.fields.append((name.lower(), name, value.strip(OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
         """Check the head and build the request; raises RejectError."""
@@ -131,33 +131,33 @@
             return
         self.received = 0
         self.method = self.parser.get_method()
-        found, named = select_fields(self.fields)
+        found, connection_options = select_fields(self.fields)
         self.upgrade = self.parser.should_upgrade()
         if self.upgrade and self.method != b"CONNECT":
-            return  # `_parse` begins anew
+            return  # `_parse` starts over without the upgrade fields
         if b"host" not in found and self.parser.get_http_version() != "1.0":
-            raise RejectError(400, "no Host")
+            raise RejectError(400, "Host field missing")
         self.chunked, self.content_length = body_framing(found)
         request = self.incoming = RequestContext(self)
         self.phase = BODY
         if not self.listener.intake.read(self, found, request):
             return
-        self._build_head(request, named)
+        self._build_head(request, connection_options)
         if b"expect" in found:
             self._answer_expectation(found[b"expect"])
 
-    def _build_head(self, request: RequestContext, named: set[bytes]) -> None:
-        """Set the head that goes to hosts, complete but for the fields of each attempt."""
+    def _build_head(self, request: RequestContext, connection_options: set[bytes]) -> None:
+        """Set the head that is sent to hosts, except for the fields that each attempt adds."""
         method = b"GET" if request.head_only else self.method
         lines = [method + b" " + self.url + b" HTTP/1.1"]
-        lines += forwarded_lines(self.fields, named, self.listener.intake.own)
+        lines += forwarded_lines(self.fields, connection_options, self.listener.intake.own)
         if self.content_length is not None and method != b"GET":
             lines.append(b"Content-Length: %d" % self.content_length)
-        lines.append(request.head)  # fields that the intake adds, or nothing
+        lines.append(request.head)  # fields that the intake adds, if any
         request.head = b"\r\n".join(lines)
 
     def _answer_expectation(self, value: bytes) -> None:
-        """Answer `Expect: 100-continue` if it is this request's turn."""
+        """Answer `Expect: 100-continue`, unless a response to an earlier request is due first."""
         if value.strip().lower() != b"100-continue":
             raise RejectError(400, "unknown expectation")
         if self.request is None and self.transport is not None:
@@ -179,7 +179,7 @@
             request.upload.add(data)
             return
         if not self.core.budget.reserve(size):
-            raise RejectError(503, "no room for the body")
+            raise RejectError(503, "no memory left for the body")
         request.reserved += size
         if not before:
             request.body = data
@@ -211,14 +211,14 @@
         if self.chunked:
             request.head += b"Content-Length: %d\r\n" % self.received
         self.head_received = 0
-        # A pipelined request's time runs from here, not from its turn.
+        # The deadline of a pipelined request counts from its arrival, not from its dispatch.
         request.arrived_at = self._arrival()
         self.pipelined.append(request)
         if len(self.pipelined) > MAX_PIPELINED:
-            raise RejectError(400, "too many requests ahead of their answers")
+            raise RejectError(400, "too many pipelined requests")
 
     def _arrival(self) -> int:
-        """Return when the bytes of the request that was just read arrived, at the earliest."""
+        """Return the earliest time at which the request that was just read can have arrived."""
         if self.queued_since:
             return self.queued_since
         now = self.core.clock()
@@ -226,22 +226,22 @@
         if arrived < now:
             arrived = data_arrival(self.sock, arrived, now)
         if self.request is None and not self.pipelined and self.slot.request_count:
-            # A client sends its next request after the response to the one before.
+            # A client sends its next request after the response to the previous one.
             return max(arrived, self.slot.since)
         return arrived
 
     # --- Streamed body
 
     def _begin_upload(self, request: RequestContext) -> None:
-        """Stream a body of which more than HELD_MOST has come, once it is its request's turn."""
+        """Start streaming a body larger than MAX_BUFFERED_BODY, once its request is next."""
         transport = self.transport
         if transport is None or self.parser is None:
             return
         if self.request is not None or self.pipelined:
-            transport.pause_reading()  # `_dispatch_next` goes on
+            transport.pause_reading()  # `_dispatch_next` continues
             return
         if self.core.budget.streamed > self.core.budget.limit:
-            self._reject(503, "no room for a long body")
+            self._reject(503, "no memory left for a streamed body")
             return
         request.keep_alive = self.parser.should_keep_alive()
         request.is_http_1_0 = self.parser.get_http_version() == "1.0"
@@ -257,15 +257,15 @@
         self._dispatch(request)
 
     def _forward_upload(self, upload: Upload, size: int) -> None:
-        """Forward what a read of `size` bytes brought of a streamed body."""
+        """Forward the part of a streamed body that a read of `size` bytes contained."""
         if self.send_watchdog is not None:
             self.send_watchdog.record(size, self.core.clock())
         upload.flush()
 
     def _end_upload(self, request: RequestContext, upload: Upload) -> None:
-        """Finish a streamed body; what this read brought of it goes out with its end."""
+        """Finish a streamed body: forward its last bytes together with its end."""
         if self.has_disconnected():
-            return  # forwarding the last byte would run the request for nobody
+            return  # the last byte would start the request at a host, though nobody waits for it
         upload.complete = True
         self.head_received = 0
         upload.flush()
--- a/sailhitch/net/upstream_connection.py
+++ b/sailhitch/net/upstream_connection.py
@@ -1,8 +1,8 @@
 """A connection to a host, which carries one attempt at a time.
 
-It knows what became of an attempt's bytes: whether the last one can have left this process, and
-whether what came back is one complete response. What that means for the request is decided by the
-pool and the decision module.
+It tracks the bytes of the attempt: whether the last one may have left this process, and whether
+exactly one complete response came back. What that means for the request is decided by the pool and
+the decision module.
 """
 
 from __future__ import annotations
@@ -27,28 +27,28 @@
 if TYPE_CHECKING:
     from .connection_pool import ConnectionPool, Host
 
-CHUNK_BYTES: Final = 64 * 1024  # of a large request that are passed to the transport at a time
-# us after its head from which a response of unknown length is streamed, complete or not.
+CHUNK_BYTES: Final = 64 * 1024  # of a large request, passed to the transport at a time
+# A response of unknown length is streamed if it is incomplete so many us after its head.
 STREAM_AFTER: Final = 300_000
-# A host that streams a response has stalled below these.
+# A host that streams a response more slowly than this counts as stalled.
 MIN_FLOW_RATE: Final = 4 * 1024  # bytes/s
 FLOW_GRACE_TIME: Final = 10_000_000  # us
 MAX_FLOW_STALL: Final = 8_000_000  # us
 
 
 class UpstreamConnection(ResponseReader, asyncio.Protocol):
-    """A connection to a host. It carries one attempt at a time, or is idle in its host's pool."""
+    """A connection to a host: carries one attempt at a time, or is idle in its host's list."""
 
     __slots__ = (
         "attempt",
         "body",
+        "budget",
         "client",
-        "dropping",
-        "flow_budget",
+        "connection_pool",
+        "discarding",
         "has_more_body",
-        "head_at",
+        "head_received_at",
         "host",
-        "hosts",
         "idle_since",
         "load",
         "rejected",
@@ -61,39 +61,39 @@
         "watchdog",
     )
 
-    def __init__(self, hosts: ConnectionPool, host: Host, sock: socket.socket) -> None:
+    def __init__(self, connection_pool: ConnectionPool, host: Host, sock: socket.socket) -> None:
         super().__init__()
-        self.hosts = hosts
+        self.connection_pool = connection_pool
         self.host = host
         self.sock = sock
-        self.flow_budget = hosts.core.budget
+        self.budget = connection_pool.core.budget
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
-        self.unsent_body: memoryview | None = None  # not yet passed to the transport
-        self.upload: Upload | None = None  # a request body that is incomplete
-        self.has_more_body = False  # the upload's last byte has not arrived
+        self.unsent_body: memoryview | None = None  # not passed to the transport yet
+        self.upload: Upload | None = None  # of a request body that is streamed
+        self.has_more_body = False  # the last byte of the upload has not arrived
         self.idle_since = 0
-        self.reserved = 0  # bytes of a response, by the budget
+        self.reserved = 0  # response bytes reserved in the memory budget
         self._clear()
 
     def _clear(self) -> None:
         self.body: bytes | bytearray = b""
         self.size = 0
-        self.flow_budget.release(self.reserved)
+        self.budget.release(self.reserved)
         self.reserved = 0
-        self.rejected = self.dropping = False
+        self.rejected = self.discarding = False
         self.load: LoadReport | None = None
-        self.client: Client | None = None  # to which the response is streamed
+        self.client: Client | None = None  # that the response is streamed to
         self.watchdog: ThroughputWatchdog | None = None  # of a streamed response
-        self.head_at = 0
+        self.head_received_at = 0
 
     # --- The request
 
-    def usable(self) -> bool:
-        """Return whether an idle connection is open and silent, unread bytes included.
+    def is_usable(self) -> bool:
+        """Return whether an idle connection is open and has no unread bytes.
 
-        A host may have closed it while this process was busy. A request written then would end as
-        one that may have run, for no reason.
+        A host may have closed it while this process was busy. A request written to it would
+        needlessly count as possibly executed.
         """
         if self.transport is None or self.transport.is_closing():
             return False
@@ -103,15 +103,15 @@
             return True
         except OSError:
             return False
-        return False  # the end, or unexpected bytes
+        return False  # end of stream, or unexpected bytes
 
     def begin(self, attempt: Attempt, now: int) -> bool:
-        """Write the attempt's request; return False if surely none of it was sent."""
+        """Write the attempt's request; return False if certainly none of it was sent."""
         request = attempt.request
         upload = request.upload
         last = True
-        left = min(attempt.expires_at - now, request.wait_ms * 1000)
-        head, body = request.serialize(left, self.hosts.pool.stamp)
+        time_left = min(attempt.expires_at - now, request.wait_ms * 1000)
+        head, body = request.serialize(time_left, self.connection_pool.pool.stamp)
         if upload is not None:
             body, last = upload.open(self)
             if upload.chunked:
@@ -121,8 +121,8 @@
         try:
             count = self.sock.send(first)
         except OSError:
-            # In a full socket the request would wait, and be sent at any later time: to a host
-            # that is draining by then, or for a client that has left.
+            # If the socket is full, a buffered request could be sent much later: to a host that is
+            # draining by then, or for a client that has disconnected.
             if upload is not None:
                 upload.detach(self)
             return False
@@ -139,11 +139,11 @@
         elif not small:
             self.unsent_body = memoryview(body)
         if self.unsent_body is not None or self.has_more_body:
-            self._push()
+            self._send_body()
         return True
 
     def more(self, data: bytes, last: bool) -> None:
-        """Send more of an incomplete request body; a `Sink`."""
+        """Send more of a streamed request body; part of the `Sink` interface."""
         if self.upload is None or self.attempt is None:
             return
         framed = chunk(data, last) if self.upload.chunked else data
@@ -151,36 +151,36 @@
             framed = bytes(self.unsent_body) + framed
         self.unsent_body = memoryview(framed) if framed else None
         self.has_more_body = not last
-        self._push()
+        self._send_body()
 
-    def _push(self) -> None:
-        """Send the rest in chunks, each once the one before has been written.
+    def _send_body(self) -> None:
+        """Send the rest of the body in chunks, each once the previous one has been written.
 
-        A transport takes any amount: what it buffers costs memory, and is not known to be sent.
+        A transport accepts any amount, but what it buffers uses memory and is not known to be sent.
         """
         transport = self.transport
         while self.unsent_body is not None and transport is not None:
             if transport.get_write_buffer_size():
-                return  # `resume_writing` goes on
+                return  # `resume_writing` continues
             piece = self.unsent_body[:CHUNK_BYTES]
             self.unsent_body = self.unsent_body[CHUNK_BYTES:]
             if not self.unsent_body:
                 self.unsent_body = None
             transport.write(piece)
-        waits = (
+        needs_more = (
             self.has_more_body and transport is not None and not transport.get_write_buffer_size()
         )
-        if waits and self.upload is not None:
+        if needs_more and self.upload is not None:
             self.upload.on_written(self)
 
     def resume_writing(self) -> None:
         """Send more of the request body."""
-        self._push()
+        self._send_body()
 
     # --- The response
 
-    def head_read(self) -> None:
-        """Look for a rejection and for the host's load report."""
+    def handle_head(self) -> None:
+        """Read the host's load report and whether it rejects the request."""
         declined = False
         for low, _, value in self.fields:
             if low == b"srv-load":
@@ -193,26 +193,27 @@
                 declined = value.strip() == b"1"
         self.rejected = declined and self.status in (503, 504)
         if self.length is None:
-            self.head_at = self.hosts.core.clock()
+            self.head_received_at = self.connection_pool.core.clock()
         elif self.length > MAX_BODY_BYTES:
             raise MalformedError("body too large")
 
-    def body_read(self, data: bytes) -> None:
+    def handle_body(self, data: bytes) -> None:
         """Buffer part of a response; raises MalformedError.
 
-        Short responses are buffered until they are complete, as a retry can make up for one that
-        breaks off, and count against the memory budget. Long ones are streamed.
+        Short responses are buffered until they are complete and count against the memory budget:
+        if one is cut off, the request can be retried. Long ones are streamed.
         """
         self.size += len(data)
         if self.size > MAX_BODY_BYTES:
             raise MalformedError("body too large")
-        if self.dropping or (
-            self.status != 200 and not self.hosts.pool.connection_settings.passes_any_status
+        if self.discarding or (
+            self.status != 200
+            and not self.connection_pool.pool.connection_settings.passes_any_status
         ):
             return
         if self.client is None:
-            if not self.flow_budget.reserve(len(data)):
-                raise MalformedError("no room for the body")
+            if not self.budget.reserve(len(data)):
+                raise MalformedError("no memory left for the body")
             self.reserved += len(data)
         if not self.body:
             self.body = data
@@ -229,130 +230,135 @@
         try:
             self.feed(data)
         except MalformedError as error:
-            self.hosts.pool.on_malformed_response(self.host.id, str(error))
+            self.connection_pool.pool.on_malformed_response(self.host.id, str(error))
             self.keep_alive = False
             self._finish_attempt(self._outcome_of_broken_response(AttemptOutcome.ERROR))
             return
-        if self.phase == BODY and self.client is None and self._is_long():
-            self._begin_flow(self.attempt)
+        if self.phase == BODY and self.client is None and self._should_stream():
+            self._start_streaming(self.attempt)
         if self.client is not None:
-            self._pass_on(len(data))
+            self._forward_body(len(data))
         if self.phase == COMPLETE:
             self._finish_attempt(self._outcome_of_response())
 
     # --- Streamed responses
 
-    def _is_long(self) -> bool:
-        """Return whether a response that has begun is not to be waited for."""
-        if not self.size or self.dropping or self._incomplete():
+    def _should_stream(self) -> bool:
+        """Return whether the response is to be streamed instead of buffered."""
+        if not self.size or self.discarding or self._is_request_incomplete():
             return False
         if self.status != 200 and not (
-            self.hosts.pool.connection_settings.passes_any_status and self.status < 500
+            self.connection_pool.pool.connection_settings.passes_any_status and self.status < 500
         ):
             return False
         if self.length is not None:
             return self.length > MAX_BUFFERED_BODY
         return (
-            self.size > MAX_BUFFERED_BODY or self.hosts.core.clock() - self.head_at > STREAM_AFTER
+            self.size > MAX_BUFFERED_BODY
+            or self.connection_pool.core.clock() - self.head_received_at > STREAM_AFTER
         )
 
-    def _begin_flow(self, attempt: Attempt) -> None:
+    def _start_streaming(self, attempt: Attempt) -> None:
         response = Response(self.status, self.fields, b"")
         length = self.length if not self.chunked else None
-        self.client = self.hosts.pool.response_started(attempt, response, length, self.load, self)
-        self.flow_budget.release(self.reserved)
+        self.client = self.connection_pool.pool.response_started(
+            attempt, response, length, self.load, self
+        )
+        self.budget.release(self.reserved)
         self.reserved = 0
         if self.client is None:
-            self.dropping = True
+            self.discarding = True
             self.body = b""
             return
         self.watchdog = ThroughputWatchdog(
-            self.hosts.core.clock(), MIN_FLOW_RATE, FLOW_GRACE_TIME, MAX_FLOW_STALL
+            self.connection_pool.core.clock(), MIN_FLOW_RATE, FLOW_GRACE_TIME, MAX_FLOW_STALL
         )
 
-    def _pass_on(self, size: int) -> None:
-        taker = self.client
+    def _forward_body(self, size: int) -> None:
+        client = self.client
         body = self.body
         if self.watchdog is not None:
-            self.watchdog.record(size, self.hosts.core.clock())
-        if body and taker is not None:
+            self.watchdog.record(size, self.connection_pool.core.clock())
+        if body and client is not None:
             self.body = b""
-            taker.more(bytes(body))
+            client.more(bytes(body))
 
     def pause_reading(self) -> None:
-        """Stop reading, as the client does not keep up; a `ResponseSource`."""
+        """Stop reading, as the client is too slow; part of the `ResponseSource` interface."""
         if self.transport is not None and self.watchdog is not None:
-            self.watchdog.stop(self.hosts.core.clock())
+            self.watchdog.stop(self.connection_pool.core.clock())
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read again, as the client has caught up."""
+        """Resume reading, as the client has caught up."""
         if self.transport is not None and self.watchdog is not None:
-            self.watchdog.resume(self.hosts.core.clock())
+            self.watchdog.resume(self.connection_pool.core.clock())
             self.transport.resume_reading()
 
     def cancelled(self) -> None:
-        """Stop, as the client has left during its response."""
+        """Stop, as the client has disconnected during its response."""
         self.client = None
         self.keep_alive = False
         self._finish_attempt(AttemptOutcome.CANCELLED)
 
     def is_stalled(self, now: int) -> bool:
-        """Return whether the host has stopped in the middle of a response."""
+        """Return whether the host has stalled in the middle of a streamed response."""
         return self.watchdog is not None and self.watchdog.is_too_slow(now)
 
-    def give_up(self) -> None:
+    def abort_stalled(self) -> None:
         """End a stalled response."""
         self.keep_alive = False
         self._finish_attempt(AttemptOutcome.RESET)
 
     def eof_received(self) -> None:
-        """End a response that has no length."""
+        """End a response that is delimited by the close of the connection."""
         self.keep_alive = False
         if self.attempt is not None and self.on_eof():
             self._finish_attempt(self._outcome_of_response())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give the open attempt its outcome."""
-        self.parser = None  # it holds this object in turn
-        self.hosts.forget(self)
+        """Report the outcome of the open attempt."""
+        self.parser = None  # breaks a reference cycle
+        self.connection_pool.forget(self)
         if self.attempt is not None:
             self._finish_attempt(self._outcome_of_broken_response(AttemptOutcome.RESET))
 
     def _outcome_of_response(self) -> AttemptOutcome:
-        """Return what a whole response means."""
+        """Return the outcome for a complete response."""
         if self.rejected:
             return AttemptOutcome.BUSY
         if (
-            self.hosts.pool.connection_settings.passes_any_status
+            self.connection_pool.pool.connection_settings.passes_any_status
             and self.status < 500
-            and not self._incomplete()
+            and not self._is_request_incomplete()
         ):
             return AttemptOutcome.OK
         if self.status != 200:
-            self.hosts.pool.on_unexpected_status(self.host.id, self.status)
-        if self.status != 200 or self._incomplete():
-            # A host's other rejections must not look like this gateway's own.
+            self.connection_pool.pool.on_unexpected_status(self.host.id, self.status)
+        if self.status != 200 or self._is_request_incomplete():
+            # Any other rejection by a host must not look like one by this gateway.
             return AttemptOutcome.ERROR
         return AttemptOutcome.OK
 
     def _outcome_of_broken_response(self, otherwise: AttemptOutcome) -> AttemptOutcome:
-        """Return what a response means that does not come to its end."""
+        """Return the outcome for a response that is not completed."""
         if self.phase == BODY and self.status != 200:
             return AttemptOutcome.BUSY if self.rejected else AttemptOutcome.ERROR
-        # Only what this process still buffers is surely not sent.
+        # Only bytes that this process still buffers are certainly not sent.
         return (
-            AttemptOutcome.CONNECT_FAILED if self._incomplete() and not self.status else otherwise
+            AttemptOutcome.CONNECT_FAILED
+            if self._is_request_incomplete() and not self.status
+            else otherwise
         )
 
-    def _incomplete(self) -> bool:
-        """Return whether the request's last byte has surely not been written."""
+    def _is_request_incomplete(self) -> bool:
+        """Return whether the request's last byte has certainly not been written."""
         return self.unsent_body is not None or self.has_more_body
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether some of the request is still held here."""
-        waits = self.transport is not None and self.transport.get_write_buffer_size() > 0
-        return self._incomplete() or waits
+        """Return whether part of the request is still buffered in this process."""
+        buffered = self.transport is not None and self.transport.get_write_buffer_size() > 0
+        return self._is_request_incomplete() or buffered
 
     def _finish_attempt(self, status: AttemptOutcome) -> None:
         """Report the attempt's outcome; return the connection to the pool, or close it."""
@@ -361,33 +367,35 @@
             return
         self.attempt = attempt.connection = None
         if self.unsent_body is not None or self.upload is not None:
-            self.keep_alive = self.keep_alive and not self._incomplete()
-            self._let_go_of_body()
+            self.keep_alive = self.keep_alive and not self._is_request_incomplete()
+            self._release_body()
         response = Response(self.status, self.fields, self.body)
         load = self.load
-        whole = self.phase == COMPLETE
-        taker = self.client
-        dropped = self.dropping
+        complete = self.phase == COMPLETE
+        client = self.client
+        discarded = self.discarding
         self._clear()
-        if taker is not None:
-            self._end_flow(taker, status == AttemptOutcome.OK)
+        if client is not None:
+            self._finish_streaming(client, status == AttemptOutcome.OK)
         if self.keep_alive and self.transport is not None and not self.transport.is_closing():
             if not self.transport.is_reading():
-                self.transport.resume_reading()  # it was paused for the client
-            self.hosts.give_back(self)
+                self.transport.resume_reading()  # it was paused for a slow client
+            self.connection_pool.give_back(self)
         else:
             self.close()
-        held = whole and not attempt.response_started and not dropped
-        self.hosts.pool.attempt_finished(attempt, status, load, response if held else None)
+        deliverable = complete and not attempt.response_started and not discarded
+        self.connection_pool.pool.attempt_finished(
+            attempt, status, load, response if deliverable else None
+        )
 
-    def _end_flow(self, taker: Client, whole: bool) -> None:
-        if whole:
-            taker.end()
+    def _finish_streaming(self, client: Client, complete: bool) -> None:
+        if complete:
+            client.end()
         else:
-            self.hosts.core.counters.cut += 1
-            taker.cut()
+            self.connection_pool.core.counters.cut += 1
+            client.cut()
 
-    def _let_go_of_body(self) -> None:
+    def _release_body(self) -> None:
         if self.upload is not None:
             self.upload.detach(self)
         self.upload = None
@@ -395,17 +403,17 @@
         self.has_more_body = False
 
     def abandon(self) -> None:
-        """Abandon the attempt; its response may still come, so the connection is not reused."""
+        """Abandon the attempt. Its response may still arrive, so the connection is not reused."""
         if self.attempt is not None:
             self.attempt.connection = None
         self.attempt = None
-        self._let_go_of_body()
+        self._release_body()
         self._clear()
         self.close()
 
     def close(self) -> None:
-        """Close at once and write nothing more."""
-        self.hosts.forget(self)
+        """Close at once, without writing anything more."""
+        self.connection_pool.forget(self)
         if self.transport is not None:
             self.transport.abort()
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Peers over loopback sockets for tests of the real gateway: a host, discovery, a plain client."""
+"""Peers on loopback sockets for tests of the real gateway: hosts, discovery and clients."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 from sailhitch.net.platform import Platform
 from tests.fake import settings_value
 
-PATIENCE = 30.0  # s; no test measures time, but none waits forever
+PATIENCE = 30.0  # s; an upper limit, so that no test waits forever
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 Answerer = Callable[[bytes, Writer], Awaitable[None]]
 
 
-def _name(server: asyncio.Server) -> str:
+def _address(server: asyncio.Server) -> str:
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition, however long it takes within reason."""
+    """Wait until a condition holds; raises TimeoutError after PATIENCE."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 async def read_message(reader: Reader) -> bytes:
-    """A whole message, its chunks put together; raises IncompleteReadError at an early end."""
+    """Read a complete message and join its chunks; raises IncompleteReadError at an early end."""
     head = await reader.readuntil(b"\r\n\r\n")
     if b"\r\ntransfer-encoding: chunked" in head.lower():
         body = b""
@@ -57,20 +57,21 @@
 
 
 def answer(body: bytes, fields: bytes = b"") -> bytes:
+    """Return a response with status 200."""
     return b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (fields, len(body), body)
 
 
 def request(
     name: str, body: bytes | None = None, wait_ms: int = 3000, fields: bytes = b"", kind: str = ""
 ) -> bytes:
-    """A client's request of the safe class, or of the unsafe one where it has a body."""
+    """Return a request of the safe class, or of the unsafe one if it has a body."""
     kind = kind or ("pure-all" if body is None else "side_effect-all")
     head, gap, rest = platform(name, kind, wait_ms, body).partition(b"\r\n\r\n")
     return head + b"\r\n" + fields + gap[2:] + rest
 
 
 class Server:
-    """Listens on loopback and hands each whole request to its answerer."""
+    """Listens on loopback and passes each complete request to its answerer."""
 
     def __init__(self, answerer: Answerer | None = None) -> None:
         self.answerer = answerer
@@ -81,7 +82,7 @@
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.addr = _name(self.server)
+        self.addr = _address(self.server)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -95,9 +96,9 @@
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         self.writers.append(writer)
-        # One that is cancelled with the test is no error either.
-        ends = (OSError, asyncio.IncompleteReadError, asyncio.CancelledError)
-        with contextlib.suppress(*ends):
+        # Cancellation at the end of a test is no error either.
+        expected = (OSError, asyncio.IncompleteReadError, asyncio.CancelledError)
+        with contextlib.suppress(*expected):
             while True:
                 message = await read_message(reader)
                 self.seen.append(message)
@@ -111,30 +112,31 @@
 
 
 class Registry(Server):
-    """Discovery: the whole list at first, then what the test says has changed."""
+    """Discovery: sends the full list whenever the caller's version is not the current one."""
 
     def __init__(self, *hosts: tuple[str, str], version: int = 1) -> None:
         super().__init__()
         self.version = version
         self.entries = [entry(name, addr) for name, addr in hosts]
-        self.raw: bytes | None = None  # said in place of an answer, once
+        self.raw_response: bytes | None = None  # sent once instead of a response
 
     async def reply(self, message: bytes, writer: Writer) -> None:
         target = message.split(b" ")[1]
         after = int(target.partition(b"after=")[2].partition(b"&")[0] or b"-1")
-        if self.raw is not None:
-            raw, self.raw = self.raw, None
+        if self.raw_response is not None:
+            raw, self.raw_response = self.raw_response, None
             writer.write(raw)
             return
         if after == self.version:
-            await asyncio.sleep(0.05)  # nothing new comes while it waits
-            text: dict[str, Any] = {"version": after, "full": False, "servers": []}
+            await asyncio.sleep(0.05)  # no update arrives during its wait
+            update: dict[str, Any] = {"version": after, "full": False, "servers": []}
         else:
-            text = {"version": self.version, "full": True, "servers": self.entries}
-        writer.write(answer(json.dumps(text).encode()))
+            update = {"version": self.version, "full": True, "servers": self.entries}
+        writer.write(answer(json.dumps(update).encode()))
 
 
 def entry(name: str, addr: str, state: str = "active") -> dict[str, Any]:
+    """Return an entry of discovery's list."""
     return {
         "id": name,
         "addr": addr,
@@ -148,7 +150,7 @@
 
 
 def config_value(discovery: str, *hosts: tuple[str, str], **changes: Any) -> dict[str, Any]:
-    """A configuration as the platform writes it; `limits` and `settings` are merged in."""
+    """Return a configuration as the platform writes it, with `limits` and `settings` merged in."""
     settings = settings_value(dcs=["z"], shapes=["k"], **changes.pop("settings", {}))
     limits = {"cores": 1.0, "memory_mb": 80, "sockets": 256} | changes.pop("limits", {})
     return {
@@ -163,7 +165,7 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client connection."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer = reader, writer
@@ -172,22 +174,22 @@
         self.writer.write(data)
 
     async def answer(self) -> tuple[int, bytes]:
-        """The next answer: its status and body."""
+        """Read the next response; return its status and body."""
         async with asyncio.timeout(PATIENCE):
             message = await read_message(self.reader)
         return int(message.split(b" ")[1]), message.partition(b"\r\n\r\n")[2]
 
     async def rest(self) -> bytes:
-        """All that still comes until the gateway closes; a reset counts as an end."""
-        got = b""
+        """Read until the gateway closes the connection; a reset counts as a close."""
+        received = b""
         async with asyncio.timeout(PATIENCE):
             with contextlib.suppress(OSError):
                 while data := await self.reader.read(65536):
-                    got += data
-        return got
+                    received += data
+        return received
 
     async def again(self) -> Client:
-        """A new connection to where this one went."""
+        """Close this connection and open a new one to the same address."""
         host, port = self.writer.get_extra_info("peername")
         self.writer.close()
         return await dial(f"{host}:{port}")
@@ -198,7 +200,7 @@
 
 
 def plain(addr: str) -> socket.socket:
-    """A connection that the test uses without the loop."""
+    """Open a blocking connection, for use without the event loop."""
     host, _, port = addr.rpartition(":")
     return socket.create_connection((host, int(port)))
 
@@ -209,7 +211,7 @@
 
 
 class Gate:
-    """A gateway in this process, listening on loopback."""
+    """A gateway that runs in this process and listens on loopback."""
 
     def __init__(self, platform: Platform, listener: Listener) -> None:
         self.platform, self.listener = platform, listener
@@ -228,36 +230,36 @@
         return await dial(self.addr)
 
     def clients(self) -> list[Downstream]:
-        """The connections that clients hold, oldest first."""
-        return [cast(Downstream, one) for one in self.core.clients]
+        """Return the open client connections, oldest first."""
+        return [cast(Downstream, client) for client in self.core.clients]
 
 
 @contextlib.asynccontextmanager
 async def gate(*hosts: tuple[str, str], discovery: str = "", **changes: Any) -> AsyncIterator[Gate]:
-    """A gateway that knows these hosts; it watches discovery only where there is some."""
+    """Run a gateway that knows these hosts; it watches discovery if an address is given."""
     loop = asyncio.get_running_loop()
     value = config_value(discovery or "127.0.0.1:9", *hosts, **changes)
     platform = Platform(parse_config(value, {}), loop, Log("n0"))
     platform.begin()
     watch = loop.create_task(platform.discovery.run()) if discovery else None
-    server = platform.listen(("127.0.0.1", 0), 100)
-    server.start()
+    listener = platform.listen(("127.0.0.1", 0), 100)
+    listener.start()
     platform.core.ready = True
     try:
-        yield Gate(platform, server)
+        yield Gate(platform, listener)
     finally:
-        if server.sock.fileno() >= 0:
-            server.close()
+        if listener.sock.fileno() >= 0:
+            listener.close()
         platform.core.finish()
         if watch is not None:
             watch.cancel()
 
 
-async def fill(it: Gate, count: int) -> list[Client]:
-    """So many clients, each with a request out."""
+async def fill(gateway: Gate, count: int) -> list[Client]:
+    """Return `count` clients that have each sent a request."""
     clients = []
     for i in range(count):
-        client = await it.client()
+        client = await gateway.client()
         client.send(request(f"busy{i}"))
         clients.append(client)
     return clients
@@ -271,17 +273,17 @@
     python: str = sys.executable,
     crowded: bool = False,
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, str]]:
-    """The real program, ready for traffic, with its configuration in a file.
+    """Run the real program with its configuration in a file, and wait until it is ready.
 
-    It is that of this checkout, or of the one at `tree`. `crowded`: idle clients take its
-    descriptors, so a check of its readiness may be shut unread, and is made again.
+    It is that of this checkout, or of the one at `tree`. `crowded`: idle clients use up its
+    descriptors, so a readiness check may be closed unanswered, and is repeated.
     """
     addr = f"127.0.0.1:{free_port()}"
     path.write_text(json.dumps(value | {"listen": addr}))
     env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
     env |= {"EDGE_CONFIG": str(path), "EDGE_NAME": "n0", "EDGE_LISTEN": addr}
     env |= {"EDGE_DISCOVERY": str(value["discovery"])}
-    # Checkouts to compare with may be older than the package's name.
+    # Checkouts to compare with may have the package under its older name.
     package = "sailhitch" if tree is None or (tree / "sailhitch").exists() else "sillusher"
     program = await asyncio.create_subprocess_exec(
         python, "-B", "-m", package, env=env, cwd=tree, stderr=asyncio.subprocess.DEVNULL
@@ -301,7 +303,7 @@
 async def hosted_process(
     path: Path, host: Server
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Client]]:
-    """The real program with one host behind it, and a client of it."""
+    """Run the real program with one host, and connect a client."""
     async with contextlib.AsyncExitStack() as stack:
         await stack.enter_async_context(host)
         registry = await stack.enter_async_context(Registry(("a", host.addr)))
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""What hosts and discovery may say, over loopback sockets."""
+"""Valid and invalid responses of hosts and discovery, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.virtual import eventually
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
-SPOILT = {
+MALFORMED_RESPONSES = {
     "noise": b"\x02\xff\x17 what is this\r\n\r\n",
     "no status": b"HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nhi",
     "bad status": b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nhi",
@@ -44,29 +44,31 @@
 }
 
 
-@pytest.mark.parametrize("kind", list(SPOILT))
-def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(kind: str) -> None:
-    """The connection stays open, as bad hosts leave it; nothing of the answer reaches a client."""
-    spoil = [True]
+@pytest.mark.parametrize("kind", list(MALFORMED_RESPONSES))
+def test_a_malformed_answer_is_a_failed_attempt_that_may_have_run(kind: str) -> None:
+    """The host keeps the connection open; no part of its answer reaches the client."""
+    malformed = [True]
 
     async def reply(message: bytes, writer: Writer) -> None:
-        writer.write(SPOILT[kind] if spoil[0] else answer(b"served"))
+        writer.write(MALFORMED_RESPONSES[kind] if malformed[0] else answer(b"served"))
 
-    async def play() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def scenario() -> None:
+        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             assert await client.ask(request("once", b"effect")) == (502, b"")
-            assert len(host.seen) == 1  # it may have run, and is not sent again
-            spoil[0] = False
+            assert len(host.seen) == 1  # it may have run, so it is not retried
+            malformed[0] = False
             assert (await client.ask(request("next")))[1] == b"served"
-            assert len(host.writers) == 2  # the spoilt connection is of no further use
-            await until(lambda: not it.core.request_by_name and len(it.hosts.connections) == 1)
-            assert it.core.budget.reserved == 0
+            assert len(host.writers) == 2  # the first connection is not reused
+            await until(
+                lambda: not gateway.core.request_by_name and len(gateway.hosts.connections) == 1
+            )
+            assert gateway.core.budget.reserved == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-BEHIND = {
+TRAILING_BYTES = {
     "a second copy": answer(b"served"),
     "another answer": answer(b"not yours"),
     "noise": b"\x00\xff\x01 noise",
@@ -74,102 +76,102 @@
 }
 
 
-@pytest.mark.parametrize("kind", list(BEHIND))
+@pytest.mark.parametrize("kind", list(TRAILING_BYTES))
 @pytest.mark.parametrize("fields", [b"", b"Connection: close\r\n"])
 def test_bytes_behind_a_whole_answer_cost_the_connection_only(kind: str, fields: bytes) -> None:
     async def reply(message: bytes, writer: Writer) -> None:
         name = message.partition(b"Req-Id: ")[2].partition(b"\r\n")[0]
-        writer.write(answer(name, fields) + BEHIND[kind])
+        writer.write(answer(name, fields) + TRAILING_BYTES[kind])
 
-    async def play() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def scenario() -> None:
+        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             for i in range(5):
-                got = await client.ask(request(f"r{i}", b"effect"))
-                assert got == (200, b"r%d" % i)
-            await until(lambda: not it.hosts.connections)
+                response = await client.ask(request(f"r{i}", b"effect"))
+                assert response == (200, b"r%d" % i)
+            await until(lambda: not gateway.hosts.connections)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
 def test_a_second_answer_that_comes_late_is_not_the_next_requests(body: bytes | None) -> None:
-    """It comes when the next request would be on its way already."""
+    """It arrives when the next request would already be on its way."""
 
     async def reply(message: bytes, writer: Writer) -> None:
-        first = len(host_.seen) == 1
+        first = len(server.seen) == 1
         writer.write(answer(b"first" if first else b"second"))
         if first:
             await asyncio.sleep(0.004)
             writer.write(answer(b"first"))
 
-    host_ = Server(reply)
+    server = Server(reply)
 
-    async def story() -> None:
-        async with host_ as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def scenario() -> None:
+        async with server as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             assert await client.ask(request("r1", body)) == (200, b"first")
             assert await client.ask(request("r2", body)) == (200, b"second")
             assert len(host.seen) == len(host.writers) == 2
 
-    virtual.play(story())
+    virtual.play(scenario())
 
 
-def test_a_connection_is_used_again_once_it_has_rested() -> None:
-    async def story() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+def test_a_connection_is_reused_after_the_reuse_delay() -> None:
+    async def scenario() -> None:
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             for i in range(4):
                 assert await client.ask(request(f"r{i}")) == (200, b"served")
             assert len(host.writers) == 1
 
-    virtual.play(story())
+    virtual.play(scenario())
 
 
-def test_an_attempt_taken_back_in_the_turn_it_was_made_in_leaves_nothing_behind() -> None:
-    """While it was about to wait for a new connection, then for one that rests."""
+def test_an_attempt_cancelled_in_the_turn_it_was_made_in_leaves_nothing_behind() -> None:
+    """It was about to wait for a new connection, then for one in its reuse delay."""
 
-    async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
-            client, start = await it.client(), it.hosts.start
+    async def scenario() -> None:
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            client, start = await gateway.client(), gateway.hosts.start
 
-            def taken_back(attempt: Attempt, now: int) -> None:
+            def start_and_cancel(attempt: Attempt, now: int) -> None:
                 start(attempt, now)
-                it.pool.port.cancel(attempt.request.id, attempt.number)
+                gateway.pool.port.cancel(attempt.request.id, attempt.number)
 
             for name in ("r1", "r2"):
-                it.hosts.start = taken_back  # type: ignore[method-assign]
+                gateway.hosts.start = start_and_cancel  # type: ignore[method-assign]
                 assert (await client.ask(request(name)))[0] in (502, 503)
-                it.hosts.start = start  # type: ignore[method-assign]
-                await until(lambda: it.hosts.size() == len(it.hosts.hosts["a"].idle))
-                assert it.hosts.hosts["a"].open == len(it.hosts.connections)
+                gateway.hosts.start = start  # type: ignore[method-assign]
+                await until(lambda: gateway.hosts.size() == len(gateway.hosts.hosts["a"].idle))
+                assert gateway.hosts.hosts["a"].open_count == len(gateway.hosts.connections)
                 assert await client.ask(request(f"{name}-after")) == (200, b"served")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("in_time", [True, False])
-def test_a_connection_that_rests_is_not_used_once_its_host_has_moved(in_time: bool) -> None:
-    """While a request waits for it, which is given up meanwhile or not."""
+def test_a_connection_in_its_reuse_delay_is_not_used_once_its_host_has_moved(in_time: bool) -> None:
+    """A request waits for it, and reaches its deadline meanwhile or not."""
 
-    async def story() -> None:
-        async with Server() as old, Server() as new, gate(("a", old.addr)) as it:
-            client = await it.client()
+    async def scenario() -> None:
+        async with Server() as old, Server() as new, gate(("a", old.addr)) as gateway:
+            client = await gateway.client()
             assert await client.ask(request("r1")) == (200, b"served")
             client.send(request("r2", wait_ms=3000 if in_time else 4))
-            while not it.core.open_requests:
-                await asyncio.sleep(0)  # the clock stands
+            while not gateway.core.open_requests:
+                await asyncio.sleep(0)  # the virtual clock does not advance
             moved = parse_endpoint_update(
                 {"version": 1, "full": True, "servers": [entry("a", new.addr)]},
-                it.platform.config.names,
+                gateway.platform.config.names,
             )
-            it.pool.on_endpoint_update(moved)
+            gateway.pool.on_endpoint_update(moved)
             assert (await client.answer())[0] == (200 if in_time else 503)
             assert await client.ask(request("r3")) == (200, b"served")
             assert len(old.seen) == 1
-            await eventually(lambda: len(it.hosts.connections) == 1)
+            await eventually(lambda: len(gateway.hosts.connections) == 1)
 
-    virtual.play(story())
+    virtual.play(scenario())
 
 
 def test_interim_answers_ahead_are_passed_over() -> None:
@@ -178,31 +180,31 @@
         await asyncio.sleep(0.01)
         writer.write(answer(b"served"))
 
-    async def play() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def scenario() -> None:
+        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             for i in range(3):
                 assert await client.ask(request(f"r{i}", b"effect")) == (200, b"served")
             assert len(host.writers) == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_an_answer_of_the_largest_body_goes_through_whole() -> None:
-    body = bytes(range(256)) * 256  # 64 KiB; hosts also say more than they are told
+    body = bytes(range(256)) * 256  # 64 KiB; responses may be larger than requests
 
     async def reply(message: bytes, writer: Writer) -> None:
         writer.write(answer(message.partition(b"\r\n\r\n")[2] * 6))
 
-    async def play() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def scenario() -> None:
+        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             for i in range(3):
                 assert await client.ask(request(f"big{i}", body)) == (200, body * 6)
             assert len(host.writers) == 1
-            assert it.core.budget.reserved == 0
+            assert gateway.core.budget.reserved == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_half_an_answer_and_a_close_reaches_no_client() -> None:
@@ -210,101 +212,106 @@
         writer.write(answer(b"served")[:-3])
         writer.close()
 
-    async def play() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def scenario() -> None:
+        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             assert (await client.ask(request("once", b"effect")))[0] == 502
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_silent_host_costs_a_request_no_more_than_its_time() -> None:
     async def silent(message: bytes, writer: Writer) -> None:
         await asyncio.sleep(30)
 
-    async def play() -> None:
-        async with Server(silent) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+    async def scenario() -> None:
+        async with Server(silent) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             status, _ = await client.ask(request("once", b"effect", wait_ms=300))
             assert status in (502, 504)
-            await until(lambda: not it.core.request_by_name and not it.hosts.connections)
+            await until(lambda: not gateway.core.request_by_name and not gateway.hosts.connections)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_what_was_never_written_in_its_time_is_refused_and_not_failed(body: bytes | None) -> None:
-    """Its connection does not come up; a payout that is told failed may have run."""
+def test_a_request_not_written_before_its_deadline_is_refused_and_not_failed(
+    body: bytes | None,
+) -> None:
+    """Its connect does not complete. A 502 or 504 would mean that a payout may have run."""
 
-    async def play() -> None:
-        async with waiting_gate() as (host, it, held):
-            client = await it.client()
+    async def scenario() -> None:
+        async with waiting_gate() as (host, gateway, held):
+            client = await gateway.client()
             assert await client.ask(request("r1", body, wait_ms=200)) == (503, b"")
             assert held.waiting == 1
-            assert it.core.counters.statuses == {"expired": 1}
+            assert gateway.core.counters.statuses == {"expired": 1}
             assert host.seen == []
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("wait_ms", [1, 2, 3, 5, 8, 12, 40])
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_a_client_in_a_hurry_has_its_answer_while_it_waits(
+def test_a_client_with_a_short_deadline_is_answered_within_it(
     wait_ms: int, body: bytes | None
 ) -> None:
-    """Timers count in milliseconds, and the answer has to cross the way back."""
+    """Timers count in milliseconds, and the answer needs time on its way back."""
 
     async def silent(message: bytes, writer: Writer) -> None:
         await asyncio.Event().wait()
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        async with Server(silent) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
-            await eventually(lambda: len(it.core.clients) == 1)
-            asked = loop.time()
+        async with Server(silent) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
+            await eventually(lambda: len(gateway.core.clients) == 1)
+            started = loop.time()
             assert (await client.ask(request("r1", body, wait_ms)))[0] in (502, 503, 504)
-            assert loop.time() - asked <= (wait_ms - 1) / 1000
+            assert loop.time() - started <= (wait_ms - 1) / 1000
 
-    virtual.play(story())
+    virtual.play(scenario())
 
 
-def test_own_lack_of_descriptors_is_not_held_against_hosts() -> None:
-    async def act(it: Gate) -> None:
-        it.core.free_descriptor = lambda: False  # type: ignore[method-assign]
-        client = await it.client()
+def test_a_lack_of_descriptors_does_not_count_against_hosts() -> None:
+    async def act(gateway: Gate) -> None:
+        gateway.core.free_descriptor = lambda: False  # type: ignore[method-assign]
+        client = await gateway.client()
         assert (await client.ask(request("r1")))[0] == 503
-        assert it.pool.policy.endpoint_table.servers["a"].ejected_until == 0
+        assert gateway.pool.policy.endpoint_table.servers["a"].ejected_until == 0
 
-    async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
-            await act(it)
+    async def scenario() -> None:
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            await act(gateway)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_new_host_at_an_old_address_is_not_taken_for_the_old_one() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Server() as host, Server() as other:
             hosts = [("old", host.addr), ("other", other.addr)]
-            async with Registry(*hosts) as registry, gate(*hosts, discovery=registry.addr) as it:
-                client = await it.client()
+            async with (
+                Registry(*hosts) as registry,
+                gate(*hosts, discovery=registry.addr) as gateway,
+            ):
+                client = await gateway.client()
                 for i in range(10):
                     assert (await client.ask(request(f"a{i}")))[0] == 200
                 assert host.seen
-                # The machine was replaced; that the old one has gone is not known yet.
+                # The host was replaced, but discovery still lists the old one.
                 registry.version = 2
                 registry.entries.append(entry("new", host.addr, "leaving"))
-                await until(lambda: "new" in it.hosts.hosts)
+                await until(lambda: "new" in gateway.hosts.hosts)
                 before = len(host.seen)
                 for i in range(20):
                     assert (await client.ask(request(f"b{i}")))[0] == 200
                 assert len(host.seen) == before
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-LISTS = {
+MALFORMED_LISTS = {
     "noise": b"\x00\xff\r\n\r\n",
     "not JSON": answer(b"{"),
     "deep": answer(b"[" * 100_000),
@@ -319,40 +326,47 @@
 }
 
 
-@pytest.mark.parametrize("kind", list(LISTS))
-def test_what_discovery_says_out_of_form_leaves_the_list_and_the_watch_goes_on(kind: str) -> None:
-    async def play() -> None:
+@pytest.mark.parametrize("kind", list(MALFORMED_LISTS))
+def test_a_malformed_list_leaves_the_hosts_and_the_watch_continues(kind: str) -> None:
+    async def scenario() -> None:
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(("a", host.addr), discovery=registry.addr) as it,
+            gate(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             await until(lambda: len(registry.seen) > 1)
-            registry.raw = LISTS[kind]
-            await until(lambda: registry.raw is None)
-            client = await it.client()
+            registry.raw_response = MALFORMED_LISTS[kind]
+            await until(lambda: registry.raw_response is None)
+            client = await gateway.client()
             assert (await client.ask(request("r1")))[0] == 200
             registry.entries.append(entry("b", host.addr.replace(".0.1", ".0.2")))
             registry.version = 2
-            await until(lambda: "b" in it.hosts.hosts)
-            assert set(it.hosts.hosts) == {"a", "b"}
-            assert it.core.counters.panics == 0
-
-    asyncio.run(play())
-
-
-def test_an_entry_out_of_form_does_not_take_the_others_away() -> None:
-    async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
-            bad = [None, {}, {"id": "b", "addr": "x:1", "state": "active"}, entry("", host.addr)]
-            bad += [entry("c", host.addr) | {"weight": float("nan")}]
-            value = {"version": 2, "full": True, "servers": [entry("a", host.addr), *bad]}
+            await until(lambda: "b" in gateway.hosts.hosts)
+            assert set(gateway.hosts.hosts) == {"a", "b"}
+            assert gateway.core.counters.panics == 0
+
+    asyncio.run(scenario())
+
+
+def test_a_malformed_entry_does_not_remove_other_hosts() -> None:
+    async def scenario() -> None:
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            malformed = [
+                None,
+                {},
+                {"id": "b", "addr": "x:1", "state": "active"},
+                entry("", host.addr),
+            ]
+            malformed += [entry("c", host.addr) | {"weight": float("nan")}]
+            value = {"version": 2, "full": True, "servers": [entry("a", host.addr), *malformed]}
             from sailhitch.net.config import parse_endpoint_update
 
-            roster = parse_endpoint_update(json.loads(json.dumps(value)), it.platform.config.names)
-            it.pool.on_endpoint_update(roster)
-            client = await it.client()
+            update = parse_endpoint_update(
+                json.loads(json.dumps(value)), gateway.platform.config.names
+            )
+            gateway.pool.on_endpoint_update(update)
+            client = await gateway.client()
             assert (await client.ask(request("r1")))[0] == 200
-            assert set(it.hosts.hosts) == {"a"}
+            assert set(gateway.hosts.hosts) == {"a"}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""New configurations and restarts of the real program, under signals."""
+"""Reloads and restarts of the real program by signals."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_a_reload_under_load_moves_to_the_new_discovery(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Server() as first, Server() as second:
             old, new = Registry(("a", first.addr), version=50), Registry(("b", second.addr))
             async with old, new:
@@ -41,16 +41,16 @@
                     program.send_signal(signal.SIGHUP)
                     await until(lambda: len(new.seen) > 1)
                     old.stop()
-                    for i in range(20):  # on the connection that was open before
+                    for i in range(20):  # on the connection that is already open
                         assert await client.ask(request(f"n{i}")) == (200, b"served")
                     assert len(second.seen) >= 20
                     assert program.returncode is None
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_file_that_cannot_be_read_leaves_the_old_configuration(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Server() as host, Registry(("a", host.addr)) as registry:
             path = tmp_path / "config.json"
             value = config_value(registry.addr, ("a", host.addr))
@@ -67,7 +67,7 @@
                 assert await client.ask(request("last")) == (200, b"served")
                 assert program.returncode is None
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def _address(text: str) -> Address:
@@ -78,41 +78,43 @@
     async def silent(message: bytes, writer: Writer) -> None:
         await asyncio.sleep(PATIENCE)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Server() as host, Server(silent) as old, Registry(("b", host.addr)) as new:
             changes = {"discovery": "subscribe", "rules": {"askWithin": 1}}
-            async with gate(discovery=old.addr, settings=changes) as it:
+            async with gate(discovery=old.addr, settings=changes) as gateway:
                 await until(lambda: bool(old.seen))
-                it.discovery.reconfigure(replace(it.platform.config, discovery=_address(new.addr)))
-                await until(lambda: "b" in it.hosts.hosts)
+                gateway.discovery.reconfigure(
+                    replace(gateway.platform.config, discovery=_address(new.addr))
+                )
+                await until(lambda: "b" in gateway.hosts.hosts)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_changes_that_cannot_be_read_are_made_good_by_the_whole_list() -> None:
-    async def play() -> None:
+def test_unreadable_changes_are_followed_by_a_request_for_the_whole_list() -> None:
+    async def scenario() -> None:
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(("a", host.addr), discovery=registry.addr) as it,
+            gate(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             await until(lambda: len(registry.seen) > 1)
             registry.entries = [entry("a", host.addr, "leaving")]
             bad = [{"id": "a", "addr": "nowhere", "state": "leaving"}]
             text = json.dumps({"version": 2, "full": False, "servers": bad})
             registry.version = 2
-            registry.raw = answer(text.encode())
-            await until(lambda: it.hosts.hosts["a"].endpoint.state == "draining")
+            registry.raw_response = answer(text.encode())
+            await until(lambda: gateway.hosts.hosts["a"].endpoint.state == "draining")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_new_settings_hold_from_the_reload_on() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         from sailhitch.net.config import parse_config
 
-        async with Server() as host, gate(("a", host.addr)) as it:
-            client = await it.client()
+        async with Server() as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
             assert (await client.ask(request("r1", kind="new")))[0] == 400
             classes = [
                 {
@@ -124,12 +126,12 @@
                 }
             ]
             value = config_value("127.0.0.1:9", settings={"classes": classes})
-            it.platform.reconfigure(parse_config(value, {}))
-            client = await it.client()
+            gateway.platform.reconfigure(parse_config(value, {}))
+            client = await gateway.client()
             assert await client.ask(request("r2", kind="new")) == (200, b"served")
-            assert it.core.counters.panics == 0
+            assert gateway.core.counters.panics == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_at_a_restart_every_request_taken_is_answered_on_old_and_new_connections(
@@ -139,43 +141,43 @@
         await asyncio.sleep(0.3)
         writer.write(answer(b"served"))
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Server(slow) as host, Registry(("a", host.addr)) as registry:
             value = config_value(registry.addr, ("a", host.addr))
             async with process(tmp_path / "config.json", value) as (program, addr):
-                busy, kept, half, silent = [await dial(addr) for _ in range(4)]
-                assert await kept.ask(request("k1")) == (200, b"served")
+                busy, idle, partial, silent = [await dial(addr) for _ in range(4)]
+                assert await idle.ask(request("k1")) == (200, b"served")
                 busy.send(request("b1", b"effect"))
-                half.send(request("h1", b"effect")[:-3])
+                partial.send(request("h1", b"effect")[:-3])
                 await until(lambda: len(host.seen) == 2)
                 program.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.05)
                 late = await dial(addr)
                 late.send(request("l1", b"effect"))
-                kept.send(request("k2"))
-                half.send(request("h1", b"effect")[-3:])
-                for client in (busy, late, kept, half):
+                idle.send(request("k2"))
+                partial.send(request("h1", b"effect")[-3:])
+                for client in (busy, late, idle, partial):
                     assert await client.answer() == (200, b"served")
                     assert await client.rest() == b""
                 assert await silent.rest() == b""
                 async with asyncio.timeout(PATIENCE):
                     assert await program.wait() == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_peers_that_never_get_on_with_it_do_not_keep_a_gateway_from_its_end(
+def test_clients_that_never_complete_a_request_do_not_prevent_shutdown(
     tmp_path: Path,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Server() as host, Registry(("a", host.addr)) as registry:
             value = config_value(registry.addr, ("a", host.addr))
             async with process(tmp_path / "config.json", value) as (program, addr):
-                crowd = [await dial(addr) for _ in range(20)]
-                for i, client in enumerate(crowd):
+                clients = [await dial(addr) for _ in range(20)]
+                for i, client in enumerate(clients):
                     client.send(request(f"r{i}", b"effect")[: 20 * i])
                 program.send_signal(signal.SIGTERM)
                 async with asyncio.timeout(PATIENCE):
                     assert await program.wait() == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: what is told is heard in time, whatever was under way."""
+"""The watch on discovery: changes are received in time, whatever state the watch is in."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class Agent(Registry):
-    """Holds news at once; silent for a while, it never answers what it was asked meanwhile."""
+    """Has updates at once. While it is silent, it never answers the calls that it receives."""
 
     def __init__(self, *hosts: tuple[str, str], delay: float = 0.0) -> None:
         super().__init__(*hosts)
         self.silent = False
-        self.breaks = 0  # calls that were out at one are never answered
+        self.breaks = 0  # a call that is open when this increases is never answered
         self.delay = delay
 
     async def reply(self, message: bytes, writer: Writer) -> None:
@@ -37,16 +37,17 @@
         await asyncio.sleep(self.delay)
         if silent or self.silent or self.breaks > breaks:
             await asyncio.Event().wait()
-        text = {"version": self.version, "full": True, "servers": self.entries}
-        writer.write(answer(json.dumps(text).encode()))
+        update = {"version": self.version, "full": True, "servers": self.entries}
+        writer.write(answer(json.dumps(update).encode()))
 
     def drain(self, name: str, addr: str) -> None:
+        """List the host as draining."""
         self.entries = [entry(name, addr, "leaving")]
         self.version += 1
 
 
-def _drained(it: Any) -> bool:
-    return bool(it.pool.endpoints["a"].endpoint.state == EndpointState.DRAINING)
+def _drained(gateway: Any) -> bool:
+    return bool(gateway.pool.endpoints["a"].endpoint.state == EndpointState.DRAINING)
 
 
 def rules(grace: int, **more: Any) -> dict[str, Any]:
@@ -56,108 +57,108 @@
 @pytest.mark.parametrize("fresh", [True, False])
 @pytest.mark.parametrize("grace", [200_000, 250_000, 1_000_000, 3_000_000])
 @pytest.mark.parametrize("phase", range(6))
-def test_an_agent_that_comes_back_is_heard_within_the_grace(
-    fresh: bool, grace: int, phase: int
-) -> None:
-    """Whatever was asked of it last, by a process that has just started too."""
+def test_a_returning_agent_is_called_within_the_grace(fresh: bool, grace: int, phase: int) -> None:
+    """Whatever call it received last, also from a process that has just started."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with Agent(("a", "127.0.0.1:9")) as agent:
             if fresh:
                 agent.silent = True
             async with gate(
                 ("a", "127.0.0.1:9"), discovery=agent.addr, settings=rules(grace)
-            ) as it:
+            ) as gateway:
                 await asyncio.sleep(0.5)
                 agent.silent = True
-                # It comes back at any moment of a call and of the pause after it.
+                # It comes back at any moment of a call or of the delay after it.
                 await asyncio.sleep(4.0 + 0.31 * phase)
                 agent.drain("a", "127.0.0.1:9")
                 agent.silent = False
-                back = loop.time()
-                await eventually(lambda: _drained(it))
-                assert loop.time() - back < grace / 1e6
+                returned = loop.time()
+                await eventually(lambda: _drained(gateway))
+                assert loop.time() - returned < grace / 1e6
 
-    play(story())
+    play(scenario())
 
 
-@pytest.mark.parametrize("asked", [True, False])
+@pytest.mark.parametrize("shared", [True, False])
 @pytest.mark.parametrize("phase", range(6))
-def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told(
-    asked: bool, phase: int
+def test_a_silent_watch_is_reopened_before_missed_changes_count_as_notified(
+    shared: bool, phase: int
 ) -> None:
-    """Discovery is well, and only the watches that were open are broken."""
-    more = {"discovery": "subscribe"} if asked else {}
+    """Discovery works, but the watch calls that were open are never answered."""
+    more = {"discovery": "subscribe"} if shared else {}
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with (
-            Agent(("a", "127.0.0.1:9"), delay=1.5 if asked else 0.0) as agent,
-            gate(("a", "127.0.0.1:9"), discovery=agent.addr, settings=rules(250_000, **more)) as it,
+            Agent(("a", "127.0.0.1:9"), delay=1.5 if shared else 0.0) as agent,
+            gate(
+                ("a", "127.0.0.1:9"), discovery=agent.addr, settings=rules(250_000, **more)
+            ) as gateway,
         ):
-            await eventually(it.discovery.settled.is_set)
+            await eventually(gateway.discovery.settled.is_set)
             await asyncio.sleep(4.0 + 0.4 * phase)
-            agent.breaks += 1  # those that are open now never get an answer
+            agent.breaks += 1  # calls that are open now are never answered
             agent.drain("a", "127.0.0.1:9")
-            fell = loop.time()
-            await eventually(lambda: _drained(it))
-            assert loop.time() - fell < NOTIFY_WITHIN
+            fell_silent = loop.time()
+            await eventually(lambda: _drained(gateway))
+            assert loop.time() - fell_silent < NOTIFY_WITHIN
 
-    play(story())
+    play(scenario())
 
 
-FAILURES = ("refused", "lost", "reset", "turned away", "turned away late", "silent", "spoilt")
-CONNECTING = 0.45  # s until a connection to discovery comes up
-ANSWERING = 1.65  # s that it takes for a whole list
+FAILURES = ("refused", "lost", "reset", "rejected", "rejected late", "silent", "malformed")
+CONNECT_TIME = 0.45  # s until a connection to discovery is established
+RESPONSE_TIME = 1.65  # s that discovery takes for the full list
 
 
-class Shared(Agent):
-    """One discovery for all gateways, which fails in one way after the other while it is down."""
+class SharedDiscovery(Agent):
+    """Discovery shared by all gateways; while it is down, it cycles through kinds of failures."""
 
     def __init__(self, *hosts: tuple[str, str]) -> None:
-        super().__init__(*hosts, delay=ANSWERING)
+        super().__init__(*hosts, delay=RESPONSE_TIME)
         self.failures: Iterator[str] | None = None
-        self.failure = ""  # of the call that is being made
+        self.failure = ""  # of the current call
 
     def fail(self, failures: Iterator[str]) -> None:
-        """It goes down: watches end."""
+        """Go down: open watch connections are reset."""
         self.failures = failures
         for writer in self.writers:
             writer.transport.abort()
 
     def come_back(self) -> None:
-        """A call that is out gets no answer any more."""
+        """Come back; calls that are open are never answered."""
         self.failures = None
         self.breaks += 1
 
     async def connect(self) -> None:
-        """A connection to it is being opened."""
+        """Delay or fail a connect, as the current failure requires."""
         self.failure = next(self.failures) if self.failures is not None else ""
         if self.failure == "refused":
             raise ConnectionRefusedError
         if self.failure == "lost":
             await asyncio.Event().wait()
-        await asyncio.sleep(CONNECTING)
+        await asyncio.sleep(CONNECT_TIME)
 
     async def reply(self, message: bytes, writer: Writer) -> None:
         failure = self.failure if self.failures is not None else ""
         if failure == "reset":
             writer.transport.abort()
-        elif failure.startswith("turned away"):
-            await asyncio.sleep(ANSWERING if "late" in failure else 0.0)
+        elif failure.startswith("rejected"):
+            await asyncio.sleep(RESPONSE_TIME if "late" in failure else 0.0)
             writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         elif failure == "silent":
             await asyncio.Event().wait()
-        elif failure == "spoilt":
+        elif failure == "malformed":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
         else:
             await super().reply(message, writer)
 
 
 @contextlib.contextmanager
-def connecting(shared: Shared) -> Iterator[None]:
-    """Connections to discovery come up when it says so, those to hosts at once."""
+def delayed_connects(shared: SharedDiscovery) -> Iterator[None]:
+    """Delay connects to discovery as `shared` requires, but not those to hosts."""
     loop = asyncio.get_running_loop()
     connect = loop.create_connection
 
@@ -172,98 +173,98 @@
 
 @pytest.mark.parametrize(
     ("gateways", "failures"),
-    [*((200, (one,)) for one in FAILURES), (5, FAILURES), (200, FAILURES)],
+    [*((200, (failure,)) for failure in FAILURES), (5, FAILURES), (200, FAILURES)],
 )
 @pytest.mark.parametrize("phase", range(3))
-def test_a_shared_discovery_that_comes_back_is_heard_before_its_news_counts_as_told(
+def test_a_returning_shared_discovery_is_called_before_changes_count_as_notified(
     gateways: int, failures: tuple[str, ...], phase: int
 ) -> None:
-    """Whatever failed before: connecting, the calls and their pauses are as long as they may be."""
+    """Whatever failed before. Connects, calls and delays are as long as is allowed."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         settings = rules(250_000, discovery="subscribe") | {"balancers": gateways}
-        async with Shared(("a", "127.0.0.1:9")) as shared:
-            with connecting(shared):
+        async with SharedDiscovery(("a", "127.0.0.1:9")) as shared:
+            with delayed_connects(shared):
                 async with gate(
                     ("a", "127.0.0.1:9"), discovery=shared.addr, settings=settings
-                ) as it:
-                    await eventually(lambda: it.discovery.version == 1)
+                ) as gateway:
+                    await eventually(lambda: gateway.discovery.version == 1)
                     shared.fail(itertools.cycle(failures))
                     await asyncio.sleep(12.0 + 0.83 * phase)
                     shared.drain("a", "127.0.0.1:9")
                     shared.come_back()
-                    back = loop.time()
-                    await eventually(lambda: _drained(it))
-                    assert loop.time() - back < NOTIFY_WITHIN
+                    returned = loop.time()
+                    await eventually(lambda: _drained(gateway))
+                    assert loop.time() - returned < NOTIFY_WITHIN
 
-    play(story())
+    play(scenario())
 
 
-def test_a_new_process_asks_a_shared_discovery_before_old_news_counts_as_told() -> None:
-    """However long the settings let a fleet spread its first calls."""
+def test_a_new_process_asks_a_shared_discovery_before_old_changes_count_as_notified() -> None:
+    """However long the settings spread the first calls of a fleet."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         settings = rules(250_000, discovery="subscribe")
         settings["rules"]["askWithin"] = 600_000_000
-        async with Shared(("a", "127.0.0.1:9")) as shared:
+        async with SharedDiscovery(("a", "127.0.0.1:9")) as shared:
             shared.drain("a", "127.0.0.1:9")
-            with connecting(shared):
+            with delayed_connects(shared):
                 async with gate(
                     ("a", "127.0.0.1:9"), discovery=shared.addr, settings=settings
-                ) as it:
+                ) as gateway:
                     started = loop.time()
-                    await eventually(lambda: _drained(it))
+                    await eventually(lambda: _drained(gateway))
                     assert loop.time() - started < NOTIFY_WITHIN
 
-    play(story())
+    play(scenario())
 
 
 @pytest.mark.parametrize("phase", range(3))
 def test_a_drained_host_gets_nothing_new_once_a_shared_discovery_has_come_back(phase: int) -> None:
-    """Clients go on all the while, and the list names another host."""
+    """Requests keep coming meanwhile, and the list has another host."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         grace = 250_000
         sent: list[float] = []
 
-        async def note(message: bytes, writer: Writer) -> None:
+        async def record(message: bytes, writer: Writer) -> None:
             sent.append(loop.time())
             writer.write(answer(b"served"))
 
         settings = rules(grace, discovery="subscribe")
         async with contextlib.AsyncExitStack() as stack:
-            a = await stack.enter_async_context(Server(note))
+            a = await stack.enter_async_context(Server(record))
             b = await stack.enter_async_context(Server())
-            shared = await stack.enter_async_context(Shared(("a", a.addr), ("b", b.addr)))
-            stack.enter_context(connecting(shared))
-            it = await stack.enter_async_context(
+            shared = await stack.enter_async_context(SharedDiscovery(("a", a.addr), ("b", b.addr)))
+            stack.enter_context(delayed_connects(shared))
+            gateway = await stack.enter_async_context(
                 gate(("a", a.addr), ("b", b.addr), discovery=shared.addr, settings=settings)
             )
-            await eventually(lambda: it.discovery.version == 1)
+            await eventually(lambda: gateway.discovery.version == 1)
             shared.fail(itertools.repeat("lost"))
             await asyncio.sleep(12.0 + 1.1 * phase)
             shared.entries[0]["state"] = "leaving"
             shared.version += 1
             shared.come_back()
-            back = loop.time()
-            client = await it.client()
+            returned = loop.time()
+            client = await gateway.client()
             for number in range(90):
                 await client.ask(request(f"r{number}"))
                 await asyncio.sleep(0.1)
             assert sent
-            assert max(sent) - back < NOTIFY_WITHIN + grace / 1e6
+            assert max(sent) - returned < NOTIFY_WITHIN + grace / 1e6
             assert b.seen
 
-    play(story())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
     "raw",
     [
-        b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",  # and silence
+        b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",  # then nothing more
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\n{\r\n",
         answer(b'{"version": 9, "full": false, "servers": [{"id": "a", "state"'),
         answer(b'{"version": "9", "full": true, "servers": []}'),
@@ -273,80 +274,83 @@
     ],
     ids=["cut", "endless", "truncated", "version", "older", "older whole", "noise"],
 )
-def test_a_list_that_is_none_changes_nothing_and_the_whole_list_is_asked_for(raw: bytes) -> None:
-    async def story() -> None:
+def test_a_malformed_list_changes_nothing_and_the_whole_list_is_asked_for(raw: bytes) -> None:
+    async def scenario() -> None:
         async with (
             Registry(("a", "127.0.0.1:9"), version=5) as registry,
-            gate(("a", "127.0.0.1:9"), discovery=registry.addr) as it,
+            gate(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway,
         ):
-            await eventually(lambda: it.discovery.version == 5)
-            registry.raw = raw
-            await eventually(lambda: registry.raw is None)
+            await eventually(lambda: gateway.discovery.version == 5)
+            registry.raw_response = raw
+            await eventually(lambda: registry.raw_response is None)
             asked = len(registry.seen)
-            await eventually(lambda: it.core.counters.bad_lists > 0 and len(registry.seen) > asked)
+            await eventually(
+                lambda: gateway.core.counters.bad_lists > 0 and len(registry.seen) > asked
+            )
             assert b"after" not in registry.seen[asked]
-            assert list(it.pool.endpoints) == ["a"]
-            assert it.discovery.version == 5
+            assert list(gateway.pool.endpoints) == ["a"]
+            assert gateway.discovery.version == 5
 
-    play(story())
+    play(scenario())
 
 
-def test_an_indented_list_is_a_list() -> None:
-    async def story() -> None:
+def test_an_indented_list_is_accepted() -> None:
+    async def scenario() -> None:
         async with Registry(("a", "127.0.0.1:9")) as registry:
             registry.version, registry.entries = 7, [entry("b", "127.0.0.1:9")]
             text = {"version": 7, "full": True, "servers": registry.entries}
-            registry.raw = answer(json.dumps(text, indent=4).encode())
-            async with gate(("a", "127.0.0.1:9"), discovery=registry.addr) as it:
-                await eventually(lambda: list(it.pool.endpoints) == ["b"])
-                assert it.core.counters.bad_lists == 0
+            registry.raw_response = answer(json.dumps(text, indent=4).encode())
+            async with gate(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway:
+                await eventually(lambda: list(gateway.pool.endpoints) == ["b"])
+                assert gateway.core.counters.bad_lists == 0
 
-    play(story())
+    play(scenario())
 
 
-def test_new_settings_change_the_rhythm_and_who_says_when_to_ask() -> None:
-    async def story() -> None:
+def test_new_settings_change_the_call_times_and_the_kind_of_discovery() -> None:
+    async def scenario() -> None:
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(("a", host.addr), discovery=registry.addr) as it,
+            gate(("a", host.addr), discovery=registry.addr) as gateway,
         ):
-            await eventually(lambda: it.discovery.version == 1)
-            before = it.platform.config
+            await eventually(lambda: gateway.discovery.version == 1)
+            before = gateway.platform.config
             value = config_value(
                 registry.addr,
                 ("a", host.addr),
                 settings=rules(200_000) | {"discovery": "subscribe"},
             )
-            slow = it.discovery.times
-            it.platform.reconfigure(parse_config(value, {}))
-            assert it.discovery.is_shared
+            before_times = gateway.discovery.times
+            gateway.platform.reconfigure(parse_config(value, {}))
+            assert gateway.discovery.is_shared
             asked = len(registry.seen)
-            await eventually(lambda: len(registry.seen) > asked + 1)  # nobody had to say so
+            # The decision module need not schedule the first call.
+            await eventually(lambda: len(registry.seen) > asked + 1)
             value["settings"]["discovery"] = "automatic"
-            it.platform.reconfigure(parse_config(value, {}))
-            assert not it.discovery.is_shared
-            assert it.discovery.times.call < slow.call
+            gateway.platform.reconfigure(parse_config(value, {}))
+            assert not gateway.discovery.is_shared
+            assert gateway.discovery.times.call < before_times.call
             assert before.settings.rules.drain_grace > 200_000
 
-    play(story())
+    play(scenario())
 
 
-def test_zones_by_other_names_bring_the_whole_list_anew() -> None:
-    """What is listed was read by the old ones, and nothing has changed for discovery."""
+def test_new_zone_names_make_the_gateway_ask_for_the_whole_list() -> None:
+    """The list was parsed with the old names, and discovery has no changes to send."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with (
             Registry(("a", "127.0.0.1:9")) as registry,
-            gate(("a", "127.0.0.1:9"), discovery=registry.addr) as it,
+            gate(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway,
         ):
-            await eventually(lambda: it.discovery.version == 1)
-            assert it.pool.endpoints["a"].endpoint.zone == 0
+            await eventually(lambda: gateway.discovery.version == 1)
+            assert gateway.pool.endpoints["a"].endpoint.zone == 0
             value = config_value(registry.addr, settings={"zones": ["y", "z"]})
             value["settings"]["dcs"] = ["y", "z"]
             asked = len(registry.seen)
-            it.platform.reconfigure(parse_config(value, {}))
-            await eventually(lambda: it.pool.endpoints["a"].endpoint.zone == 1)
+            gateway.platform.reconfigure(parse_config(value, {}))
+            await eventually(lambda: gateway.pool.endpoints["a"].endpoint.zone == 1)
             assert any(b"after" not in one for one in registry.seen[asked:])
 
-    play(story())
+    play(scenario())
