--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,4 +1,4 @@
-"""Ways to hold a moment open, so that a test decides what crosses what."""
+"""Aids to delay connects and disconnects, so that a test controls the order of events."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from sailhitch.net.downstream import Downstream
 from tests.sockets import PATIENCE, Client, Gate, Server, gate, until
 
-# No time-out of ours decides a race that a test holds open.
+# Long enough that no connect timeout ends an attempt that a test delays.
 PATIENT: dict[str, Any] = {"limits": {"connectTimeout": 20_000_000}}
 
 
-class Held:
-    """What waits at a door of the loop, and the key to it."""
+class Barrier:
+    """Counts the tasks that wait for it, and lets them continue once `go` is set."""
 
     def __init__(self) -> None:
         self.waiting = 0
@@ -31,43 +31,43 @@
 
 
 @contextlib.asynccontextmanager
-async def held_connects(to: str) -> AsyncIterator[Held]:
-    """Connections to an address come up when the test says so."""
+async def held_connects(to: str) -> AsyncIterator[Barrier]:
+    """Delay connects to an address until the test releases the barrier."""
     loop: Any = asyncio.get_running_loop()
-    connect, held = loop.sock_connect, Held()
+    connect, barrier = loop.sock_connect, Barrier()
     host, _, port = to.rpartition(":")
 
     async def wait(sock: Any, addr: Any) -> None:
         if addr == (host, int(port)):
-            await held.wait()
+            await barrier.wait()
         await connect(sock, addr)
 
     loop.sock_connect = wait
     try:
-        yield held
+        yield barrier
     finally:
-        held.go.set()
+        barrier.go.set()
         loop.sock_connect = connect
 
 
 @contextlib.asynccontextmanager
-async def waiting_gate() -> AsyncIterator[tuple[Server, Gate, Held]]:
-    """A gateway with one host, whose connections come up when the test says so."""
+async def waiting_gate() -> AsyncIterator[tuple[Server, Gate, Barrier]]:
+    """Run a gateway with one host; connects to it wait until the test releases the barrier."""
     async with (
         Server() as host,
-        gate(("a", host.addr), settings=PATIENT) as it,
-        held_connects(host.addr) as held,
+        gate(("a", host.addr), settings=PATIENT) as gateway,
+        held_connects(host.addr) as barrier,
     ):
-        yield host, it, held
+        yield host, gateway, barrier
 
 
 def reset_at_close(sock: Any) -> None:
-    """Closing it resets the connection."""
+    """Have close(2) reset the connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 def leave(client: Client, how: str) -> None:
-    """A client closes its connection: in the ordinary way, with a reset, or with more behind."""
+    """Close a client connection: orderly, with a reset, or right after sending more bytes."""
     sock = client.writer.get_extra_info("socket")
     if how == "reset":
         reset_at_close(sock)
@@ -76,16 +76,16 @@
     client.writer.transport.abort()
 
 
-def unread(it: Gate) -> Downstream:
-    """A client's connection that the loop has no time to read."""
-    (conn,) = it.clients()
+def unread(gateway: Gate) -> Downstream:
+    """Pause reading the only client connection, as if the loop were busy; return it."""
+    (conn,) = gateway.clients()
     assert conn.transport is not None
     conn.transport.pause_reading()
     return conn
 
 
 async def ended(conn: Downstream) -> None:
-    """The end of a client's connection has come, whoever has read it."""
-    look = select.poll()
-    look.register(conn.sock, select.POLLRDHUP)
-    await until(lambda: bool(look.poll(0)))
+    """Wait until the client's close has reached the socket, read or not."""
+    poll = select.poll()
+    poll.register(conn.sock, select.POLLRDHUP)
+    await until(lambda: bool(poll.poll(0)))
--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a while, as the manual pages of Linux document, and then succeed."""
+"""System calls that fail for a while, with errors from the Linux manual pages, then succeed."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from typing import Any
 
 
-def os_error(number: int) -> OSError:
+def os_error(error_number: int) -> OSError:
     """Return the error that Python raises for an errno."""
-    return OSError(number, os.strerror(number))
+    return OSError(error_number, os.strerror(error_number))
 
 
 class FailingCall:
-    """Stands in for a call: fails by a script, entry by entry, and then always goes on to it.
+    """Replaces a callable: each call uses up an entry of the script, later ones succeed.
 
-    An entry of the script is an errno, or 0 for a call that succeeds.
+    An entry is the errno that the call fails with, or 0 to pass it on to the original callable.
     """
 
     def __init__(self, original: Callable[..., Any], script: Iterable[int]) -> None:
@@ -24,15 +24,15 @@
 
     def __call__(self, *args: Any, **more: Any) -> Any:
         self.calls += 1
-        number = self.script.pop(0) if self.script else 0
-        if number:
+        error_number = self.script.pop(0) if self.script else 0
+        if error_number:
             self.failures += 1
-            raise os_error(number)
+            raise os_error(error_number)
         return self.original(*args, **more)
 
 
-class ModuleWith:
-    """A module as its importer sees it, with one of its names replaced."""
+class ModuleProxy:
+    """Wraps a module and replaces one of its names."""
 
     def __init__(self, module: Any, name: str, value: Any) -> None:
         self._module, self._name, self._value = module, name, value
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,4 +1,4 @@
-"""The first and the last moments of a process: signals at the wrong instant, and what is owed."""
+"""Start and shutdown of a process: early and late signals, and responses that are due."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from tests.sockets import PATIENCE, Registry, Server, Writer, config_value, gate, request
 from tests.virtual import eventually, play
 
-# The real program, with a signal to itself before it has a loop.
-EARLY = """
+# The real program, which sends itself a signal before its event loop exists.
+EARLY_SIGNAL = """
 import os, signal, sys
 import sailhitch.__main__ as program
 load = program.load_config
-def first(env):
+def load_and_signal(env):
     config = load(env)
-    os.kill(os.getpid(), signal.SIGNAL)  # it has read its file, and has no loop yet
+    os.kill(os.getpid(), signal.SIGNAL)  # the file is read, the loop does not exist yet
     return config
-program.load_config = first
+program.load_config = load_and_signal
 sys.exit(program.main([]))
 """
 
 
-async def _run(text: str, name: str, path: Path, stop_at: bytes | None) -> tuple[int | None, bytes]:
+async def _run(code: str, name: str, path: Path, stop_at: bytes | None) -> tuple[int | None, bytes]:
     async with Server() as host, Registry(("a", host.addr)) as registry:
         addr = f"127.0.0.1:{free_port()}"
         path.write_text(json.dumps(config_value(registry.addr, ("a", host.addr))))
@@ -43,29 +43,29 @@
             sys.executable,
             "-B",
             "-c",
-            text.replace("SIGNAL", name),
+            code.replace("SIGNAL", name),
             env=env,
             stderr=asyncio.subprocess.PIPE,
         )
         assert program.stderr is not None
-        said = b""
+        output = b""
         try:
             async with asyncio.timeout(PATIENCE):
                 while line := await program.stderr.readline():
-                    said += line
+                    output += line
                     if stop_at is not None and stop_at in line:
                         program.send_signal(signal.SIGTERM)
                 await program.wait()
         finally:
             if program.returncode is None:
                 program.kill()
-        return program.returncode, said
+        return program.returncode, output
 
 
-def _storm(path: Path, number: signal.Signals) -> int | None:
-    """The real program's end, with signals on it from its last line up to its last moment."""
-    host = free_port()
-    path.write_text(json.dumps(config_value(f"127.0.0.1:{host}")))
+def _run_under_signals(path: Path, signal_number: signal.Signals) -> int | None:
+    """Stop the real program, and send signals from its last log line until it has ended."""
+    port = free_port()
+    path.write_text(json.dumps(config_value(f"127.0.0.1:{port}")))
     env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
     env |= {"EDGE_CONFIG": str(path), "EDGE_NAME": "n0", "EDGE_LISTEN": f"127.0.0.1:{free_port()}"}
     with subprocess.Popen(
@@ -77,34 +77,36 @@
                 program.terminate()
             if b"drained" in line:
                 break
-        until = time.monotonic() + PATIENCE
-        while program.poll() is None and time.monotonic() < until:
-            program.send_signal(number)
+        deadline = time.monotonic() + PATIENCE
+        while program.poll() is None and time.monotonic() < deadline:
+            program.send_signal(signal_number)
         program.kill()
         return program.returncode
 
 
 @pytest.mark.parametrize("name", ["SIGHUP", "SIGTERM"])
-def test_a_signal_to_a_process_that_is_over_does_not_kill_it(name: str, tmp_path: Path) -> None:
-    """Not even when the interpreter has given its handlers back."""
-    assert _storm(tmp_path / "config.json", signal.Signals[name]) == 0
+def test_a_signal_to_an_ending_process_does_not_kill_it(name: str, tmp_path: Path) -> None:
+    """Also when the interpreter has removed its signal handlers already."""
+    assert _run_under_signals(tmp_path / "config.json", signal.Signals[name]) == 0
 
 
 @pytest.mark.parametrize("name", ["SIGTERM", "SIGINT"])
-def test_an_end_that_is_asked_for_before_the_loop_runs_is_a_drain(
+def test_a_termination_signal_before_the_loop_runs_starts_a_drain(
     name: str, tmp_path: Path
 ) -> None:
-    code, said = asyncio.run(_run(EARLY, name, tmp_path / "config.json", None))
-    assert code == 0, said
-    assert b"drained" in said
+    code, output = asyncio.run(_run(EARLY_SIGNAL, name, tmp_path / "config.json", None))
+    assert code == 0, output
+    assert b"drained" in output
 
 
-def test_a_new_file_that_is_told_before_the_loop_runs_is_read(tmp_path: Path) -> None:
-    code, said = asyncio.run(_run(EARLY, "SIGHUP", tmp_path / "config.json", b"SIGHUP: new"))
-    assert code == 0, said
+def test_a_reload_signal_before_the_loop_runs_is_handled(tmp_path: Path) -> None:
+    code, output = asyncio.run(
+        _run(EARLY_SIGNAL, "SIGHUP", tmp_path / "config.json", b"SIGHUP: new")
+    )
+    assert code == 0, output
 
 
-LONG = {
+LONG_DEADLINES = {
     "classes": [
         {
             "name": name,
@@ -120,10 +122,8 @@
 
 @pytest.mark.parametrize("sent", [True, False])
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_what_was_taken_before_the_end_is_answered_before_it(
-    sent: bool, body: bytes | None
-) -> None:
-    """With more time than the process has: at a host that hangs, or held for want of one."""
+def test_open_requests_are_answered_before_the_process_ends(sent: bool, body: bytes | None) -> None:
+    """Their deadlines exceed the drain time; they are at a silent host, or wait for one."""
 
     async def hang(message: bytes, writer: Writer) -> None:
         await asyncio.Event().wait()
@@ -132,43 +132,45 @@
         loop = asyncio.get_running_loop()
         async with Server(hang) as host:
             hosts = [("a", host.addr)] if sent else []
-            async with gate(*hosts, settings=LONG) as it:
-                client = await it.client()
+            async with gate(*hosts, settings=LONG_DEADLINES) as gateway:
+                client = await gateway.client()
                 client.send(request("r1", body, wait_ms=10_000))
-                await eventually(lambda: len(it.core.open_requests) == 1 and len(host.seen) == sent)
-                begun = loop.time()
-                ending = asyncio.create_task(drain(it.core, lambda: None))
+                await eventually(
+                    lambda: len(gateway.core.open_requests) == 1 and len(host.seen) == sent
+                )
+                started = loop.time()
+                ending = asyncio.create_task(drain(gateway.core, lambda: None))
                 status, _ = await client.answer()
                 assert status == (503 if not sent else 504 if body else status)
-                assert loop.time() - begun < 3.7  # SIGKILL comes no sooner (PROTOCOL)
+                assert loop.time() - started < 3.7  # SIGKILL comes no sooner (PROTOCOL)
                 await ending
-                assert loop.time() - begun < 3.7
-                assert not it.core.open_requests
+                assert loop.time() - started < 3.7
+                assert not gateway.core.open_requests
 
     play(story())
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_settings_that_come_while_it_drains_do_not_move_its_end(body: bytes | None) -> None:
-    """They allow more time, and requests that come by them are answered before SIGKILL too."""
+def test_new_settings_during_a_drain_do_not_postpone_its_end(body: bytes | None) -> None:
+    """They allow longer deadlines; requests under them are answered before SIGKILL, too."""
 
     async def hang(message: bytes, writer: Writer) -> None:
         await asyncio.Event().wait()
 
     async def story() -> None:
         loop = asyncio.get_running_loop()
-        async with Server(hang) as host, gate(("a", host.addr)) as it:
-            client = await it.client()
-            await eventually(lambda: len(it.core.clients) == 1)
-            begun, end = loop.time(), it.core.last_response_after()
-            ending = asyncio.create_task(drain(it.core, lambda: None))
+        async with Server(hang) as host, gate(("a", host.addr)) as gateway:
+            client = await gateway.client()
+            await eventually(lambda: len(gateway.core.clients) == 1)
+            started, end = loop.time(), gateway.core.last_response_after()
+            ending = asyncio.create_task(drain(gateway.core, lambda: None))
             await asyncio.sleep(0.1)
-            value = config_value("127.0.0.1:9", ("a", host.addr), settings=LONG)
-            it.platform.reconfigure(parse_config(value, {}))
-            assert it.core.last_response_after() >= end
+            value = config_value("127.0.0.1:9", ("a", host.addr), settings=LONG_DEADLINES)
+            gateway.platform.reconfigure(parse_config(value, {}))
+            assert gateway.core.last_response_after() >= end
             client.send(request("r1", body, wait_ms=10_000))
             assert (await client.answer())[0] in (503, 504)
             await ending
-            assert loop.time() - begun <= end / 1e6 + 0.1
+            assert loop.time() - started <= end / 1e6 + 0.1
 
     play(story())
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -1,4 +1,4 @@
-"""Many gateways that start, or fail, together."""
+"""Retry delays of many gateways that start or fail at the same time."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 
 @given(st.integers(8, 48), st.integers(0, 1 << 60))
 def test_callers_that_fail_together_do_not_come_back_together(callers: int, seed: int) -> None:
-    herd = [Backoff(BACKOFF_MIN, BACKOFF_MAX, seed + i) for i in range(callers)]
+    all_callers = [Backoff(BACKOFF_MIN, BACKOFF_MAX, seed + i) for i in range(callers)]
     times = []
-    for one in herd:
-        one.limit(callers, MAX_FAILING_CALLS)
+    for caller in all_callers:
+        caller.limit(callers, MAX_FAILING_CALLS)
         now = 0.0
         while now < 10.0:
-            now += one.pause()
+            now += caller.pause()
             times.append(now)
     later = [t for t in times if 2.0 <= t < 10.0]
     assert len(later) / 8.0 < 2.0 * MAX_FAILING_CALLS
     slots = [sum(1 for t in later if i <= t * 20 < i + 1) for i in range(40, 200)]
     assert max(slots) <= 4 * max(1.0, len(later) / len(slots)) + 4
-    for one in herd:
-        one.reset()
-        assert BACKOFF_MIN <= one.pause() <= 3 * BACKOFF_MIN
+    for caller in all_callers:
+        caller.reset()
+        assert BACKOFF_MIN <= caller.pause() <= 3 * BACKOFF_MIN
 
 
 @pytest.mark.parametrize("gateways", [1, 48, 200, 10_000])
 @pytest.mark.parametrize("grace", [200_000, 250_000, 800_000, 1_000_000, 5_000_000])
-def test_however_many_gateways_an_agent_that_is_back_is_heard_within_the_grace(
+def test_a_returning_agent_is_called_within_the_grace_with_any_number_of_gateways(
     gateways: int, grace: int
 ) -> None:
-    """A call sent right before it is back may hang to its end; then the pause; then it is asked."""
+    """Worst case: a call sent right before it is back times out, then the delay, then a call."""
     pauses: list[float] = []
     calls: list[float] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         rules = {"drainGrace": grace}
-        async with gate(settings={"balancers": gateways, "rules": rules}) as it:
-            discovery = it.discovery
+        async with gate(settings={"balancers": gateways, "rules": rules}) as gateway:
+            discovery = gateway.discovery
             calls.extend((discovery.times.call, discovery.times.snapshot_call))
 
-            async def hangs(address: Address) -> bool:
+            async def time_out(address: Address) -> bool:
                 raise TimeoutError
 
             async def pause(seconds: float) -> None:
@@ -58,13 +58,13 @@
                 if len(pauses) == 200:
                     raise asyncio.CancelledError
 
-            discovery._poll, discovery._pause = hangs, pause  # type: ignore[method-assign]
+            discovery._poll, discovery._pause = time_out, pause  # type: ignore[method-assign]
             with contextlib.suppress(asyncio.CancelledError):
                 await discovery.run()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert len(pauses) == 200
-    # A quarter is left for the next call, connecting for it and the CPU.
+    # A quarter is left for the next call, its connect and processing.
     assert max(calls) + max(pauses) < 0.75 * grace / 1e6
     assert min(pauses) >= min(BACKOFF_MIN, 0.15 * grace / 1e6)
 
@@ -72,11 +72,11 @@
 def test_a_start_while_discovery_turns_away_serves_at_once_by_the_known_list(
     tmp_path: Path,
 ) -> None:
-    async def turned_away(message: bytes, writer: Writer) -> None:
+    async def reject(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
-    async def play() -> None:
-        async with Server() as host, Server(turned_away) as registry:
+    async def scenario() -> None:
+        async with Server() as host, Server(reject) as registry:
             value = config_value(registry.addr, ("a", host.addr))
             async with process(tmp_path / "config.json", value) as (program, addr):
                 client = await dial(addr)
@@ -85,8 +85,8 @@
                 await asyncio.sleep(1.0)
                 assert len(registry.seen) - calls <= 1.0 / BACKOFF_MIN
                 assert program.returncode is None
-                # Once it is answered again, it is heard within the longest pause.
+                # Once discovery answers again, it is called within the longest delay.
                 registry.answerer = Registry(("a", host.addr)).reply
                 assert await client.ask(request("r2")) == (200, b"served")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
