--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from sailhitch.net.downstream import Downstream
-from tests.sockets import PATIENCE, Client, Gate, Server, gate, until
+from tests.sockets import PATIENCE, Client, RunningGateway, Server, running_gateway, until
 
 # Long enough that no connect timeout ends an attempt that a test delays.
 PATIENT: dict[str, Any] = {"limits": {"connectTimeout": 20_000_000}}
@@ -51,11 +51,11 @@
 
 
 @contextlib.asynccontextmanager
-async def waiting_gate() -> AsyncIterator[tuple[Server, Gate, Barrier]]:
+async def waiting_gate() -> AsyncIterator[tuple[Server, RunningGateway, Barrier]]:
     """Run a gateway with one host; connects to it wait until the test releases the barrier."""
     async with (
         Server() as host,
-        gate(("a", host.addr), settings=PATIENT) as gateway,
+        running_gateway(("a", host.addr), settings=PATIENT) as gateway,
         held_connects(host.addr) as barrier,
     ):
         yield host, gateway, barrier
@@ -76,7 +76,7 @@
     client.writer.transport.abort()
 
 
-def unread(gateway: Gate) -> Downstream:
+def unread(gateway: RunningGateway) -> Downstream:
     """Pause reading the only client connection, as if the loop were busy; return it."""
     (conn,) = gateway.clients()
     assert conn.transport is not None
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -210,7 +210,7 @@
     return Client(*await asyncio.open_connection(host, int(port)))
 
 
-class Gate:
+class RunningGateway:
     """A gateway that runs in this process and listens on loopback."""
 
     def __init__(self, platform: Platform, listener: Listener) -> None:
@@ -235,7 +235,9 @@
 
 
 @contextlib.asynccontextmanager
-async def gate(*hosts: tuple[str, str], discovery: str = "", **changes: Any) -> AsyncIterator[Gate]:
+async def running_gateway(
+    *hosts: tuple[str, str], discovery: str = "", **changes: Any
+) -> AsyncIterator[RunningGateway]:
     """Run a gateway that knows these hosts; it watches discovery if an address is given."""
     loop = asyncio.get_running_loop()
     value = config_value(discovery or "127.0.0.1:9", *hosts, **changes)
@@ -246,7 +248,7 @@
     listener.start()
     platform.core.ready = True
     try:
-        yield Gate(platform, listener)
+        yield RunningGateway(platform, listener)
     finally:
         if listener.sock.fileno() >= 0:
             listener.close()
@@ -255,7 +257,7 @@
             watch.cancel()
 
 
-async def fill(gateway: Gate, count: int) -> list[Client]:
+async def fill(gateway: RunningGateway, count: int) -> list[Client]:
     """Return `count` clients that have each sent a request."""
     clients = []
     for i in range(count):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -15,15 +15,26 @@
 from sailhitch.core.budget import Budget
 from sailhitch.core.process import finish
 from sailhitch.front import time_limits
-from tests.sockets import PATIENCE, Gate, Server, Writer, answer, fill, gate, plain, request, until
+from tests.sockets import (
+    PATIENCE,
+    RunningGateway,
+    Server,
+    Writer,
+    answer,
+    fill,
+    plain,
+    request,
+    running_gateway,
+    until,
+)
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: x1\r\nReq-Kind: side_effect-all\r\n"
 WAIT = b"Req-Deadline-Ms: 900\r\n"
 
 
-def play(act: Callable[[Gate, Server], Awaitable[None]], **changes: Any) -> None:
+def play(act: Callable[[RunningGateway, Server], Awaitable[None]], **changes: Any) -> None:
     async def run() -> None:
-        async with Server() as host, gate(("a", host.addr), **changes) as it:
+        async with Server() as host, running_gateway(("a", host.addr), **changes) as it:
             await act(it, host)
             # Whatever it was, the gateway goes on serving, and nothing is left behind.
             client = await it.client()
@@ -66,7 +77,7 @@
 
 @pytest.mark.parametrize("kind", list(BAD))
 def test_what_is_out_of_form_is_answered_with_an_error_and_never_sent_on(kind: str) -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(BAD[kind])
         got = await client.rest()
@@ -78,7 +89,7 @@
 
 
 def test_half_a_request_and_a_close_leaves_nothing_behind() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         for part in (request("x1")[:30], request("x2", b"b" * 5000)[:-2000]):
             client = await it.client()
             client.send(part)
@@ -95,7 +106,7 @@
     "part", [b"", b"\r\n", request("x1")[:30], request("x1", b"b" * 60_000)[:-10]]
 )
 def test_who_stands_still_is_ended_though_the_peer_does_nothing(part: bytes) -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(part)
         got = await client.rest()  # comes to its end only if the gateway ends it
@@ -117,7 +128,7 @@
 
 
 def test_a_client_that_trickles_does_not_win_time_with_each_byte() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
 
         async def trickle() -> None:
@@ -142,7 +153,7 @@
         writer.write(answer(b"mine"))
 
     async def run() -> None:
-        async with Server(slow) as host, gate(("a", host.addr)) as it:
+        async with Server(slow) as host, running_gateway(("a", host.addr)) as it:
             first = await it.client()
             first.send(request("same", b"body"))
             await until(lambda: len(host.seen) == 1)
@@ -163,7 +174,7 @@
         writer.write(answer(message.partition(b"Req-Id: ")[2].partition(b"\r\n")[0]))
 
     async def run() -> None:
-        async with Server(echo) as host, gate(("a", host.addr)) as it:
+        async with Server(echo) as host, running_gateway(("a", host.addr)) as it:
             client = await it.client()
             client.send(b"".join(request(f"p{i}") for i in range(4)))
             for i in range(4):
@@ -182,7 +193,7 @@
         writer.write(answer(b"served"))
 
     async def run() -> None:
-        async with Server(wait) as host, gate(("a", host.addr)) as it:
+        async with Server(wait) as host, running_gateway(("a", host.addr)) as it:
             client = await it.client()
             client.send(request("r1") + request("r2", b"pay") + request("r3"))
             await asked.wait()
@@ -204,7 +215,7 @@
         await asyncio.sleep(PATIENCE)
 
     async def run() -> None:
-        async with Server(silent) as host, gate(("a", host.addr)) as it:
+        async with Server(silent) as host, running_gateway(("a", host.addr)) as it:
             client = await it.client()
             client.send(request("first", b"body"))
             await until(lambda: len(host.seen) == 1)
@@ -218,7 +229,7 @@
 
 
 def test_bodies_beyond_the_budget_are_refused_not_held() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         it.core.budget.limit = 100_000
         clients = [await it.client() for _ in range(4)]
         for i, client in enumerate(clients):
@@ -237,7 +248,7 @@
 
 
 def test_a_wish_for_another_protocol_is_no_reason_to_hang() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         for i, more in enumerate((b"", b"Connection: Upgrade, HTTP2-Settings\r\n")):
             client = await it.client()
             fields = more + b"Upgrade: h2c\r\nHTTP2-Settings: AAMAAABkAAQ\r\n"
@@ -247,7 +258,7 @@
 
 
 def test_a_field_named_by_connection_does_not_take_the_id_away() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         fields = b"Connection: keep-alive, req-id, idempotency-key\r\n"
         assert (await client.ask(request("kept", fields=fields)))[0] == 200
@@ -257,7 +268,7 @@
 
 
 def test_a_crowd_that_says_nothing_keeps_nobody_out() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         old = await it.client()
         assert await old.ask(request("before")) == (200, b"served")
         crowd = [await it.client() for _ in range(300)]
@@ -272,7 +283,7 @@
 
 
 def test_a_connection_whose_next_request_is_here_unread_is_not_closed_as_idle() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         sock = plain(it.addr)
         with sock:
             await until(lambda: len(it.core.clients) == 1)
@@ -289,7 +300,7 @@
 
 
 def test_a_crowd_never_holds_more_descriptors_than_there_are() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         most, limit = 0, it.platform.config.descriptors
         address = it.addr.rpartition(":")[0], int(it.addr.rpartition(":")[2])
         base = len(os.listdir("/proc/self/fd"))
@@ -315,7 +326,10 @@
         await asyncio.sleep(PATIENCE)
 
     async def run() -> None:
-        async with Server(silent) as host, gate(("a", host.addr), limits={"sockets": 64}) as it:
+        async with (
+            Server(silent) as host,
+            running_gateway(("a", host.addr), limits={"sockets": 64}) as it,
+        ):
             _held = await fill(it, 80)
             await until(lambda: it.core.counters.crowded > 0)
             held = len(it.core.clients) + len(it.core.arriving) + it.hosts.size()
@@ -330,7 +344,10 @@
 def test_who_waits_as_the_listener_closes_is_answered_without_a_descriptor_to_spare() -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        async with Server() as host, gate(("a", host.addr), limits={"sockets": 64}) as it:
+        async with (
+            Server() as host,
+            running_gateway(("a", host.addr), limits={"sockets": 64}) as it,
+        ):
             with contextlib.ExitStack() as stack:
                 crowd = []
                 for i in range(80):  # the loop has no turn to take anybody in
@@ -352,7 +369,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: \t 6 \t\r\n\r\nserved")
 
     async def run() -> None:
-        async with Server(blank) as host, gate(("a", host.addr)) as it:
+        async with Server(blank) as host, running_gateway(("a", host.addr)) as it:
             client = await it.client()
             plain = request("b1", b"effect", fields=b"Transfer-Encoding: \t chunked\r\n")
             head, _, body = plain.partition(b"\r\n\r\n")
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -16,20 +16,30 @@
 from sailhitch.core.endpoints import EndpointUpdate
 from sailhitch.net import connection_pool
 from tests.crossings import PATIENT, ended, leave, reset_at_close, unread, waiting_gate
-from tests.sockets import Client, Gate, Server, Writer, answer, gate, plain, request, until
+from tests.sockets import (
+    Client,
+    RunningGateway,
+    Server,
+    Writer,
+    answer,
+    plain,
+    request,
+    running_gateway,
+    until,
+)
 
 HOW = ("end", "reset", "bytes before")
 pytestmark = pytest.mark.parametrize("how", HOW)
 
 
-async def gone(it: Gate, client: Client, how: str) -> None:
+async def gone(it: RunningGateway, client: Client, how: str) -> None:
     """Its connection ends, and the loop has read nothing of that."""
     conn = unread(it)
     leave(client, how)
     await ended(conn)
 
 
-async def later_one(it: Gate) -> None:
+async def later_one(it: RunningGateway) -> None:
     """Another client's request is served."""
     client = await it.client()
     assert await client.ask(request("later")) == (200, b"served")
@@ -43,7 +53,7 @@
 @pytest.mark.parametrize("body", [None, b"pay"])
 def test_held_for_a_host(how: str, body: bytes | None) -> None:
     async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
+        async with Server() as host, running_gateway(("a", host.addr)) as it:
             known = it.pool.endpoints["a"]
             it.pool.on_endpoint_update(EndpointUpdate(1, True, (), 0, frozenset()))
             client = await it.client()
@@ -86,7 +96,7 @@
     monkeypatch.setattr(connection_pool, "REUSE_DELAY", 300_000)
 
     async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
+        async with Server() as host, running_gateway(("a", host.addr)) as it:
             first = await it.client()
             assert await first.ask(request("r0")) == (200, b"served")
             first.writer.close()
@@ -123,7 +133,7 @@
         async with (
             Server(turn_away) as one,
             Server(turn_away) as two,
-            gate(("a", one.addr), ("b", two.addr)) as it,
+            running_gateway(("a", one.addr), ("b", two.addr)) as it,
         ):
             client = await it.client()
             client.send(request("r1", body))
@@ -151,7 +161,7 @@
         async with (
             Server(silent) as one,
             Server(silent) as two,
-            gate(("a", one.addr), ("b", two.addr)) as it,
+            running_gateway(("a", one.addr), ("b", two.addr)) as it,
         ):
             client = await it.client()
             client.send(request("r1"))
@@ -178,7 +188,7 @@
         writer.write(answer(b"served"))
 
     async def play() -> None:
-        async with Server(wait) as host, gate(("a", host.addr)) as it:
+        async with Server(wait) as host, running_gateway(("a", host.addr)) as it:
             client = await it.client()
             client.send(request("r1") + request("r2", b"pay"))
             await asked.wait()
@@ -232,7 +242,7 @@
         got: dict[Writer, bytes] = {}
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with server, gate(("a", addr), settings=PATIENT) as it:
+        async with server, running_gateway(("a", addr), settings=PATIENT) as it:
             client = await it.client()
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
@@ -268,7 +278,7 @@
         got: list[int] = []
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with server, gate(("a", addr), settings=PATIENT) as it:
+        async with server, running_gateway(("a", addr), settings=PATIENT) as it:
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             with plain(it.addr) as client:
                 client.setblocking(False)
@@ -290,7 +300,7 @@
     """The host reads slowly, and has not been given all of it."""
 
     async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
+        async with Server() as host, running_gateway(("a", host.addr)) as it:
             client = await it.client()
             assert await client.ask(request("r0")) == (200, b"served")
             (conn,) = it.hosts.connections
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -27,7 +27,7 @@
 from sailhitch.policy_interface import WatchEventKind
 from tests.fake import START, S, World, server
 from tests.generations import hosted, told
-from tests.sockets import Registry, Server, gate, until
+from tests.sockets import Registry, Server, running_gateway, until
 
 HOUR = 3600 * S
 COLD = 10 * S  # as tests/fake.py has it
@@ -120,7 +120,7 @@
             stepped = mock.Mock(side_effect=lambda: time.monotonic_ns() + back)
             discovery = json.loads(it.path.read_text())["discovery"]
             with mock.patch("time.time_ns", stepped):
-                async with gate(discovery=discovery) as other:
+                async with running_gateway(discovery=discovery) as other:
                     places = HandoverFiles(str(tmp_path), "n0")
                     second = Takeover(other.platform, other.listener, places)
                     await second.inherit()
@@ -142,7 +142,10 @@
             registry = Registry(("a", host.addr))
             registry.entries[0]["started_ms"] = 1
             changes = {"settings": {"discovery": "subscribe" if asked else "automatic"}}
-            async with registry, gate(("a", host.addr), discovery=registry.addr, **changes) as it:
+            async with (
+                registry,
+                running_gateway(("a", host.addr), discovery=registry.addr, **changes) as it,
+            ):
                 known = it.pool.policy.endpoint_table
                 await until(lambda: it.discovery.version == 1)
                 seen = len(registry.seen)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from sailhitch.adapter import _load
 from sailhitch.net.config import parse_load_report
 from sailhitch.policy_interface import LoadReport
-from tests.sockets import Server, Writer, answer, config_value, gate, request
+from tests.sockets import Server, Writer, answer, config_value, request, running_gateway
 
 
 def test_a_load_report_reaches_the_module_in_its_units() -> None:
@@ -22,7 +22,7 @@
         writer.write(answer(b"", b"Srv-Load: depth=1.5,concurrent=4,mean_ms=20\r\n"))
 
     async def scenario() -> None:
-        async with Server(reply_with_load) as host, gate(("a", host.addr)) as gateway:
+        async with Server(reply_with_load) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             assert (await client.ask(request("r1")))[0] == 200
             # The same report in the format of the simulator's wire.
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -8,7 +8,7 @@
 
 from tests.crossings import PATIENT, held_connects
 from tests.fake import BASE
-from tests.sockets import Server, Writer, answer, gate, request
+from tests.sockets import Server, Writer, answer, request, running_gateway
 from tests.virtual import eventually, play
 
 SHORT = PATIENT | {"classes": [one | {"memorySpan": 1_000_000} for one in BASE["classes"]]}
@@ -28,7 +28,7 @@
         writer.transport.abort()
 
     async def story() -> None:
-        async with Server(reset) as host, gate(("a", host.addr), settings=SHORT) as it:
+        async with Server(reset) as host, running_gateway(("a", host.addr), settings=SHORT) as it:
             client = await it.client()
             keyed = b"Idempotency-Key: k1\r\n"
             client.send(request("r1", b"pay", fields=keyed, kind=kind))
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -16,7 +16,7 @@
 from sailhitch.core.process import drain
 from sailhitch.lab.ports import free_port
 from sailhitch.net.config import parse_config
-from tests.sockets import PATIENCE, Registry, Server, Writer, config_value, gate, request
+from tests.sockets import PATIENCE, Registry, Server, Writer, config_value, request, running_gateway
 from tests.virtual import eventually, play
 
 # The real program, which sends itself a signal before its event loop exists.
@@ -132,7 +132,7 @@
         loop = asyncio.get_running_loop()
         async with Server(hang) as host:
             hosts = [("a", host.addr)] if sent else []
-            async with gate(*hosts, settings=LONG_DEADLINES) as gateway:
+            async with running_gateway(*hosts, settings=LONG_DEADLINES) as gateway:
                 client = await gateway.client()
                 client.send(request("r1", body, wait_ms=10_000))
                 await eventually(
@@ -159,7 +159,7 @@
 
     async def story() -> None:
         loop = asyncio.get_running_loop()
-        async with Server(hang) as host, gate(("a", host.addr)) as gateway:
+        async with Server(hang) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             await eventually(lambda: len(gateway.core.clients) == 1)
             started, end = loop.time(), gateway.core.last_response_after()
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -22,13 +22,13 @@
 from tests.sockets import (
     PATIENCE,
     Client,
-    Gate,
+    RunningGateway,
     Server,
     Writer,
     answer,
-    gate,
     read_message,
     request,
+    running_gateway,
     until,
 )
 
@@ -130,9 +130,11 @@
 # --- Over sockets
 
 
-def play(act: Callable[[Gate, Server], Awaitable[None]], host: Server, **changes: Any) -> None:
+def play(
+    act: Callable[[RunningGateway, Server], Awaitable[None]], host: Server, **changes: Any
+) -> None:
     async def run() -> None:
-        async with host, gate(("a", host.addr), **changes) as it:
+        async with host, running_gateway(("a", host.addr), **changes) as it:
             await act(it, host)
             await until(lambda: it.core.budget.reserved == it.core.budget.streamed == 0)
             assert it.core.counters.panics == it.core.counters.faults == 0
@@ -172,7 +174,7 @@
 @pytest.mark.parametrize("form", [b"length", b"chunked", b"close"])
 @pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, 3 * MB])
 def test_bodies_of_any_form_and_length_go_both_ways(form: bytes, size: int) -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         for i, step in enumerate((0, 7_001, 200_000)):
             plain = request(f"r{i}", BODY[:size], fields=b"X-Form: %s\r\n" % form)
@@ -185,7 +187,7 @@
 
 
 def test_an_old_client_gets_a_long_answer_of_unknown_length_up_to_the_end() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         asked = request("r", fields=b"X-Form: chunked\r\n").replace(b"HTTP/1.1", b"HTTP/1.0")
         client.send(asked)
@@ -201,7 +203,7 @@
 ) -> None:
     count, most = 12, 0
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         nonlocal most
 
         async def one(i: int) -> None:
@@ -243,7 +245,7 @@
             await writer.drain()
             writer.transport.close()
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(request("r", b"effect"))
         with pytest.raises((asyncio.IncompleteReadError, OSError)):
@@ -267,7 +269,7 @@
 ) -> None:
     """Its end is the connection's, and a reset is none. A client of HTTP/1.0 gets it as it came."""
 
-    gates: list[Gate] = []
+    gates: list[RunningGateway] = []
 
     async def breaks(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + BODY[:size])
@@ -275,7 +277,7 @@
         await until(lambda: any(conn.size >= size for conn in gates[0].hosts.connections))
         reset(writer)
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         gates.append(it)
         client = await it.client()
         asked = request("r", b"effect", fields=b"Connection: close\r\n")
@@ -304,7 +306,7 @@
 
     begun = asyncio.Event()
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(request("r", b"effect").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
         assert await client.reader.read(65536)
@@ -327,7 +329,7 @@
             writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
             self.seen.append(b"declined")
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         whole = request("r", BODY)
         client.send(whole[: 2 * MAX_BUFFERED_BODY])
@@ -367,7 +369,7 @@
 
 
 def test_a_client_that_goes_in_the_middle_of_its_body_leaves_nothing_behind() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         assert isinstance(host, Half)
         client = await it.client()
         client.send(request("r", BODY)[: 2 * MB])
@@ -383,7 +385,7 @@
 
 
 def test_a_body_whose_start_is_gone_is_refused_and_its_host_never_ran_it() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         assert isinstance(host, Half)
         host.breaks = True
         client = await it.client()
@@ -396,7 +398,10 @@
 
 def test_a_body_whose_start_is_held_goes_to_another_host() -> None:
     async def run() -> None:
-        async with Server(echo) as host, gate(("a", "127.0.0.1:9"), ("b", host.addr)) as it:
+        async with (
+            Server(echo) as host,
+            running_gateway(("a", "127.0.0.1:9"), ("b", host.addr)) as it,
+        ):
             for i in range(6):
                 client = await it.client()
                 client.send(request(f"r{i}", BODY))
@@ -411,7 +416,7 @@
 ) -> None:
     monkeypatch.setattr(response_writer, "READ_STALL", (500_000, 500_000))
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         silent, other = await it.client(), await it.client()
         silent.writer.transport.pause_reading()  # type: ignore[attr-defined]
         silent.send(request("s", BODY * 4))
@@ -430,7 +435,7 @@
             client.send(message[at : at + step])
             await asyncio.sleep(every)
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         slow, trickle, half = [await it.client() for _ in range(3)]
         tasks = [
             asyncio.create_task(
@@ -456,7 +461,7 @@
             await go.wait()
         await echo(message, writer)
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(request("first", b"one") + request("next", BODY) + request("last", b"end"))
         await until(lambda: bool(host.seen))
@@ -471,7 +476,7 @@
 
 
 def test_what_has_no_end_is_refused_on_both_sides() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         head = request("r", b"").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
         client.send(head)
@@ -489,7 +494,7 @@
 
 
 def test_a_client_that_goes_in_the_middle_of_its_answer_leaves_nothing_behind() -> None:
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(request("r", BODY * 4))
@@ -518,7 +523,7 @@
         await go.wait()
         writer.write(BODY[MB:])
 
-    async def act(it: Gate, host: Server) -> None:
+    async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(request("r"))
         async with asyncio.timeout(PATIENCE):
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -26,16 +26,16 @@
 from sailhitch.net.config import parse_config
 from tests.sockets import (
     PATIENCE,
-    Gate,
     Registry,
+    RunningGateway,
     Server,
     Writer,
     config_value,
     dial,
     fill,
-    gate,
     process,
     request,
+    running_gateway,
     until,
 )
 
@@ -55,7 +55,7 @@
 class Scene:
     """A gateway, a node, a front that keeps to its third of the descriptors, and a crowd."""
 
-    def __init__(self, it: Gate, node: Node, crowd: Crowd, sockets: int) -> None:
+    def __init__(self, it: RunningGateway, node: Node, crowd: Crowd, sockets: int) -> None:
         self.it, self.node, self.crowd = it, node, crowd
         self.front = Front(it.addr, sockets // 3, SAFE)
         self.honest = Tally()
@@ -78,7 +78,7 @@
     async def run() -> None:
         async with (
             Node(delay) as node,
-            gate(("a", node.addr), limits={"sockets": sockets}) as it,
+            running_gateway(("a", node.addr), limits={"sockets": sockets}) as it,
             Crowd(it.addr) as crowd,
         ):
             await act(Scene(it, node, crowd, sockets))
@@ -391,7 +391,7 @@
         raise ZeroDivisionError("a bug")
 
     async def run() -> None:
-        async with Server(silent) as host, gate(("a", host.addr)) as it:
+        async with Server(silent) as host, running_gateway(("a", host.addr)) as it:
             core = it.core
             client = await it.client()
             core.periodic.statistics_at = 0
@@ -418,7 +418,7 @@
         await asyncio.sleep(PATIENCE)
 
     async def run() -> None:
-        async with Server(silent) as host, gate(("a", host.addr)) as it:
+        async with Server(silent) as host, running_gateway(("a", host.addr)) as it:
             core = it.core
             first, second = await it.client(), await it.client()
             real, hit = core._check_timeouts, []
@@ -446,7 +446,7 @@
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(discovery=registry.addr) as it,
+            running_gateway(discovery=registry.addr) as it,
         ):
             real = it.pool.on_endpoint_update
             broken: list[Any] = []
@@ -529,7 +529,10 @@
         await asyncio.sleep(PATIENCE)
 
     async def run() -> None:
-        async with Server(silent) as host, gate(("a", host.addr), limits={"sockets": 64}) as it:
+        async with (
+            Server(silent) as host,
+            running_gateway(("a", host.addr), limits={"sockets": 64}) as it,
+        ):
             _held = await fill(it, 30)
             await until(lambda: it.core.counters.crowded > 0)
             last = await it.client()
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -13,7 +13,16 @@
 from sailhitch.core.endpoints import Address
 from sailhitch.net.backoff import Backoff
 from sailhitch.net.discovery_timing import BACKOFF_MAX, BACKOFF_MIN, MAX_FAILING_CALLS
-from tests.sockets import Registry, Server, Writer, config_value, dial, gate, process, request
+from tests.sockets import (
+    Registry,
+    Server,
+    Writer,
+    config_value,
+    dial,
+    process,
+    request,
+    running_gateway,
+)
 
 
 @given(st.integers(8, 48), st.integers(0, 1 << 60))
@@ -46,7 +55,7 @@
 
     async def scenario() -> None:
         rules = {"drainGrace": grace}
-        async with gate(settings={"balancers": gateways, "rules": rules}) as gateway:
+        async with running_gateway(settings={"balancers": gateways, "rules": rules}) as gateway:
             discovery = gateway.discovery
             calls.extend((discovery.times.call, discovery.times.snapshot_call))
 
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -12,14 +12,14 @@
 from tests import virtual
 from tests.crossings import waiting_gate
 from tests.sockets import (
-    Gate,
     Registry,
+    RunningGateway,
     Server,
     Writer,
     answer,
     entry,
-    gate,
     request,
+    running_gateway,
     until,
 )
 from tests.virtual import eventually
@@ -53,7 +53,7 @@
         writer.write(MALFORMED_RESPONSES[kind] if malformed[0] else answer(b"served"))
 
     async def scenario() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+        async with Server(reply) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             assert await client.ask(request("once", b"effect")) == (502, b"")
             assert len(host.seen) == 1  # it may have run, so it is not retried
@@ -84,7 +84,7 @@
         writer.write(answer(name, fields) + TRAILING_BYTES[kind])
 
     async def scenario() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+        async with Server(reply) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             for i in range(5):
                 response = await client.ask(request(f"r{i}", b"effect"))
@@ -108,7 +108,7 @@
     server = Server(reply)
 
     async def scenario() -> None:
-        async with server as host, gate(("a", host.addr)) as gateway:
+        async with server as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             assert await client.ask(request("r1", body)) == (200, b"first")
             assert await client.ask(request("r2", body)) == (200, b"second")
@@ -119,7 +119,7 @@
 
 def test_a_connection_is_reused_after_the_reuse_delay() -> None:
     async def scenario() -> None:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             for i in range(4):
                 assert await client.ask(request(f"r{i}")) == (200, b"served")
@@ -132,7 +132,7 @@
     """It was about to wait for a new connection, then for one in its reuse delay."""
 
     async def scenario() -> None:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             client, start = await gateway.client(), gateway.hosts.start
 
             def start_and_cancel(attempt: Attempt, now: int) -> None:
@@ -155,7 +155,7 @@
     """A request waits for it, and reaches its deadline meanwhile or not."""
 
     async def scenario() -> None:
-        async with Server() as old, Server() as new, gate(("a", old.addr)) as gateway:
+        async with Server() as old, Server() as new, running_gateway(("a", old.addr)) as gateway:
             client = await gateway.client()
             assert await client.ask(request("r1")) == (200, b"served")
             client.send(request("r2", wait_ms=3000 if in_time else 4))
@@ -181,7 +181,7 @@
         writer.write(answer(b"served"))
 
     async def scenario() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+        async with Server(reply) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             for i in range(3):
                 assert await client.ask(request(f"r{i}", b"effect")) == (200, b"served")
@@ -197,7 +197,7 @@
         writer.write(answer(message.partition(b"\r\n\r\n")[2] * 6))
 
     async def scenario() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+        async with Server(reply) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             for i in range(3):
                 assert await client.ask(request(f"big{i}", body)) == (200, body * 6)
@@ -213,7 +213,7 @@
         writer.close()
 
     async def scenario() -> None:
-        async with Server(reply) as host, gate(("a", host.addr)) as gateway:
+        async with Server(reply) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             assert (await client.ask(request("once", b"effect")))[0] == 502
 
@@ -225,7 +225,7 @@
         await asyncio.sleep(30)
 
     async def scenario() -> None:
-        async with Server(silent) as host, gate(("a", host.addr)) as gateway:
+        async with Server(silent) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             status, _ = await client.ask(request("once", b"effect", wait_ms=300))
             assert status in (502, 504)
@@ -263,7 +263,7 @@
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        async with Server(silent) as host, gate(("a", host.addr)) as gateway:
+        async with Server(silent) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             await eventually(lambda: len(gateway.core.clients) == 1)
             started = loop.time()
@@ -274,14 +274,14 @@
 
 
 def test_a_lack_of_descriptors_does_not_count_against_hosts() -> None:
-    async def act(gateway: Gate) -> None:
+    async def act(gateway: RunningGateway) -> None:
         gateway.core.free_descriptor = lambda: False  # type: ignore[method-assign]
         client = await gateway.client()
         assert (await client.ask(request("r1")))[0] == 503
         assert gateway.pool.policy.endpoint_table.servers["a"].ejected_until == 0
 
     async def scenario() -> None:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             await act(gateway)
 
     asyncio.run(scenario())
@@ -293,7 +293,7 @@
             hosts = [("old", host.addr), ("other", other.addr)]
             async with (
                 Registry(*hosts) as registry,
-                gate(*hosts, discovery=registry.addr) as gateway,
+                running_gateway(*hosts, discovery=registry.addr) as gateway,
             ):
                 client = await gateway.client()
                 for i in range(10):
@@ -332,7 +332,7 @@
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(("a", host.addr), discovery=registry.addr) as gateway,
+            running_gateway(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             await until(lambda: len(registry.seen) > 1)
             registry.raw_response = MALFORMED_LISTS[kind]
@@ -350,7 +350,7 @@
 
 def test_a_malformed_entry_does_not_remove_other_hosts() -> None:
     async def scenario() -> None:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             malformed = [
                 None,
                 {},
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -16,7 +16,7 @@
     parse_settings,
 )
 from tests.fake import S, settings_value
-from tests.sockets import Gate, Server, Writer, gate, request, until
+from tests.sockets import RunningGateway, Server, Writer, request, running_gateway, until
 
 CLASSES = {cls.idempotency: cls for cls in parse_settings(settings_value()).classes[:3]}
 NOW = 10 * S
@@ -79,9 +79,9 @@
     assert it.before_send(second, NOW, True, False) is Violation.REPEATED
 
 
-def play(story: Callable[[Gate, Server], object], host: Server) -> None:
+def play(story: Callable[[RunningGateway, Server], object], host: Server) -> None:
     async def run() -> None:
-        async with host, gate(("a", host.addr)) as it:
+        async with host, running_gateway(("a", host.addr)) as it:
             await story(it, host)  # type: ignore[misc]
 
     asyncio.run(run())
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("body", [None, b"pay"])
 def test_a_refusal_of_what_may_have_run_goes_out_as_a_failure(body: bytes | None) -> None:
-    async def story(it: Gate, host: Server) -> None:
+    async def story(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(request("q1", body))
         await until(lambda: bool(host.seen))
@@ -109,7 +109,7 @@
 
 
 def test_a_second_answer_is_not_given() -> None:
-    async def story(it: Gate, host: Server) -> None:
+    async def story(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(request("q1"))
         await until(lambda: bool(host.seen))
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("by_client", [True, False])
 def test_a_close_with_an_answer_owed_counts_where_it_is_this_sides(by_client: bool) -> None:
-    async def story(it: Gate, host: Server) -> None:
+    async def story(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(request("q1"))
         await until(lambda: bool(host.seen))
@@ -145,7 +145,7 @@
     async def busy(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 
-    async def story(it: Gate, host: Server) -> None:
+    async def story(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         assert (await client.ask(request("q1")))[0] == 503
         figures = it.pool.policy.counters
--- a/tests/test_leaving_hosts.py
+++ b/tests/test_leaving_hosts.py
@@ -15,7 +15,7 @@
 from sailhitch.core.core import PERIODIC_INTERVAL
 from sailhitch.core.timer_wheel import LATE
 from tests.crossings import PATIENT, held_connects
-from tests.sockets import Registry, Server, Writer, answer, entry, gate, request, until
+from tests.sockets import Registry, Server, Writer, answer, entry, request, running_gateway, until
 
 
 @pytest.mark.parametrize("state", ["leaving", "left", "missing"])
@@ -30,7 +30,9 @@
             registry = Registry(("a", leaving.addr))
             async with (
                 registry,
-                gate(("a", leaving.addr), discovery=registry.addr, settings=PATIENT) as it,
+                running_gateway(
+                    ("a", leaving.addr), discovery=registry.addr, settings=PATIENT
+                ) as it,
                 held_connects(leaving.addr) as held,
             ):
                 client = await it.client()
@@ -56,7 +58,7 @@
     """It would go out whenever the host reads again, whatever has been said of it by then."""
 
     async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
+        async with Server() as host, running_gateway(("a", host.addr)) as it:
             client = await it.client()
             assert await client.ask(request("r0")) == (200, b"served")
             (conn,) = it.hosts.connections
@@ -80,7 +82,7 @@
             registry = Registry(("a", one.addr))
             async with (
                 registry,
-                gate(("a", one.addr), discovery=registry.addr, settings=PATIENT) as it,
+                running_gateway(("a", one.addr), discovery=registry.addr, settings=PATIENT) as it,
                 held_connects(one.addr) as held,
             ):
                 client = await it.client()
@@ -131,7 +133,10 @@
     async def story() -> None:
         async with Server() as leaving, Server() as staying:
             registry = Held(("a", leaving.addr))
-            async with registry, gate(("a", leaving.addr), discovery=registry.addr) as it:
+            async with (
+                registry,
+                running_gateway(("a", leaving.addr), discovery=registry.addr) as it,
+            ):
                 client = await it.client()
                 assert await client.ask(request("r1")) == (200, b"served")
                 seen = len(registry.seen)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -13,7 +13,7 @@
     EndpointState,
     WatchEventKind,
 )
-from tests.sockets import Server, gate, request
+from tests.sockets import Server, request, running_gateway
 
 S = 1_000_000
 STEPS = st.lists(
@@ -82,7 +82,7 @@
         async with (
             Server() as first,
             Server() as second,
-            gate(("a", first.addr), ("b", second.addr)) as it,
+            running_gateway(("a", first.addr), ("b", second.addr)) as it,
         ):
             client = await it.client()
             it.pool.enter_maintenance("a")
--- a/tests/test_overlooked_ends.py
+++ b/tests/test_overlooked_ends.py
@@ -24,7 +24,16 @@
 from sailhitch.net import listener
 from tests.failing_calls import FailingCall
 from tests.generations import hosted, told
-from tests.sockets import PATIENCE, Registry, Server, Writer, config_value, gate, request, until
+from tests.sockets import (
+    PATIENCE,
+    Registry,
+    Server,
+    Writer,
+    config_value,
+    request,
+    running_gateway,
+    until,
+)
 
 # The real program, whose system has no descriptor or buffer for its first sockets.
 SHORT_START = """
@@ -103,7 +112,7 @@
 
     async def play() -> None:
         loop = asyncio.get_running_loop()
-        async with Server(long) as host, gate(("a", host.addr)) as it:
+        async with Server(long) as host, running_gateway(("a", host.addr)) as it:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             host_name, _, port = it.addr.rpartition(":")
@@ -147,7 +156,7 @@
             assert await first.out("a") == 200
             await told(first, "out for maintenance")
             value = json.loads(it.path.read_text())
-            async with gate(discovery=value["discovery"]) as other:
+            async with running_gateway(discovery=value["discovery"]) as other:
                 failing = FailingCall(link._socket, [number, number])
                 monkeypatch.setattr(link, "_socket", failing)
                 places = HandoverFiles(str(tmp_path), "n0")
--- a/tests/test_own_stalls.py
+++ b/tests/test_own_stalls.py
@@ -29,7 +29,16 @@
 from sailhitch.tier.config import TierConfig
 from sailhitch.tier.messages import Message, Ping
 from sailhitch.tier.wire import Keys, Wire
-from tests.sockets import Gate, Registry, Server, Writer, answer, gate, request, until
+from tests.sockets import (
+    Registry,
+    RunningGateway,
+    Server,
+    Writer,
+    answer,
+    request,
+    running_gateway,
+    until,
+)
 
 LOOPS: list[Callable[[], asyncio.AbstractEventLoop]] = [
     asyncio.new_event_loop,
@@ -68,7 +77,7 @@
         return runner.run(scenario())
 
 
-async def _ask_all(gateway: Gate, count: int, wait_ms: int = 10_000) -> Counter[int]:
+async def _ask_all(gateway: RunningGateway, count: int, wait_ms: int = 10_000) -> Counter[int]:
     clients = [await gateway.client() for _ in range(count)]
     for i, client in enumerate(clients):
         client.send(request(f"r{i}", wait_ms=wait_ms))
@@ -88,7 +97,7 @@
     """
 
     async def scenario() -> Outcome:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             responses = await _ask_all(gateway, count)
             return (
                 responses,
@@ -128,7 +137,7 @@
     """Guards against a deadline that is counted from a time before the stall."""
 
     async def scenario() -> tuple[Counter[int], int]:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             assert (await client.ask(request("before")))[0] == 200
             got: Counter[int] = Counter()
@@ -153,7 +162,7 @@
     """Its deadline is over when the stall ends, so it must not be sent to a host."""
 
     async def scenario() -> tuple[int, int]:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             name, port = gateway.addr.split(":")
             with socket.create_connection((name, int(port))) as early:
                 await until(lambda: len(gateway.core.clients) == 1)
@@ -183,7 +192,7 @@
             time.sleep(1.0)  # meanwhile the gateway reads none of this turn's answers
 
     async def scenario() -> tuple[Counter[int], int]:
-        async with Server(stall_every_200th) as host, gate(("a", host.addr)) as gateway:
+        async with Server(stall_every_200th) as host, running_gateway(("a", host.addr)) as gateway:
             clients = [await gateway.client() for _ in range(20)]
             got: Counter[int] = Counter()
             for turn in range(40):
@@ -207,7 +216,7 @@
         writer.write(answer(b"late"))
 
     async def scenario() -> tuple[Counter[int], int]:
-        async with Server(late) as host, gate(("a", host.addr)) as gateway:
+        async with Server(late) as host, running_gateway(("a", host.addr)) as gateway:
             return await _ask_all(gateway, 1, 300), gateway.pool.policy.counters["shuns"]
 
     for loop in LOOPS:
@@ -235,7 +244,7 @@
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(discovery=registry.addr) as gateway,
+            running_gateway(discovery=registry.addr) as gateway,
         ):
             await asyncio.wait_for(gateway.platform.discovery.settled.wait(), 5.0)
             return gateway.core.counters.bad_lists, "a" in gateway.hosts.hosts
@@ -303,7 +312,7 @@
     """Guards against requests that wait forever in a gateway that is isolated after a stall."""
 
     async def scenario() -> None:
-        async with gate(("a", "127.0.0.1:9")) as gateway:
+        async with running_gateway(("a", "127.0.0.1:9")) as gateway:
             addresses = {name: ("127.0.0.1", free_port(socket.SOCK_DGRAM)) for name in ("g1", "g2")}
             config = TierConfig("g1", ("g1", "g2"), tuple(addresses))
             keys = Keys(1, {1: b"k" * 32})
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -19,9 +19,9 @@
     config_value,
     dial,
     entry,
-    gate,
     process,
     request,
+    running_gateway,
     until,
 )
 
@@ -81,7 +81,7 @@
     async def scenario() -> None:
         async with Server() as host, Server(silent) as old, Registry(("b", host.addr)) as new:
             changes = {"discovery": "subscribe", "rules": {"askWithin": 1}}
-            async with gate(discovery=old.addr, settings=changes) as gateway:
+            async with running_gateway(discovery=old.addr, settings=changes) as gateway:
                 await until(lambda: bool(old.seen))
                 gateway.discovery.reconfigure(
                     replace(gateway.platform.config, discovery=_address(new.addr))
@@ -96,7 +96,7 @@
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(("a", host.addr), discovery=registry.addr) as gateway,
+            running_gateway(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             await until(lambda: len(registry.seen) > 1)
             registry.entries = [entry("a", host.addr, "leaving")]
@@ -113,7 +113,7 @@
     async def scenario() -> None:
         from sailhitch.net.config import parse_config
 
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             assert (await client.ask(request("r1", kind="new")))[0] == 400
             classes = [
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -23,7 +23,15 @@
     parse_settings,
 )
 from tests.fake import S, World, settings_value
-from tests.sockets import Server, Writer, config_value, gate, hosted_process, request, until
+from tests.sockets import (
+    Server,
+    Writer,
+    config_value,
+    hosted_process,
+    request,
+    running_gateway,
+    until,
+)
 
 TENANTS = [{"name": "a", "portion": 0.5, "quotaPerS": 5.0}]
 VALUE = config_value("127.0.0.1:9", ("a", "127.0.0.1:8"), settings={"tenants": TENANTS})
@@ -135,7 +143,7 @@
         writer.transport.abort()
 
     async def play() -> None:
-        async with Server(resets) as host, gate(("a", host.addr)) as it:
+        async with Server(resets) as host, running_gateway(("a", host.addr)) as it:
             safe, effect, half = [await it.client() for _ in range(3)]
             safe.send(request("safe"))
             effect.send(request("effect", b"b"))
@@ -172,7 +180,7 @@
 
 def test_the_old_form_of_a_class_is_taken_for_a_moment_and_held_to_the_stricter_effect() -> None:
     async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
+        async with Server() as host, running_gateway(("a", host.addr)) as it:
             _retune(it, Idempotency.UNSAFE, Idempotency.UNSAFE)
             client = await it.client()
             assert await client.ask(request("r1", b"", kind="pure-all")) == (200, b"served")
--- a/tests/test_system_failures.py
+++ b/tests/test_system_failures.py
@@ -18,14 +18,25 @@
 from sailhitch.net import connector
 from sailhitch.net.client_connection import HEAD
 from tests.failing_calls import FailingCall, ModuleProxy
-from tests.sockets import Client, Gate, Registry, Server, gate, plain, request, until
+from tests.sockets import (
+    Client,
+    Registry,
+    RunningGateway,
+    Server,
+    plain,
+    request,
+    running_gateway,
+    until,
+)
 
 QUEUED_CLIENTS = 20
 RESOURCE_ERRORS = (errno.ENFILE, errno.ENOBUFS)
 ROUTE_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH)
 
 
-def fail_accept(gateway: Gate, script: list[int], patch: pytest.MonkeyPatch) -> FailingCall:
+def fail_accept(
+    gateway: RunningGateway, script: list[int], patch: pytest.MonkeyPatch
+) -> FailingCall:
     """Have accepts of this gateway's listener fail by a script; others succeed."""
     accept = socket.socket.accept
     call = FailingCall(accept, script)
@@ -45,7 +56,7 @@
 
 
 def fail_connect(
-    gateway: Gate, host: Server, script: list[int], patch: pytest.MonkeyPatch
+    gateway: RunningGateway, host: Server, script: list[int], patch: pytest.MonkeyPatch
 ) -> FailingCall:
     """Have connects to this host fail by a script; others succeed."""
     connect = gateway.core.loop.sock_connect
@@ -59,14 +70,14 @@
     return call
 
 
-def closed_for_room(gateway: Gate) -> int:
+def closed_for_room(gateway: RunningGateway) -> int:
     """Return how many client connections were closed to free descriptors."""
     return gateway.core.admission.counters.closed[Reason.ROOM]
 
 
-def run_scenario(scenario: Callable[[Gate, Server], Any], **changes: Any) -> None:
+def run_scenario(scenario: Callable[[RunningGateway, Server], Any], **changes: Any) -> None:
     async def run() -> None:
-        async with Server() as host, gate(("a", host.addr), **changes) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr), **changes) as gateway:
             await scenario(gateway, host)
 
     asyncio.run(run())
@@ -81,7 +92,7 @@
     connections were closed for room ("seats=3/85 ... room=75"), one of them as its request came.
     """
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         before = gateway.core.admission.descriptors()
         fail_accept(gateway, [errno.ENFILE] * 10, monkeypatch)  # 50 ms each
         clients = [await gateway.client() for _ in range(QUEUED_CLIENTS)]
@@ -95,7 +106,7 @@
     run_scenario(scenario)
 
 
-async def queued_clients(gateway: Gate) -> list[Client]:
+async def queued_clients(gateway: RunningGateway) -> list[Client]:
     """Return clients that have sent a request and wait in the accept queue."""
     gateway.core.loop.remove_reader(gateway.listener.sock)
     clients = []
@@ -123,7 +134,7 @@
 def test_clients_queued_at_shutdown_are_answered_although_accepts_fail(
     number: int, failures: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         clients = await queued_clients(gateway)
         call = fail_accept(gateway, [0] + [number] * failures, monkeypatch)
         ending = asyncio.create_task(drain(gateway.core, gateway.listener.close))
@@ -140,7 +151,7 @@
 def test_a_listener_closes_although_accepts_keep_failing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         fail_accept(gateway, [errno.ENFILE] * 100_000, monkeypatch)
         gateway.listener.close()
         assert gateway.listener.sock.fileno() >= 0
@@ -155,7 +166,7 @@
 def test_accepts_that_fail_for_a_moment_close_nobody(
     number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         idle_clients = [await gateway.client() for _ in range(24)]
         for i, client in enumerate(idle_clients):
             assert (await client.ask(request(f"a{i}")))[0] == 200
@@ -172,7 +183,7 @@
     run_scenario(scenario)
 
 
-async def all_busy(gateway: Gate, count: int, kind: str) -> list[tuple[int, bytes]]:
+async def all_busy(gateway: RunningGateway, count: int, kind: str) -> list[tuple[int, bytes]]:
     """Have `count` clients send a request at once, before any host connection is open."""
     clients = [await gateway.client() for _ in range(count)]
     body = b"pay" if kind == "post" else None
@@ -186,7 +197,7 @@
 def test_sockets_that_fail_for_a_moment_cost_no_request_and_no_connection(
     number: int, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         most = gateway.core.admission.descriptors()
         call = fail_socket([number, 0, 0, number, 0, number, number, 0, number], monkeypatch)
         answers = await all_busy(gateway, 24, kind)
@@ -205,7 +216,7 @@
 def test_connects_that_fail_on_this_machine_are_not_held_against_hosts(
     number: int, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         call = fail_connect(gateway, host, [number, 0, number, number], monkeypatch)
         answers = await all_busy(gateway, 8, kind)
         assert {status for status, _ in answers} == {200}
@@ -228,7 +239,7 @@
         async with (
             Server() as host,
             Server() as other,
-            gate(("a", host.addr), ("b", other.addr)) as gateway,
+            running_gateway(("a", host.addr), ("b", other.addr)) as gateway,
         ):
             failing_connect = fail_connect(gateway, host, [number] * 100_000, monkeypatch)
             client = await gateway.client()
@@ -252,7 +263,7 @@
 ) -> None:
     """It is refused as soon as the failure counts as persistent, long before its deadline."""
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         fail_socket([errno.ENFILE] * 100_000, monkeypatch)
         client = await gateway.client()
         before = gateway.core.clock()
@@ -272,7 +283,7 @@
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(("a", host.addr), discovery=registry.addr) as gateway,
+            running_gateway(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             idle_clients = [await gateway.client() for _ in range(24)]
             for i, client in enumerate(idle_clients):
@@ -299,7 +310,7 @@
 ) -> None:
     """The process must not end between two tries to accept waiting clients."""
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         fail_accept(gateway, [errno.ENFILE] * 3, monkeypatch)
         gateway.listener.close()
         assert gateway.core.close_idle_clients()
@@ -321,7 +332,7 @@
     """Its deadline counts from when it was sent, although nobody has read it."""
     wait, slack, waited = 1000, 150, 400
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         call = fail_accept(gateway, [number] * 100_000, monkeypatch)
         client = await gateway.client()
         sent = gateway.core.clock()
@@ -344,7 +355,7 @@
     """Guards against counting all of a backlog as arrived when it began."""
     wait, waited = 500, 800
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         call = fail_accept(gateway, [errno.ENFILE] * 100_000, monkeypatch)
         since = gateway.core.clock()
         first = await gateway.client()
@@ -368,7 +379,7 @@
     """Part of its head had waited; its deadline counts from its last byte."""
     wait = 1000
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         call = fail_accept(gateway, [errno.ENFILE] * 100_000, monkeypatch)
         client = await gateway.client()
         since = gateway.core.clock()
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.crossings import PATIENT
-from tests.sockets import Client, Gate, Server, Writer, answer, gate, request
+from tests.sockets import Client, RunningGateway, Server, Writer, answer, request, running_gateway
 from tests.virtual import play
 
 DEADLINE = re.compile(rb"Req-Deadline-Ms: (\d+)")
@@ -52,7 +52,7 @@
         async with (
             Host(0.4, busy=1) as one,
             Host(0.4, busy=1) as two,
-            gate(("a", one.addr), ("b", two.addr)) as it,
+            running_gateway(("a", one.addr), ("b", two.addr)) as it,
         ):
             client = await it.client()
             asked = asyncio.get_running_loop().time()
@@ -71,7 +71,7 @@
             await asyncio.sleep(0.3)
             await connect(*args)  # type: ignore[arg-type]
 
-        async with Host() as host, gate(("a", host.addr), settings=PATIENT) as it:
+        async with Host() as host, running_gateway(("a", host.addr), settings=PATIENT) as it:
             client = await it.client()
             loop.sock_connect = late  # type: ignore[method-assign, assignment]
             asked = loop.time()
@@ -82,7 +82,7 @@
     play(story())
 
 
-async def _ahead(it: Gate, first: float) -> tuple[Client, float]:
+async def _ahead(it: RunningGateway, first: float) -> tuple[Client, float]:
     """A request that its host answers after so long, and one more right behind it."""
     client = await it.client()
     asked = asyncio.get_running_loop().time()
@@ -96,7 +96,7 @@
     """Its time runs from its last byte, not from its turn."""
 
     async def story() -> None:
-        async with Host(0.5) as host, gate(("a", host.addr)) as it:
+        async with Host(0.5) as host, running_gateway(("a", host.addr)) as it:
             client, asked = await _ahead(it, 0.5)
             assert await client.answer() == (200, b"served")
             host.told = host.told[1:]
@@ -107,7 +107,7 @@
 
 def test_one_whose_time_is_over_before_its_turn_is_not_sent() -> None:
     async def story() -> None:
-        async with Host(1.45) as host, gate(("a", host.addr)) as it:
+        async with Host(1.45) as host, running_gateway(("a", host.addr)) as it:
             client, _ = await _ahead(it, 1.45)
             assert (await client.answer())[0] == 503
             assert len(host.told) == 1
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -16,7 +16,16 @@
 from sailhitch.net.discovery_call import Call
 from sailhitch.net.discovery_timing import NOTIFY_WITHIN
 from sailhitch.policy_interface import EndpointState
-from tests.sockets import Registry, Server, Writer, answer, config_value, entry, gate, request
+from tests.sockets import (
+    Registry,
+    Server,
+    Writer,
+    answer,
+    config_value,
+    entry,
+    request,
+    running_gateway,
+)
 from tests.virtual import eventually, play
 
 
@@ -65,7 +74,7 @@
         async with Agent(("a", "127.0.0.1:9")) as agent:
             if fresh:
                 agent.silent = True
-            async with gate(
+            async with running_gateway(
                 ("a", "127.0.0.1:9"), discovery=agent.addr, settings=rules(grace)
             ) as gateway:
                 await asyncio.sleep(0.5)
@@ -93,7 +102,7 @@
         loop = asyncio.get_running_loop()
         async with (
             Agent(("a", "127.0.0.1:9"), delay=1.5 if shared else 0.0) as agent,
-            gate(
+            running_gateway(
                 ("a", "127.0.0.1:9"), discovery=agent.addr, settings=rules(250_000, **more)
             ) as gateway,
         ):
@@ -186,7 +195,7 @@
         settings = rules(250_000, discovery="subscribe") | {"balancers": gateways}
         async with SharedDiscovery(("a", "127.0.0.1:9")) as shared:
             with delayed_connects(shared):
-                async with gate(
+                async with running_gateway(
                     ("a", "127.0.0.1:9"), discovery=shared.addr, settings=settings
                 ) as gateway:
                     await eventually(lambda: gateway.discovery.version == 1)
@@ -211,7 +220,7 @@
         async with SharedDiscovery(("a", "127.0.0.1:9")) as shared:
             shared.drain("a", "127.0.0.1:9")
             with delayed_connects(shared):
-                async with gate(
+                async with running_gateway(
                     ("a", "127.0.0.1:9"), discovery=shared.addr, settings=settings
                 ) as gateway:
                     started = loop.time()
@@ -241,7 +250,9 @@
             shared = await stack.enter_async_context(SharedDiscovery(("a", a.addr), ("b", b.addr)))
             stack.enter_context(delayed_connects(shared))
             gateway = await stack.enter_async_context(
-                gate(("a", a.addr), ("b", b.addr), discovery=shared.addr, settings=settings)
+                running_gateway(
+                    ("a", a.addr), ("b", b.addr), discovery=shared.addr, settings=settings
+                )
             )
             await eventually(lambda: gateway.discovery.version == 1)
             shared.fail(itertools.repeat("lost"))
@@ -278,7 +289,7 @@
     async def scenario() -> None:
         async with (
             Registry(("a", "127.0.0.1:9"), version=5) as registry,
-            gate(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway,
+            running_gateway(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway,
         ):
             await eventually(lambda: gateway.discovery.version == 5)
             registry.raw_response = raw
@@ -300,7 +311,7 @@
             registry.version, registry.entries = 7, [entry("b", "127.0.0.1:9")]
             text = {"version": 7, "full": True, "servers": registry.entries}
             registry.raw_response = answer(json.dumps(text, indent=4).encode())
-            async with gate(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway:
+            async with running_gateway(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway:
                 await eventually(lambda: list(gateway.pool.endpoints) == ["b"])
                 assert gateway.core.counters.bad_lists == 0
 
@@ -312,7 +323,7 @@
         async with (
             Server() as host,
             Registry(("a", host.addr)) as registry,
-            gate(("a", host.addr), discovery=registry.addr) as gateway,
+            running_gateway(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             await eventually(lambda: gateway.discovery.version == 1)
             before = gateway.platform.config
@@ -342,7 +353,7 @@
     async def scenario() -> None:
         async with (
             Registry(("a", "127.0.0.1:9")) as registry,
-            gate(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway,
+            running_gateway(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway,
         ):
             await eventually(lambda: gateway.discovery.version == 1)
             assert gateway.pool.endpoints["a"].endpoint.zone == 0
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -16,7 +16,16 @@
 from sailhitch.lab.node import Fault, Memory, Node, doubled
 from sailhitch.lab.ports import free_port
 from tests.daemons import Inside, file_value, inside, pool
-from tests.sockets import PATIENCE, Client, Gate, Registry, dial, entry, gate, until
+from tests.sockets import (
+    PATIENCE,
+    Client,
+    Registry,
+    RunningGateway,
+    dial,
+    entry,
+    running_gateway,
+    until,
+)
 
 # For each kind of request: its class on the platform, and its path in the routes of the daemon.
 KINDS = {
@@ -55,7 +64,7 @@
 
 
 class PlatformWiring(Wiring):
-    def __init__(self, gateway: Gate, registry: Registry) -> None:
+    def __init__(self, gateway: RunningGateway, registry: Registry) -> None:
         self.core, self.addr, self.gateway, self.registry = (
             gateway.core,
             gateway.addr,
@@ -103,7 +112,7 @@
     rules = {"cold": int(COLD * 1e6), "coldShare": 0.3}
     async with (
         Registry(*((name, node.addr) for name, node in nodes.items())) as registry,
-        gate(discovery=registry.addr, settings={"rules": rules}) as gateway,
+        running_gateway(discovery=registry.addr, settings={"rules": rules}) as gateway,
     ):
         await until(lambda: set(gateway.pool.endpoints) == set(nodes))
         yield PlatformWiring(gateway, registry)
