--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -28,7 +28,7 @@
 from tests.generations import call, hosted  # noqa: E402
 from tests.sockets import (  # noqa: E402
     Client,
-    Registry,
+    DiscoveryServer,
     Server,
     Writer,
     answer,
@@ -94,7 +94,7 @@
     rows = []
     for count in (1, 10, 50):
         with tempfile.TemporaryDirectory() as folder:
-            async with Sink() as host, Registry(("a", host.addr)) as registry:
+            async with Sink() as host, DiscoveryServer(("a", host.addr)) as registry:
                 classes = {"classes": _patient()}
                 value = config_value(
                     registry.addr, ("a", host.addr), settings=classes, limits={"sockets": 1024}
--- a/benchmarks/front_door.py
+++ b/benchmarks/front_door.py
@@ -30,7 +30,7 @@
 from sailhitch.lab.crowd import Crowd, Front, Tally  # noqa: E402
 from sailhitch.lab.message import platform  # noqa: E402
 from sailhitch.lab.node import Node  # noqa: E402
-from tests.sockets import Registry, config_value, process  # noqa: E402
+from tests.sockets import DiscoveryServer, config_value, process  # noqa: E402
 
 RATE, SECONDS, NODES, DELAY = 320.0, 8, 12, 0.03
 SAFE = "pure-all"
@@ -89,7 +89,7 @@
     async with AsyncExitStack() as stack:
         nodes = [await stack.enter_async_context(Node(DELAY)) for _ in range(NODES)]
         hosts = [(f"s{i}", node.addr) for i, node in enumerate(nodes)]
-        registry = await stack.enter_async_context(Registry(*hosts))
+        registry = await stack.enter_async_context(DiscoveryServer(*hosts))
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         limits = {"cores": 1.0, "memory_mb": 80, "sockets": sockets}
         value = config_value(registry.addr, *hosts, limits=limits)
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -29,7 +29,7 @@
 from sailhitch.lab.message import platform  # noqa: E402
 from sailhitch.lab.node import Node  # noqa: E402
 from sailhitch.lab.ports import free_port  # noqa: E402
-from tests.sockets import Registry, config_value, process  # noqa: E402
+from tests.sockets import DiscoveryServer, config_value, process  # noqa: E402
 
 CONNECTIONS, NODES, SIZE = 32, 4, 1024
 
@@ -128,7 +128,7 @@
     async with contextlib.AsyncExitStack() as stack:
         nodes = [await stack.enter_async_context(Node(size=SIZE)) for _ in range(NODES)]
         hosts = [(f"h{i}", node.addr) for i, node in enumerate(nodes)]
-        registry = await stack.enter_async_context(Registry(*hosts))
+        registry = await stack.enter_async_context(DiscoveryServer(*hosts))
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         value = config_value(registry.addr, *hosts, limits={"sockets": 384})
         gateway, addr = await stack.enter_async_context(
--- a/tests/generations.py
+++ b/tests/generations.py
@@ -17,7 +17,7 @@
 from tests.sockets import (
     PATIENCE,
     Client,
-    Registry,
+    DiscoveryServer,
     Server,
     config_value,
     dial,
@@ -157,7 +157,7 @@
         for host in hosts.values():
             await stack.enter_async_context(host)
         named = [(name, host.addr) for name, host in hosts.items()]
-        registry = await stack.enter_async_context(Registry(*named))
+        registry = await stack.enter_async_context(DiscoveryServer(*named))
         value = config_value(registry.addr, *named)
         yield await stack.enter_async_context(site(folder, value))
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -111,7 +111,7 @@
             writer.write(answer(b"served"))
 
 
-class Registry(Server):
+class DiscoveryServer(Server):
     """Discovery: sends the full list whenever the caller's version is not the current one."""
 
     def __init__(self, *hosts: tuple[str, str], version: int = 1) -> None:
@@ -308,7 +308,7 @@
     """Run the real program with one host, and connect a client."""
     async with contextlib.AsyncExitStack() as stack:
         await stack.enter_async_context(host)
-        registry = await stack.enter_async_context(Registry(("a", host.addr)))
+        registry = await stack.enter_async_context(DiscoveryServer(("a", host.addr)))
         value = config_value(registry.addr, ("a", host.addr))
         program, addr = await stack.enter_async_context(process(path, value))
         yield program, await dial(addr)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -27,7 +27,7 @@
 from sailhitch.policy_interface import WatchEventKind
 from tests.fake import START, S, World, server
 from tests.generations import hosted, told
-from tests.sockets import Registry, Server, running_gateway, until
+from tests.sockets import DiscoveryServer, Server, running_gateway, until
 
 HOUR = 3600 * S
 COLD = 10 * S  # as tests/fake.py has it
@@ -139,7 +139,7 @@
 
     async def play(asked: bool) -> None:
         async with Server() as host:
-            registry = Registry(("a", host.addr))
+            registry = DiscoveryServer(("a", host.addr))
             registry.entries[0]["started_ms"] = 1
             changes = {"settings": {"discovery": "subscribe" if asked else "automatic"}}
             async with (
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,7 +17,7 @@
 
 from sailhitch.lab.ports import free_port
 from tests.sockets import (
-    Registry,
+    DiscoveryServer,
     Server,
     Writer,
     config_value,
@@ -88,7 +88,7 @@
                         await loop.sock_sendall(clients[-1], request(f"r{number}"))
                         assert await loop.sock_recv(clients[-1], 1000)
                     await take_the_rest(program.pid)
-                    registry = Registry(("a", host.addr))
+                    registry = DiscoveryServer(("a", host.addr))
                     await listen_again(registry, away)
                     await asked_again(registry)
                     registry.stop()
@@ -133,7 +133,7 @@
                     registry.stop()
                     registry.seen.clear()
                     await until(lambda: descriptors(program.pid) >= CROWDED)
-                    registry.answerer = Registry(("a", host.addr)).reply
+                    registry.answerer = DiscoveryServer(("a", host.addr)).reply
                     await listen_again(registry, registry.addr)
                     await asked_again(registry)
                     assert descriptors(program.pid) <= FEW
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -16,7 +16,15 @@
 from sailhitch.core.process import drain
 from sailhitch.lab.ports import free_port
 from sailhitch.net.config import parse_config
-from tests.sockets import PATIENCE, Registry, Server, Writer, config_value, request, running_gateway
+from tests.sockets import (
+    PATIENCE,
+    DiscoveryServer,
+    Server,
+    Writer,
+    config_value,
+    request,
+    running_gateway,
+)
 from tests.virtual import eventually, play
 
 # The real program, which sends itself a signal before its event loop exists.
@@ -34,7 +42,7 @@
 
 
 async def _run(code: str, name: str, path: Path, stop_at: bytes | None) -> tuple[int | None, bytes]:
-    async with Server() as host, Registry(("a", host.addr)) as registry:
+    async with Server() as host, DiscoveryServer(("a", host.addr)) as registry:
         addr = f"127.0.0.1:{free_port()}"
         path.write_text(json.dumps(config_value(registry.addr, ("a", host.addr))))
         env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -26,7 +26,7 @@
 from sailhitch.net.config import parse_config
 from tests.sockets import (
     PATIENCE,
-    Registry,
+    DiscoveryServer,
     RunningGateway,
     Server,
     Writer,
@@ -445,7 +445,7 @@
     async def run() -> None:
         async with (
             Server() as host,
-            Registry(("a", host.addr)) as registry,
+            DiscoveryServer(("a", host.addr)) as registry,
             running_gateway(discovery=registry.addr) as it,
         ):
             real = it.pool.on_endpoint_update
@@ -474,7 +474,7 @@
 ) -> AsyncIterator[tuple[Node, Path, asyncio.subprocess.Process, Crowd, Front]]:
     """The real program with its file, a node behind it, and a crowd and a front before it."""
     path = folder / "c.json"
-    async with Node(delay) as node, Registry(("a", node.addr)) as registry:
+    async with Node(delay) as node, DiscoveryServer(("a", node.addr)) as registry:
         value = config_value(registry.addr, ("a", node.addr))
         async with process(path, value) as (program, addr), Crowd(addr) as crowd:
             yield node, path, program, crowd, Front(addr, 85, SAFE)
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -12,7 +12,7 @@
 from tests import virtual
 from tests.crossings import waiting_gate
 from tests.sockets import (
-    Registry,
+    DiscoveryServer,
     RunningGateway,
     Server,
     Writer,
@@ -292,7 +292,7 @@
         async with Server() as host, Server() as other:
             hosts = [("old", host.addr), ("other", other.addr)]
             async with (
-                Registry(*hosts) as registry,
+                DiscoveryServer(*hosts) as registry,
                 running_gateway(*hosts, discovery=registry.addr) as gateway,
             ):
                 client = await gateway.client()
@@ -331,7 +331,7 @@
     async def scenario() -> None:
         async with (
             Server() as host,
-            Registry(("a", host.addr)) as registry,
+            DiscoveryServer(("a", host.addr)) as registry,
             running_gateway(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             await until(lambda: len(registry.seen) > 1)
--- a/tests/test_leaving_hosts.py
+++ b/tests/test_leaving_hosts.py
@@ -15,7 +15,16 @@
 from sailhitch.core.core import PERIODIC_INTERVAL
 from sailhitch.core.timer_wheel import LATE
 from tests.crossings import PATIENT, held_connects
-from tests.sockets import Registry, Server, Writer, answer, entry, request, running_gateway, until
+from tests.sockets import (
+    DiscoveryServer,
+    Server,
+    Writer,
+    answer,
+    entry,
+    request,
+    running_gateway,
+    until,
+)
 
 
 @pytest.mark.parametrize("state", ["leaving", "left", "missing"])
@@ -27,7 +36,7 @@
 
     async def play() -> None:
         async with Server() as leaving, Server() as staying:
-            registry = Registry(("a", leaving.addr))
+            registry = DiscoveryServer(("a", leaving.addr))
             async with (
                 registry,
                 running_gateway(
@@ -79,7 +88,7 @@
 
     async def play() -> None:
         async with Server() as one, Server() as other, Server() as third:
-            registry = Registry(("a", one.addr))
+            registry = DiscoveryServer(("a", one.addr))
             async with (
                 registry,
                 running_gateway(("a", one.addr), discovery=registry.addr, settings=PATIENT) as it,
@@ -112,7 +121,7 @@
     asyncio.run(play())
 
 
-class Held(Registry):
+class Held(DiscoveryServer):
     """Answers a call that has nothing new to hear when the test writes to it."""
 
     async def reply(self, message: bytes, writer: Writer) -> None:
--- a/tests/test_overlooked_ends.py
+++ b/tests/test_overlooked_ends.py
@@ -26,7 +26,7 @@
 from tests.generations import hosted, told
 from tests.sockets import (
     PATIENCE,
-    Registry,
+    DiscoveryServer,
     Server,
     Writer,
     config_value,
@@ -49,7 +49,7 @@
 
 def test_a_start_waits_for_a_system_that_has_no_socket_for_a_moment(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Server() as host, Registry(("a", host.addr)) as registry:
+        async with Server() as host, DiscoveryServer(("a", host.addr)) as registry:
             path = tmp_path / "config.json"
             path.write_text(json.dumps(config_value(registry.addr, ("a", host.addr))))
             env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
--- a/tests/test_own_stalls.py
+++ b/tests/test_own_stalls.py
@@ -30,7 +30,7 @@
 from sailhitch.tier.messages import Message, Ping
 from sailhitch.tier.wire import Keys, Wire
 from tests.sockets import (
-    Registry,
+    DiscoveryServer,
     RunningGateway,
     Server,
     Writer,
@@ -243,7 +243,7 @@
     async def scenario() -> tuple[int, bool]:
         async with (
             Server() as host,
-            Registry(("a", host.addr)) as registry,
+            DiscoveryServer(("a", host.addr)) as registry,
             running_gateway(discovery=registry.addr) as gateway,
         ):
             await asyncio.wait_for(gateway.platform.discovery.settled.wait(), 5.0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 from sailhitch.net.config import parse_address
 from tests.sockets import (
     PATIENCE,
-    Registry,
+    DiscoveryServer,
     Server,
     Writer,
     answer,
@@ -29,7 +29,10 @@
 def test_a_reload_under_load_moves_to_the_new_discovery(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Server() as first, Server() as second:
-            old, new = Registry(("a", first.addr), version=50), Registry(("b", second.addr))
+            old, new = (
+                DiscoveryServer(("a", first.addr), version=50),
+                DiscoveryServer(("b", second.addr)),
+            )
             async with old, new:
                 value = config_value(old.addr, ("a", first.addr))
                 path = tmp_path / "config.json"
@@ -51,7 +54,7 @@
 
 def test_a_file_that_cannot_be_read_leaves_the_old_configuration(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Server() as host, Registry(("a", host.addr)) as registry:
+        async with Server() as host, DiscoveryServer(("a", host.addr)) as registry:
             path = tmp_path / "config.json"
             value = config_value(registry.addr, ("a", host.addr))
             async with process(path, value) as (program, addr):
@@ -79,7 +82,11 @@
         await asyncio.sleep(PATIENCE)
 
     async def scenario() -> None:
-        async with Server() as host, Server(silent) as old, Registry(("b", host.addr)) as new:
+        async with (
+            Server() as host,
+            Server(silent) as old,
+            DiscoveryServer(("b", host.addr)) as new,
+        ):
             changes = {"discovery": "subscribe", "rules": {"askWithin": 1}}
             async with running_gateway(discovery=old.addr, settings=changes) as gateway:
                 await until(lambda: bool(old.seen))
@@ -95,7 +102,7 @@
     async def scenario() -> None:
         async with (
             Server() as host,
-            Registry(("a", host.addr)) as registry,
+            DiscoveryServer(("a", host.addr)) as registry,
             running_gateway(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             await until(lambda: len(registry.seen) > 1)
@@ -142,7 +149,7 @@
         writer.write(answer(b"served"))
 
     async def scenario() -> None:
-        async with Server(slow) as host, Registry(("a", host.addr)) as registry:
+        async with Server(slow) as host, DiscoveryServer(("a", host.addr)) as registry:
             value = config_value(registry.addr, ("a", host.addr))
             async with process(tmp_path / "config.json", value) as (program, addr):
                 busy, idle, partial, silent = [await dial(addr) for _ in range(4)]
@@ -170,7 +177,7 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        async with Server() as host, Registry(("a", host.addr)) as registry:
+        async with Server() as host, DiscoveryServer(("a", host.addr)) as registry:
             value = config_value(registry.addr, ("a", host.addr))
             async with process(tmp_path / "config.json", value) as (program, addr):
                 clients = [await dial(addr) for _ in range(20)]
--- a/tests/test_system_failures.py
+++ b/tests/test_system_failures.py
@@ -20,7 +20,7 @@
 from tests.failing_calls import FailingCall, ModuleProxy
 from tests.sockets import (
     Client,
-    Registry,
+    DiscoveryServer,
     RunningGateway,
     Server,
     plain,
@@ -282,7 +282,7 @@
     async def run() -> None:
         async with (
             Server() as host,
-            Registry(("a", host.addr)) as registry,
+            DiscoveryServer(("a", host.addr)) as registry,
             running_gateway(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             idle_clients = [await gateway.client() for _ in range(24)]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -17,7 +17,7 @@
 from sailhitch.net.discovery_timing import NOTIFY_WITHIN
 from sailhitch.policy_interface import EndpointState
 from tests.sockets import (
-    Registry,
+    DiscoveryServer,
     Server,
     Writer,
     answer,
@@ -29,7 +29,7 @@
 from tests.virtual import eventually, play
 
 
-class Agent(Registry):
+class Agent(DiscoveryServer):
     """Has updates at once. While it is silent, it never answers the calls that it receives."""
 
     def __init__(self, *hosts: tuple[str, str], delay: float = 0.0) -> None:
@@ -288,7 +288,7 @@
 def test_a_malformed_list_changes_nothing_and_the_whole_list_is_asked_for(raw: bytes) -> None:
     async def scenario() -> None:
         async with (
-            Registry(("a", "127.0.0.1:9"), version=5) as registry,
+            DiscoveryServer(("a", "127.0.0.1:9"), version=5) as registry,
             running_gateway(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway,
         ):
             await eventually(lambda: gateway.discovery.version == 5)
@@ -307,7 +307,7 @@
 
 def test_an_indented_list_is_accepted() -> None:
     async def scenario() -> None:
-        async with Registry(("a", "127.0.0.1:9")) as registry:
+        async with DiscoveryServer(("a", "127.0.0.1:9")) as registry:
             registry.version, registry.entries = 7, [entry("b", "127.0.0.1:9")]
             text = {"version": 7, "full": True, "servers": registry.entries}
             registry.raw_response = answer(json.dumps(text, indent=4).encode())
@@ -322,7 +322,7 @@
     async def scenario() -> None:
         async with (
             Server() as host,
-            Registry(("a", host.addr)) as registry,
+            DiscoveryServer(("a", host.addr)) as registry,
             running_gateway(("a", host.addr), discovery=registry.addr) as gateway,
         ):
             await eventually(lambda: gateway.discovery.version == 1)
@@ -352,7 +352,7 @@
 
     async def scenario() -> None:
         async with (
-            Registry(("a", "127.0.0.1:9")) as registry,
+            DiscoveryServer(("a", "127.0.0.1:9")) as registry,
             running_gateway(("a", "127.0.0.1:9"), discovery=registry.addr) as gateway,
         ):
             await eventually(lambda: gateway.discovery.version == 1)
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -19,7 +19,7 @@
 from tests.sockets import (
     PATIENCE,
     Client,
-    Registry,
+    DiscoveryServer,
     RunningGateway,
     dial,
     entry,
@@ -64,7 +64,7 @@
 
 
 class PlatformWiring(Wiring):
-    def __init__(self, gateway: RunningGateway, registry: Registry) -> None:
+    def __init__(self, gateway: RunningGateway, registry: DiscoveryServer) -> None:
         self.core, self.addr, self.gateway, self.registry = (
             gateway.core,
             gateway.addr,
@@ -111,7 +111,7 @@
 async def platform(tmp_path: Path, nodes: dict[str, Node]) -> AsyncIterator[Wiring]:
     rules = {"cold": int(COLD * 1e6), "coldShare": 0.3}
     async with (
-        Registry(*((name, node.addr) for name, node in nodes.items())) as registry,
+        DiscoveryServer(*((name, node.addr) for name, node in nodes.items())) as registry,
         running_gateway(discovery=registry.addr, settings={"rules": rules}) as gateway,
     ):
         await until(lambda: set(gateway.pool.endpoints) == set(nodes))
