--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -26,7 +26,7 @@
 PATIENCE = 30.0  # s; an upper limit, so that no test waits forever
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
-Answerer = Callable[[bytes, Writer], Awaitable[None]]
+Handler = Callable[[bytes, Writer], Awaitable[None]]
 
 
 def _address(server: asyncio.Server) -> str:
@@ -71,10 +71,10 @@
 
 
 class Server:
-    """Listens on loopback and passes each complete request to its answerer."""
+    """Listens on loopback and passes each complete request to its handler."""
 
-    def __init__(self, answerer: Answerer | None = None) -> None:
-        self.answerer = answerer
+    def __init__(self, handler: Handler | None = None) -> None:
+        self.handler = handler
         self.seen: list[bytes] = []
         self.writers: list[Writer] = []
         self.server: asyncio.Server | None = None
@@ -105,8 +105,8 @@
                 await self.reply(message, writer)
 
     async def reply(self, message: bytes, writer: Writer) -> None:
-        if self.answerer is not None:
-            await self.answerer(message, writer)
+        if self.handler is not None:
+            await self.handler(message, writer)
         else:
             writer.write(answer(b"served"))
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -31,13 +31,13 @@
 def play(
     tmp_path: Path,
     act: Play,
-    answerer: Any = None,
+    handler: Any = None,
     host: Server | None = None,
     gateway: Mapping[str, Any] = {},
     **changes: Any,
 ) -> Server:
     """One host that answers as it is told; returns it with what it has seen."""
-    server = host or Server(answerer)
+    server = host or Server(handler)
 
     async def run() -> None:
         async with server:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -133,7 +133,7 @@
                     registry.stop()
                     registry.seen.clear()
                     await until(lambda: descriptors(program.pid) >= CROWDED)
-                    registry.answerer = DiscoveryServer(("a", host.addr)).reply
+                    registry.handler = DiscoveryServer(("a", host.addr)).reply
                     await listen_again(registry, registry.addr)
                     await asked_again(registry)
                     assert descriptors(program.pid) <= FEW
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -95,7 +95,7 @@
                 assert len(registry.seen) - calls <= 1.0 / BACKOFF_MIN
                 assert program.returncode is None
                 # Once discovery answers again, it is called within the longest delay.
-                registry.answerer = DiscoveryServer(("a", host.addr)).reply
+                registry.handler = DiscoveryServer(("a", host.addr)).reply
                 assert await client.ask(request("r2")) == (200, b"served")
 
     asyncio.run(scenario())
