--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from sailhitch.net.downstream import Downstream
-from tests.sockets import PATIENCE, Client, RunningGateway, Server, running_gateway, until
+from tests.sockets import TEST_TIMEOUT, Client, RunningGateway, Server, running_gateway, until
 
 # Long enough that no connect timeout ends an attempt that a test delays.
 PATIENT: dict[str, Any] = {"limits": {"connectTimeout": 20_000_000}}
@@ -26,7 +26,7 @@
 
     async def wait(self) -> None:
         self.waiting += 1
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await self.go.wait()
 
 
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -23,7 +23,7 @@
 from sailhitch.lab.files import toml_text
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
-from tests.sockets import PATIENCE, Client, dial
+from tests.sockets import TEST_TIMEOUT, Client, dial
 
 CLASSES = [
     {"name": "page", "aim": "1s", "deadline": "3s"},
@@ -169,7 +169,7 @@
                 env=os.environ | {"ARMED": str(self.armed)},
                 stderr=log,
             )
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while not await self._answers():
                 assert self.program.returncode is None, self.log.read_text()
                 await asyncio.sleep(0.02)
@@ -181,7 +181,7 @@
             return False
 
     async def ask(self, request: Mapping[str, Any]) -> dict[str, Any]:
-        return await asyncio.to_thread(ask, self.admin, request, PATIENCE)
+        return await asyncio.to_thread(ask, self.admin, request, TEST_TIMEOUT)
 
     async def plan(self, value: Mapping[str, Any]) -> str:
         live = await self.ask({"op": "state"})
@@ -191,7 +191,7 @@
 
     async def wait(self) -> int:
         assert self.program is not None
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             return await self.program.wait()
 
     async def stop(self) -> None:
--- a/tests/generations.py
+++ b/tests/generations.py
@@ -15,7 +15,7 @@
 
 from sailhitch.lab.ports import free_port
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     Client,
     DiscoveryServer,
     Server,
@@ -52,14 +52,14 @@
         return await call(self.operator, f"/maintenance/exit?target={host}")
 
     async def until_serving(self) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while not await self.serving():
                 assert self.program.returncode is None, self.log.read_text()
                 await asyncio.sleep(0.02)
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> int:
         self.program.send_signal(number)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             return await self.program.wait()
 
 
@@ -73,7 +73,7 @@
 
     async def until_read(self) -> None:
         """Wait until a process has opened it."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while self._descriptor < 0:
                 with contextlib.suppress(OSError):  # ENXIO: nobody has
                     self._descriptor = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -23,7 +23,7 @@
 from sailhitch.net.platform import Platform
 from tests.fake import settings_value
 
-PATIENCE = 30.0  # s; an upper limit, so that no test waits forever
+TEST_TIMEOUT = 30.0  # s; an upper limit, so that no test waits forever
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 Handler = Callable[[bytes, Writer], Awaitable[None]]
@@ -34,8 +34,8 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds; raises TimeoutError after PATIENCE."""
-    async with asyncio.timeout(PATIENCE):
+    """Wait until a condition holds; raises TimeoutError after TEST_TIMEOUT."""
+    async with asyncio.timeout(TEST_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -175,14 +175,14 @@
 
     async def answer(self) -> tuple[int, bytes]:
         """Read the next response; return its status and body."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             message = await read_message(self.reader)
         return int(message.split(b" ")[1]), message.partition(b"\r\n\r\n")[2]
 
     async def rest(self) -> bytes:
         """Read until the gateway closes the connection; a reset counts as a close."""
         received = b""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             with contextlib.suppress(OSError):
                 while data := await self.reader.read(65536):
                     received += data
@@ -291,7 +291,7 @@
         python, "-B", "-m", package, env=env, cwd=tree, stderr=asyncio.subprocess.DEVNULL
     )
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while not await _ready(addr, crowded):
                 await asyncio.sleep(0.02)
         yield program, addr
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -25,13 +25,13 @@
 from sailhitch.lab.node import Fault, Memory, Node, doubled
 from sailhitch.lab.ports import free_port
 from tests.daemons import Inside, file_value, inside, made, outside, part, pool
-from tests.sockets import PATIENCE, Client, dial, until
+from tests.sockets import TEST_TIMEOUT, Client, dial, until
 from tests.test_daemon import get, post
 
 
 def run(work: Callable[[], Awaitable[None]]) -> None:
     async def limited() -> None:
-        async with asyncio.timeout(4 * PATIENCE):
+        async with asyncio.timeout(4 * TEST_TIMEOUT):
             await work()
 
     asyncio.run(limited())
@@ -677,7 +677,7 @@
                     assert (await it.ask({"op": "state"}))["serial"] == 2
                 else:
                     # The file is still the old one: what SIGHUP asks for comes after the apply.
-                    async with asyncio.timeout(PATIENCE):
+                    async with asyncio.timeout(TEST_TIMEOUT):
                         while (await it.ask({"op": "state"}))["serial"] < 3:
                             await asyncio.sleep(0.02)
                     last = (await it.ask({"op": "history"}))["history"][-1]
@@ -773,7 +773,7 @@
 async def _ask(it: Inside, request: dict[str, Any]) -> dict[str, Any]:
     reader, writer = await asyncio.open_unix_connection(str(it.admin.path), limit=1 << 24)
     writer.write(json.dumps(request).encode() + b"\n")
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT):
         answer = json.loads(await reader.readline())
     writer.close()
     return dict(answer)
@@ -784,7 +784,7 @@
     writer.write(data)
     if end:
         writer.write_eof()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT):
         answer = json.loads(await reader.readline())
     writer.close()
     return dict(answer)
@@ -831,7 +831,7 @@
                 await writer.drain()
         except OSError:
             pass  # it is no longer read
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             try:
                 said = await reader.readline()
             except OSError:
@@ -849,7 +849,7 @@
 
     async def act(it: Inside) -> None:
         silent = [await asyncio.open_unix_connection(str(it.admin.path)) for _ in range(12)]
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             ends = [await reader.read() for reader, _ in silent]
         assert sum(b"too many" in end for end in ends) == 4
         await until(lambda: it.admin.clients == 0)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -12,7 +12,7 @@
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
 from tests.daemons import file_value, inside, made, outside, pool
-from tests.sockets import PATIENCE, dial
+from tests.sockets import TEST_TIMEOUT, dial
 
 
 async def _get(addr: str, count: int) -> None:
@@ -45,7 +45,7 @@
                 await _get(it.addr, 40)
                 assert a.seen == before
                 await it.source.ban("p/a", None, "t")
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT):
                     while a.seen == before:
                         await _get(it.addr, 10)
 
@@ -87,7 +87,7 @@
                 await it.source.ban("p/a", {"by": "t", "when": 1, "why": ""}, "t")
                 await it.source.apply_file(made(file_value([pool("p", {})], port)), "t")
                 waits = asyncio.create_task(_get(it.addr, 1))
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT):
                     while not it.live.core.open_requests:
                         await asyncio.sleep(0.01)
                 await it.source.apply_file(made(value), "t")
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,7 +16,7 @@
 from sailhitch.core.process import finish
 from sailhitch.front import time_limits
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     RunningGateway,
     Server,
     Writer,
@@ -212,7 +212,7 @@
 
 def test_more_requests_while_one_is_open_end_the_connection_with_one_error() -> None:
     async def silent(message: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def run() -> None:
         async with Server(silent) as host, running_gateway(("a", host.addr)) as it:
@@ -323,7 +323,7 @@
 
 def test_connections_beyond_the_descriptors_are_refused_when_none_can_make_room() -> None:
     async def silent(message: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def run() -> None:
         async with (
@@ -356,7 +356,7 @@
                     one.setblocking(False)
                     crowd.append(one)
                 it.listener.close()
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT):
                     got = [await loop.sock_recv(one, 1000) for one in crowd]
             said = Counter(one[:13] for one in got)
             assert set(said) == {b"HTTP/1.1 200 ", b"HTTP/1.1 503 "}, said
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -28,7 +28,7 @@
 from sailhitch.tier.disk import Disk, DiskError
 from tests.daemons import file_value, made, pool
 from tests.generations import Generation, hosted, told
-from tests.sockets import PATIENCE, Server, dial, request, until
+from tests.sockets import TEST_TIMEOUT, Server, dial, request, until
 
 FAILED = "can't be kept"
 
@@ -60,7 +60,7 @@
             await told(first, FAILED)
             blocker.rmdir()
             kept = tmp_path / "sailhitch-n0.bans"
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 for _ in range(100):
                     if kept.exists():
                         break
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -17,7 +17,7 @@
 from sailhitch.lab.ports import free_port
 from sailhitch.net.config import parse_config
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     DiscoveryServer,
     Server,
     Writer,
@@ -58,7 +58,7 @@
         assert program.stderr is not None
         output = b""
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 while line := await program.stderr.readline():
                     output += line
                     if stop_at is not None and stop_at in line:
@@ -85,7 +85,7 @@
                 program.terminate()
             if b"drained" in line:
                 break
-        deadline = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TEST_TIMEOUT
         while program.poll() is None and time.monotonic() < deadline:
             program.send_signal(signal_number)
         program.kill()
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -20,7 +20,7 @@
 from sailhitch.net import response_writer, upstream_connection
 from tests.crossings import reset_at_close
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     Client,
     RunningGateway,
     Server,
@@ -333,7 +333,7 @@
         client = await it.client()
         whole = request("r", BODY)
         client.send(whole[: 2 * MAX_BUFFERED_BODY])
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             early = await read_message(client.reader)
         assert early.startswith(b"HTTP/1.1 503")
         assert b"\r\nConnection: close\r\n" in early
@@ -526,14 +526,14 @@
     async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(request("r"))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(MB) == BODY[:MB]
         (held,) = it.clients()
         assert held.read_watchdog is not None
         assert held.read_watchdog.moved > 0.9 * MB
         go.set()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             assert await client.reader.readexactly(len(BODY) - MB) == BODY[MB:]
 
     play(act, Server(pieces))
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -25,7 +25,7 @@
 from sailhitch.net import downstream, response_writer
 from sailhitch.net.config import parse_config
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     DiscoveryServer,
     RunningGateway,
     Server,
@@ -385,7 +385,7 @@
     part: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def silent(_: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     def broken(*_: Any, **__: Any) -> None:
         raise ZeroDivisionError("a bug")
@@ -415,7 +415,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def silent(_: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def run() -> None:
         async with Server(silent) as host, running_gateway(("a", host.addr)) as it:
@@ -494,7 +494,7 @@
             await crowd.honest(front, out, 100, 20)
             assert out.ends[SERVED] == out.asked - out.ends[NO_SEAT]
             assert out.ends[LOST] == 0
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 assert await program.wait() == 0
 
     asyncio.run(run())
@@ -526,7 +526,7 @@
 
 def test_who_is_turned_away_is_answered_at_once_with_a_time_that_is_true() -> None:
     async def silent(_: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def run() -> None:
         async with (
--- a/tests/test_overlooked_ends.py
+++ b/tests/test_overlooked_ends.py
@@ -25,7 +25,7 @@
 from tests.failing_calls import FailingCall
 from tests.generations import hosted, told
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     DiscoveryServer,
     Server,
     Writer,
@@ -59,7 +59,7 @@
             )
             assert program.stderr is not None
             said = b""
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 while line := await program.stderr.readline():
                     said += line
                     if line.rstrip().endswith(b" ready"):
@@ -88,7 +88,7 @@
         held_up = saying.is_alive()
         while filled > 0:
             filled -= len(os.read(reader, min(filled, 65536)))
-        saying.join(PATIENCE)
+        saying.join(TEST_TIMEOUT)
         log.write("another line")
         stream.flush()
         said = os.read(reader, 65536).decode()
@@ -122,7 +122,7 @@
             await until(lambda: bool(it.clients()))
             (client,) = it.clients()
             got = 0
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 while client.slot.state != State.CLOSING:
                     got += len(await loop.sock_recv(sock, 1024))
             transport = client.transport
@@ -131,7 +131,7 @@
             since = it.core.clock()
             await until(lambda: it.core.clock() - since > 2 * REJECTED_LINGER)
             it.core.on_descriptors_exhausted()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 try:
                     while data := await loop.sock_recv(sock, 65536):
                         got += len(data)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,7 @@
 from sailhitch.core.endpoints import Address
 from sailhitch.net.config import parse_address
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     DiscoveryServer,
     Server,
     Writer,
@@ -79,7 +79,7 @@
 
 def test_a_call_that_hangs_at_the_old_discovery_does_not_hold_up_the_move() -> None:
     async def silent(message: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def scenario() -> None:
         async with (
@@ -167,7 +167,7 @@
                     assert await client.answer() == (200, b"served")
                     assert await client.rest() == b""
                 assert await silent.rest() == b""
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT):
                     assert await program.wait() == 0
 
     asyncio.run(scenario())
@@ -184,7 +184,7 @@
                 for i, client in enumerate(clients):
                     client.send(request(f"r{i}", b"effect")[: 20 * i])
                 program.send_signal(signal.SIGTERM)
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT):
                     assert await program.wait() == 0
 
     asyncio.run(scenario())
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_rig.py
@@ -25,7 +25,7 @@
 from benchmarks.scale.processes import ROOT, RigError, serial_said
 from sailhitch.daemon.state_tree import to_tree
 from sailhitch.tier.messages import Message
-from tests.sockets import PATIENCE
+from tests.sockets import TEST_TIMEOUT
 
 HOLLOW = 12
 SMALL = Size(members=HOLLOW + 1, daemons=1, voters=3, fraction=0.001)
@@ -178,7 +178,7 @@
 
 async def until_lost(made: Fleet, before: Any) -> Any:
     """The first look by which the rig has dropped something since another; bounded."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT):
         while True:
             now = await made.look(last=True)
             if figures.total(figures.by_kind(before, now, "lost", None))[0]:
@@ -193,7 +193,7 @@
             await made.set_faults(0.0, (1, 2))
             parted = await until_lost(made, before)
             await made.set_faults(0.0)
-            await made.until("all are in", made.all_in, PATIENCE)
+            await made.until("all are in", made.all_in, TEST_TIMEOUT)
             joined = await made.look(last=True)
             await asyncio.sleep(0.5)
             later = await made.look(last=True)
@@ -235,7 +235,7 @@
 def test_interrupted_it_leaves_no_process(number: int, short_path: Path) -> None:
     with as_command(short_path) as program:
         program.send_signal(number)
-        assert program.wait(PATIENCE) == 130
+        assert program.wait(TEST_TIMEOUT) == 130
         assert processes_of(short_path) == []
         assert list(short_path.iterdir()) == []
 
@@ -247,7 +247,7 @@
     try:
         with as_command(short_path) as program:
             program.send_signal(signal.SIGINT)
-            assert program.wait(PATIENCE) == 130
+            assert program.wait(TEST_TIMEOUT) == 130
     finally:
         signal.signal(signal.SIGINT, handler)
 
@@ -258,7 +258,7 @@
         program.wait()
 
         async def gone() -> None:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 while processes_of(short_path):
                     await asyncio.sleep(0.05)
 
--- a/tests/test_tier_switch.py
+++ b/tests/test_tier_switch.py
@@ -24,7 +24,7 @@
 from sailhitch.tier.member import TierConfig
 from sailhitch.tier.wire import Keys
 from tests.daemons import ROUTES, Inside, file_value, inside, made, pool
-from tests.sockets import PATIENCE, Client, read_message, until
+from tests.sockets import TEST_TIMEOUT, Client, read_message, until
 
 Routes = list[dict[str, Any]]
 
@@ -53,7 +53,7 @@
 async def ask(client: Client, method: str, path: str, key: str = "", name: str = "r") -> bytes:
     fields = [("Req-Id", name)] + ([("Idempotency-Key", key)] if key else [])
     client.send(build(method, path, fields, b"x" if method == "POST" else b""))
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT):
         return bytes(await read_message(client.reader))
 
 
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -17,7 +17,7 @@
 from sailhitch.lab.ports import free_port
 from tests.daemons import Inside, file_value, inside, pool
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     Client,
     DiscoveryServer,
     RunningGateway,
@@ -139,7 +139,7 @@
         async with contextlib.AsyncExitStack() as stack:
             for node in nodes.values():
                 await stack.enter_async_context(node)
-            async with asyncio.timeout(4 * PATIENCE), wiring(tmp_path, nodes) as gateway:
+            async with asyncio.timeout(4 * TEST_TIMEOUT), wiring(tmp_path, nodes) as gateway:
                 await scenario(gateway)
 
     asyncio.run(run())
