--- a/tests/generations.py
+++ b/tests/generations.py
@@ -29,7 +29,7 @@
     """One call to an operators' door: the status it is answered with."""
     client = await dial(addr)
     client.send(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
-    answer = await client.rest()
+    answer = await client.read_to_end()
     client.writer.close()
     return int(answer.split(b" ")[1])
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -179,7 +179,7 @@
             message = await read_message(self.reader)
         return int(message.split(b" ")[1]), message.partition(b"\r\n\r\n")[2]
 
-    async def rest(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """Read until the gateway closes the connection; a reset counts as a close."""
         received = b""
         async with asyncio.timeout(TEST_TIMEOUT):
@@ -188,7 +188,7 @@
                     received += data
         return received
 
-    async def again(self) -> Client:
+    async def reconnect(self) -> Client:
         """Close this connection and open a new one to the same address."""
         host, port = self.writer.get_extra_info("peername")
         self.writer.close()
@@ -199,7 +199,7 @@
         return await self.answer()
 
 
-def plain(addr: str) -> socket.socket:
+def open_socket(addr: str) -> socket.socket:
     """Open a blocking connection, for use without the event loop."""
     host, _, port = addr.rpartition(":")
     return socket.create_connection((host, int(port)))
@@ -257,7 +257,7 @@
             watch.cancel()
 
 
-async def fill(gateway: RunningGateway, count: int) -> list[Client]:
+async def start_requests(gateway: RunningGateway, count: int) -> list[Client]:
     """Return `count` clients that have each sent a request."""
     clients = []
     for i in range(count):
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -333,9 +333,9 @@
                 busy.send(get())
                 await until(lambda: a.seen == 2)
                 await it.go(value)
-                assert await idle.rest() == b""
+                assert await idle.read_to_end() == b""
                 assert (await busy.answer())[0] == 200
-                assert await busy.rest() == b""
+                assert await busy.read_to_end() == b""
                 with pytest.raises(OSError, match=r"refused|111"):
                     await asyncio.open_connection("127.0.0.1", more)
                 client = await it.client()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -21,10 +21,10 @@
     Server,
     Writer,
     answer,
-    fill,
-    plain,
+    open_socket,
     request,
     running_gateway,
+    start_requests,
     until,
 )
 
@@ -80,7 +80,7 @@
     async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(BAD[kind])
-        got = await client.rest()
+        got = await client.read_to_end()
         assert got[:10] == b"HTTP/1.1 4", got[:100]
         assert got.count(b"HTTP/1.1 ") == 1
         assert host.seen == []
@@ -95,7 +95,7 @@
             client.send(part)
             await until(lambda: any(not c.is_idle() for c in it.core.clients))
             client.writer.write_eof()
-            await client.rest()
+            await client.read_to_end()
         await until(lambda: not it.core.clients)
         assert host.seen == []
 
@@ -109,7 +109,7 @@
     async def act(it: RunningGateway, host: Server) -> None:
         client = await it.client()
         client.send(part)
-        got = await client.rest()  # comes to its end only if the gateway ends it
+        got = await client.read_to_end()  # comes to its end only if the gateway ends it
         assert got == b"" or got.startswith(b"HTTP/1.1 408")
         assert host.seen == []
 
@@ -137,7 +137,7 @@
                 await asyncio.sleep(0.1)
 
         task = asyncio.ensure_future(trickle())
-        got = await client.rest()
+        got = await client.read_to_end()
         task.cancel()
         assert got == b"" or got.startswith(b"HTTP/1.1 408")
         assert host.seen == []
@@ -203,7 +203,7 @@
             go.set()
             for _ in range(3):
                 assert await client.answer() == (200, b"served")
-            assert await client.rest() == b""
+            assert await client.read_to_end() == b""
             await end
             assert len(host.seen) == 3
 
@@ -220,7 +220,7 @@
             client.send(request("first", b"body"))
             await until(lambda: len(host.seen) == 1)
             client.send(b"".join(request(f"p{i}") for i in range(50)))
-            got = await client.rest()
+            got = await client.read_to_end()
             assert got.startswith(b"HTTP/1.1 400")
             assert got.count(b"HTTP/1.1") == 1
             assert len(host.seen) == 1
@@ -284,7 +284,7 @@
 
 def test_a_connection_whose_next_request_is_here_unread_is_not_closed_as_idle() -> None:
     async def act(it: RunningGateway, host: Server) -> None:
-        sock = plain(it.addr)
+        sock = open_socket(it.addr)
         with sock:
             await until(lambda: len(it.core.clients) == 1)
             (client,) = it.clients()
@@ -330,13 +330,13 @@
             Server(silent) as host,
             running_gateway(("a", host.addr), limits={"sockets": 64}) as it,
         ):
-            _held = await fill(it, 80)
+            _held = await start_requests(it, 80)
             await until(lambda: it.core.counters.crowded > 0)
             held = len(it.core.clients) + len(it.core.arriving) + it.hosts.size()
             assert held <= 64
             last = await it.client()
             # Answered at once: nothing of its request was looked at, so asking again is harmless.
-            assert (await last.rest()).startswith(b"HTTP/1.1 503 ")
+            assert (await last.read_to_end()).startswith(b"HTTP/1.1 503 ")
 
     asyncio.run(run())
 
@@ -351,7 +351,7 @@
             with contextlib.ExitStack() as stack:
                 crowd = []
                 for i in range(80):  # the loop has no turn to take anybody in
-                    one = stack.enter_context(plain(it.addr))
+                    one = stack.enter_context(open_socket(it.addr))
                     one.sendall(request(f"w{i}"))
                     one.setblocking(False)
                     crowd.append(one)
@@ -371,8 +371,8 @@
     async def run() -> None:
         async with Server(blank) as host, running_gateway(("a", host.addr)) as it:
             client = await it.client()
-            plain = request("b1", b"effect", fields=b"Transfer-Encoding: \t chunked\r\n")
-            head, _, body = plain.partition(b"\r\n\r\n")
+            open_socket = request("b1", b"effect", fields=b"Transfer-Encoding: \t chunked\r\n")
+            head, _, body = open_socket.partition(b"\r\n\r\n")
             lines = [line + b"  " for line in head.split(b"\r\n") if b"Content-Le" not in line]
             lines[0] = lines[0].strip()
             chunked = b"\r\n".join(lines) + b"\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -22,7 +22,7 @@
     Server,
     Writer,
     answer,
-    plain,
+    open_socket,
     request,
     running_gateway,
     until,
@@ -280,7 +280,7 @@
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with server, running_gateway(("a", addr), settings=PATIENT) as it:
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
-            with plain(it.addr) as client:
+            with open_socket(it.addr) as client:
                 client.setblocking(False)
                 await asyncio.get_running_loop().sock_sendall(client, first)
                 await until(lambda: sum(got) >= MAX_BUFFERED_BODY)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,7 +22,7 @@
     Writer,
     config_value,
     dial,
-    plain,
+    open_socket,
     process,
     request,
     until,
@@ -83,7 +83,7 @@
                 with crowd() as clients:
                     loop = asyncio.get_running_loop()
                     for number in range(20):
-                        clients.append(plain(addr))
+                        clients.append(open_socket(addr))
                         clients[-1].setblocking(False)
                         await loop.sock_sendall(clients[-1], request(f"r{number}"))
                         assert await loop.sock_recv(clients[-1], 1000)
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -191,7 +191,7 @@
         client = await it.client()
         asked = request("r", fields=b"X-Form: chunked\r\n").replace(b"HTTP/1.1", b"HTTP/1.0")
         client.send(asked)
-        head, _, body = (await client.rest()).partition(b"\r\n\r\n")
+        head, _, body = (await client.read_to_end()).partition(b"\r\n\r\n")
         assert body == BODY
         assert b"transfer-encoding" not in head.lower()
 
@@ -339,7 +339,7 @@
         assert b"\r\nConnection: close\r\n" in early
         # What the client still sends is taken in, so that the answer is not lost to a reset.
         client.send(whole[2 * MAX_BUFFERED_BODY :])
-        assert await client.rest() == b""
+        assert await client.read_to_end() == b""
 
     play(act, Declines())
 
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -32,10 +32,10 @@
     Writer,
     config_value,
     dial,
-    fill,
     process,
     request,
     running_gateway,
+    start_requests,
     until,
 )
 
@@ -533,13 +533,13 @@
             Server(silent) as host,
             running_gateway(("a", host.addr), limits={"sockets": 64}) as it,
         ):
-            _held = await fill(it, 30)
+            _held = await start_requests(it, 30)
             await until(lambda: it.core.counters.crowded > 0)
             last = await it.client()
-            got = await last.rest()
+            got = await last.read_to_end()
             assert got.startswith(b"HTTP/1.1 503 ")
             # With every place busy nobody knows when one is free, so no time is named.
             assert b"Retry-After" not in got
-            assert (await (await dial(it.addr)).rest()).count(b"HTTP/1.1") == 1
+            assert (await (await dial(it.addr)).read_to_end()).count(b"HTTP/1.1") == 1
 
     asyncio.run(run())
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -90,7 +90,7 @@
         acts.serves = False
         assert await call(addr, "/status", "GET") == 503
         assert len(server.pending) <= MAX_CONNECTIONS
-        assert b" 408 " in await silent[0].rest()
+        assert b" 408 " in await silent[0].read_to_end()
         server.close()
 
     asyncio.run(play())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -165,8 +165,8 @@
                 partial.send(request("h1", b"effect")[-3:])
                 for client in (busy, late, idle, partial):
                     assert await client.answer() == (200, b"served")
-                    assert await client.rest() == b""
-                assert await silent.rest() == b""
+                    assert await client.read_to_end() == b""
+                assert await silent.read_to_end() == b""
                 async with asyncio.timeout(TEST_TIMEOUT):
                     assert await program.wait() == 0
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -130,7 +130,7 @@
                 asking = client
                 while (await asking.ask(request(f"n{n}", kind="renamed")))[0] != 200:
                     n += 1
-                    asking = await asking.again()
+                    asking = await asking.reconnect()
 
     asyncio.run(play())
 
--- a/tests/test_system_failures.py
+++ b/tests/test_system_failures.py
@@ -23,7 +23,7 @@
     DiscoveryServer,
     RunningGateway,
     Server,
-    plain,
+    open_socket,
     request,
     running_gateway,
     until,
@@ -111,7 +111,7 @@
     gateway.core.loop.remove_reader(gateway.listener.sock)
     clients = []
     for number in range(QUEUED_CLIENTS):
-        sock = plain(gateway.addr)
+        sock = open_socket(gateway.addr)
         sock.sendall(request(f"queued{number}"))
         clients.append(Client(*await asyncio.open_connection(sock=sock)))
     return clients
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -170,7 +170,7 @@
         await until(lambda: not gateway.core.open_requests)
         for client in clients:
             client.writer.write_eof()
-            assert await client.rest() == b""  # no second answer
+            assert await client.read_to_end() == b""  # no second answer
         assert {status for status, _ in answers} <= {200, 500, 502, 503, 504}
         for i, (status, body) in enumerate(answers):
             if status == 200:
