--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -14,7 +14,7 @@
 from tests.sockets import TEST_TIMEOUT, Client, RunningGateway, Server, running_gateway, until
 
 # Long enough that no connect timeout ends an attempt that a test delays.
-PATIENT: dict[str, Any] = {"limits": {"connectTimeout": 20_000_000}}
+LONG_CONNECT_TIMEOUT: dict[str, Any] = {"limits": {"connectTimeout": 20_000_000}}
 
 
 class Barrier:
@@ -31,7 +31,7 @@
 
 
 @contextlib.asynccontextmanager
-async def held_connects(to: str) -> AsyncIterator[Barrier]:
+async def delayed_connects(to: str) -> AsyncIterator[Barrier]:
     """Delay connects to an address until the test releases the barrier."""
     loop: Any = asyncio.get_running_loop()
     connect, barrier = loop.sock_connect, Barrier()
@@ -51,12 +51,12 @@
 
 
 @contextlib.asynccontextmanager
-async def waiting_gate() -> AsyncIterator[tuple[Server, RunningGateway, Barrier]]:
+async def gateway_with_delayed_connects() -> AsyncIterator[tuple[Server, RunningGateway, Barrier]]:
     """Run a gateway with one host; connects to it wait until the test releases the barrier."""
     async with (
         Server() as host,
-        running_gateway(("a", host.addr), settings=PATIENT) as gateway,
-        held_connects(host.addr) as barrier,
+        running_gateway(("a", host.addr), settings=LONG_CONNECT_TIMEOUT) as gateway,
+        delayed_connects(host.addr) as barrier,
     ):
         yield host, gateway, barrier
 
@@ -66,7 +66,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-def leave(client: Client, how: str) -> None:
+def disconnect(client: Client, how: str) -> None:
     """Close a client connection: orderly, with a reset, or right after sending more bytes."""
     sock = client.writer.get_extra_info("socket")
     if how == "reset":
@@ -76,7 +76,7 @@
     client.writer.transport.abort()
 
 
-def unread(gateway: RunningGateway) -> Downstream:
+def pause_client(gateway: RunningGateway) -> Downstream:
     """Pause reading the only client connection, as if the loop were busy; return it."""
     (conn,) = gateway.clients()
     assert conn.transport is not None
@@ -84,7 +84,7 @@
     return conn
 
 
-async def ended(conn: Downstream) -> None:
+async def wait_for_close(conn: Downstream) -> None:
     """Wait until the client's close has reached the socket, read or not."""
     poll = select.poll()
     poll.register(conn.sock, select.POLLRDHUP)
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -15,7 +15,14 @@
 from sailhitch.core.budget import MAX_BUFFERED_BODY
 from sailhitch.core.endpoints import EndpointUpdate
 from sailhitch.net import connection_pool
-from tests.crossings import PATIENT, ended, leave, reset_at_close, unread, waiting_gate
+from tests.crossings import (
+    LONG_CONNECT_TIMEOUT,
+    disconnect,
+    gateway_with_delayed_connects,
+    pause_client,
+    reset_at_close,
+    wait_for_close,
+)
 from tests.sockets import (
     Client,
     RunningGateway,
@@ -34,9 +41,9 @@
 
 async def gone(it: RunningGateway, client: Client, how: str) -> None:
     """Its connection ends, and the loop has read nothing of that."""
-    conn = unread(it)
-    leave(client, how)
-    await ended(conn)
+    conn = pause_client(it)
+    disconnect(client, how)
+    await wait_for_close(conn)
 
 
 async def later_one(it: RunningGateway) -> None:
@@ -74,7 +81,7 @@
 @pytest.mark.parametrize("body", [None, b"pay"])
 def test_waiting_for_a_connection(how: str, body: bytes | None) -> None:
     async def play() -> None:
-        async with waiting_gate() as (host, it, held):
+        async with gateway_with_delayed_connects() as (host, it, held):
             client = await it.client()
             client.send(request("r1", body))
             await until(lambda: held.waiting == 1)
@@ -209,7 +216,7 @@
 
 def test_with_half_a_body_and_no_connection_yet(how: str) -> None:
     async def play() -> None:
-        async with waiting_gate() as (host, it, held):
+        async with gateway_with_delayed_connects() as (host, it, held):
             client = await it.client()
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
@@ -217,8 +224,8 @@
             client.send(rest)  # which is not read: the body is held
             await client.writer.drain()
             (conn,) = it.clients()
-            leave(client, how)
-            await ended(conn)
+            disconnect(client, how)
+            await wait_for_close(conn)
             held.go.set()
             await later_one(it)
             assert sent(host) == []
@@ -242,16 +249,16 @@
         got: dict[Writer, bytes] = {}
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with server, running_gateway(("a", addr), settings=PATIENT) as it:
+        async with server, running_gateway(("a", addr), settings=LONG_CONNECT_TIMEOUT) as it:
             client = await it.client()
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
             await begun.wait()
-            conn = unread(it)
+            conn = pause_client(it)
             client.send(rest)
             await client.writer.drain()
-            leave(client, how)
-            await ended(conn)
+            disconnect(client, how)
+            await wait_for_close(conn)
             conn.resume_reading()  # the host has taken what there was
             await until(lambda: not it.core.open_requests)
             await until(lambda: not it.clients())
@@ -278,7 +285,7 @@
         got: list[int] = []
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with server, running_gateway(("a", addr), settings=PATIENT) as it:
+        async with server, running_gateway(("a", addr), settings=LONG_CONNECT_TIMEOUT) as it:
             first, rest = _long("r1", MAX_BUFFERED_BODY + 9000)
             with open_socket(it.addr) as client:
                 client.setblocking(False)
@@ -311,7 +318,7 @@
             client.send(request("r1", b"x" * 60_000, wait_ms=20_000))
             await until(lambda: bool(conn.attempt))
             assert conn.has_unsent_bytes()
-            leave(client, how)
+            disconnect(client, how)
             await until(lambda: it.core.counters.disconnected == 1)
             far.transport.resume_reading()  # type: ignore[attr-defined]
             await until(lambda: not it.hosts.connections or len(host.seen) > 1)
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -6,12 +6,14 @@
 
 import pytest
 
-from tests.crossings import PATIENT, held_connects
+from tests.crossings import LONG_CONNECT_TIMEOUT, delayed_connects
 from tests.fake import BASE
 from tests.sockets import Server, Writer, answer, request, running_gateway
 from tests.virtual import eventually, play
 
-SHORT = PATIENT | {"classes": [one | {"memorySpan": 1_000_000} for one in BASE["classes"]]}
+SHORT = LONG_CONNECT_TIMEOUT | {
+    "classes": [one | {"memorySpan": 1_000_000} for one in BASE["classes"]]
+}
 
 
 @pytest.mark.parametrize("late", [True, False])
@@ -33,7 +35,7 @@
             keyed = b"Idempotency-Key: k1\r\n"
             client.send(request("r1", b"pay", fields=keyed, kind=kind))
             await asked.wait()
-            async with held_connects(host.addr) as held:
+            async with delayed_connects(host.addr) as held:
                 go.set()
                 await eventually(lambda: held.waiting == 1)
                 await asyncio.sleep(0.95 if late else 0.5)  # the settings' memory is 1 s
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -10,7 +10,7 @@
 from sailhitch.core.request_context import Attempt
 from sailhitch.net.config import parse_endpoint_update
 from tests import virtual
-from tests.crossings import waiting_gate
+from tests.crossings import gateway_with_delayed_connects
 from tests.sockets import (
     DiscoveryServer,
     RunningGateway,
@@ -241,7 +241,7 @@
     """Its connect does not complete. A 502 or 504 would mean that a payout may have run."""
 
     async def scenario() -> None:
-        async with waiting_gate() as (host, gateway, held):
+        async with gateway_with_delayed_connects() as (host, gateway, held):
             client = await gateway.client()
             assert await client.ask(request("r1", body, wait_ms=200)) == (503, b"")
             assert held.waiting == 1
--- a/tests/test_leaving_hosts.py
+++ b/tests/test_leaving_hosts.py
@@ -14,7 +14,7 @@
 
 from sailhitch.core.core import PERIODIC_INTERVAL
 from sailhitch.core.timer_wheel import LATE
-from tests.crossings import PATIENT, held_connects
+from tests.crossings import LONG_CONNECT_TIMEOUT, delayed_connects
 from tests.sockets import (
     DiscoveryServer,
     Server,
@@ -40,9 +40,9 @@
             async with (
                 registry,
                 running_gateway(
-                    ("a", leaving.addr), discovery=registry.addr, settings=PATIENT
+                    ("a", leaving.addr), discovery=registry.addr, settings=LONG_CONNECT_TIMEOUT
                 ) as it,
-                held_connects(leaving.addr) as held,
+                delayed_connects(leaving.addr) as held,
             ):
                 client = await it.client()
                 client.send(request("r1", body))
@@ -91,8 +91,10 @@
             registry = DiscoveryServer(("a", one.addr))
             async with (
                 registry,
-                running_gateway(("a", one.addr), discovery=registry.addr, settings=PATIENT) as it,
-                held_connects(one.addr) as held,
+                running_gateway(
+                    ("a", one.addr), discovery=registry.addr, settings=LONG_CONNECT_TIMEOUT
+                ) as it,
+                delayed_connects(one.addr) as held,
             ):
                 client = await it.client()
                 client.send(request("r1", b"pay"))
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.crossings import PATIENT
+from tests.crossings import LONG_CONNECT_TIMEOUT
 from tests.sockets import Client, RunningGateway, Server, Writer, answer, request, running_gateway
 from tests.virtual import play
 
@@ -71,7 +71,10 @@
             await asyncio.sleep(0.3)
             await connect(*args)  # type: ignore[arg-type]
 
-        async with Host() as host, running_gateway(("a", host.addr), settings=PATIENT) as it:
+        async with (
+            Host() as host,
+            running_gateway(("a", host.addr), settings=LONG_CONNECT_TIMEOUT) as it,
+        ):
             client = await it.client()
             loop.sock_connect = late  # type: ignore[method-assign, assignment]
             asked = loop.time()
