--- a/sailhitch/__main__.py
+++ b/sailhitch/__main__.py
@@ -17,7 +17,7 @@
 from .net.config import Config, ConfigError, adopt_socket, load_config, reload_config
 from .net.listener import Listener
 from .net.platform import Platform
-from .net.system_errors import retry_shortage
+from .net.system_errors import retry_while_exhausted
 
 if TYPE_CHECKING:
     from .control.server import OperatorServer
@@ -79,7 +79,7 @@
     async def listen() -> Listener:
         return platform.listen(config.listen, BACKLOG, held)
 
-    listener = await retry_shortage(listen)
+    listener = await retry_while_exhausted(listen)
     takeover = await _take_over(platform, listener) if held is not None else None
     operator_server = await _open_operator_server(config, platform, takeover)
     watch = loop.create_task(platform.discovery.run())
@@ -172,7 +172,7 @@
     announce = takeover.mark_changed if takeover else pool.set_maintenance
     server = OperatorServer(OperatorHandlers(pool, announce), pool.core.logger)
     address = config.operator
-    await retry_shortage(lambda: server.listen(address))
+    await retry_while_exhausted(lambda: server.listen(address))
     return server
 
 
--- a/sailhitch/handover/takeover.py
+++ b/sailhitch/handover/takeover.py
@@ -18,7 +18,7 @@
 from ..core.resource_limits import ResourceLimits
 from ..net.listener import Listener
 from ..net.platform import Platform
-from ..net.system_errors import retry_shortage
+from ..net.system_errors import retry_while_exhausted
 from .files import HandoverFiles
 from .frames import (
     FrameKind,
@@ -107,7 +107,7 @@
             return connect(self.files.socket)
 
         try:
-            return await retry_shortage(connect_once)
+            return await retry_while_exhausted(connect_once)
         except OSError as error:
             self.log.write(f"handover: {self.files.socket} can't be reached: {error}")
             return None
--- a/sailhitch/net/system_errors.py
+++ b/sailhitch/net/system_errors.py
@@ -81,7 +81,7 @@
         core.on_descriptors_exhausted(own_limit=error_number == errno.EMFILE)
 
 
-async def retry_shortage(open_resource: Callable[[], Awaitable[T]]) -> T:
+async def retry_while_exhausted(open_resource: Callable[[], Awaitable[T]]) -> T:
     """Open something at process start; retry while the system is out of resources.
 
     A full accept queue of the peer (EAGAIN, unix(7)) counts as such. Raises the last OSError after
