--- a/sailhitch/__main__.py
+++ b/sailhitch/__main__.py
@@ -118,7 +118,7 @@
 async def _wait_for_list(platform: Platform, stop: asyncio.Event) -> None:
     """Wait for the first list of discovery, or for the end, but not for long."""
     loop = asyncio.get_running_loop()
-    waits = [loop.create_task(event.wait()) for event in (platform.discovery.settled, stop)]
+    waits = [loop.create_task(event.wait()) for event in (platform.discovery.first_call_done, stop)]
     await asyncio.wait(waits, timeout=FIRST_LIST, return_when=asyncio.FIRST_COMPLETED)
 
 
--- a/sailhitch/net/discovery.py
+++ b/sailhitch/net/discovery.py
@@ -39,7 +39,7 @@
         self.names = config.names
         self.address = config.discovery
         self.version = config.known_endpoints.version
-        self.settled = asyncio.Event()  # the first call has ended
+        self.first_call_done = asyncio.Event()  # the first call has ended
         self._watch_wanted = asyncio.Event()
         self._address_changed = asyncio.Event()
         self._call: Call | None = None
@@ -79,7 +79,7 @@
         its start, so it asks at once for changes since that list.
         """
         self.version = version
-        self.settled.set()
+        self.first_call_done.set()
         self._watch_wanted.set()
 
     def reconfigure(self, config: Config) -> None:
@@ -154,7 +154,7 @@
                 if isinstance(error, CallError) and error.partial:
                     # An update may have been lost, and is not sent again.
                     self._needs_snapshot = True
-                self.settled.set()
+                self.first_call_done.set()
                 self.core.counters.bad_lists += 1
                 reason = str(error) or type(error).__name__
                 self.core.logger.write_limited(
@@ -170,7 +170,7 @@
                 continue
             reopened = False
             self._backoff.reset()
-            self.settled.set()
+            self.first_call_done.set()
             idle = not has_entries and self.version == version
             if idle and self.core.clock() - started < IMMEDIATE_RESPONSE:
                 await self._pause(MIN_POLL_INTERVAL)
--- a/tests/test_own_stalls.py
+++ b/tests/test_own_stalls.py
@@ -246,7 +246,7 @@
             DiscoveryServer(("a", host.addr)) as registry,
             running_gateway(discovery=registry.addr) as gateway,
         ):
-            await asyncio.wait_for(gateway.platform.discovery.settled.wait(), 5.0)
+            await asyncio.wait_for(gateway.platform.discovery.first_call_done.wait(), 5.0)
             return gateway.core.counters.bad_lists, "a" in gateway.hosts.hosts
 
     monkeypatch.setattr(Discovery, "_connect", connect)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -106,7 +106,7 @@
                 ("a", "127.0.0.1:9"), discovery=agent.addr, settings=rules(250_000, **more)
             ) as gateway,
         ):
-            await eventually(gateway.discovery.settled.is_set)
+            await eventually(gateway.discovery.first_call_done.is_set)
             await asyncio.sleep(4.0 + 0.4 * phase)
             agent.breaks += 1  # calls that are open now are never answered
             agent.drain("a", "127.0.0.1:9")
