--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -11,7 +11,14 @@
 from ..core.pool import Pool
 from ..core.request_context import RequestContext
 from ..core.response import Response
-from ..net.intake import OWN, READY_PATH, Head, RejectError, read_name, read_wait
+from ..net.intake import (
+    GATEWAY_FIELDS,
+    READY_PATH,
+    Head,
+    RejectError,
+    parse_request_id,
+    parse_wait_ms,
+)
 from ..settings import Idempotency
 from .routes import (
     PathError,
@@ -68,7 +75,7 @@
     alone decides the class, and the node gets that one.
     """
 
-    own = OWN | {b"req-kind"}
+    own = GATEWAY_FIELDS | {b"req-kind"}
 
     view: RoutingView  # set by the first switch, before clients are accepted
     gate: Gate | None = None  # asked for each request, where there is one
@@ -135,11 +142,11 @@
             request.name = f"{self._prefix}-{next(self._count):x}".encode()
             request.head += b"Req-Id: %s\r\n" % request.name
         else:
-            request.name = read_name(name)
+            request.name = parse_request_id(name)
         request.head += b"Req-Kind: %s\r\n" % part.name.encode()
         max_wait_ms = part.deadline // 1000
         wait = found.get(b"req-deadline-ms")
-        request.wait_ms = max_wait_ms if wait is None else min(read_wait(wait), max_wait_ms)
+        request.wait_ms = max_wait_ms if wait is None else min(parse_wait_ms(wait), max_wait_ms)
 
     def _query(self, head: Head, found: dict[bytes, bytes], routes: Routes) -> RouteQuery:
         try:
--- a/sailhitch/net/intake.py
+++ b/sailhitch/net/intake.py
@@ -19,7 +19,7 @@
 
 READY_PATH: Final = b"/health/ready"
 # Fields addressed to this gateway, which are forwarded in its own form or not at all.
-OWN: Final = HOP_BY_HOP_FIELDS | {b"req-deadline-ms"}
+GATEWAY_FIELDS: Final = HOP_BY_HOP_FIELDS | {b"req-deadline-ms"}
 READ_FIELDS: Final = frozenset(
     {
         b"content-length",
@@ -108,7 +108,7 @@
 class PlatformIntake:
     """Interprets the platform's header fields, which every request must have."""
 
-    own = OWN
+    own = GATEWAY_FIELDS
 
     def __init__(self, pool: Pool, names: PlatformNames) -> None:
         self.pool = pool
@@ -137,12 +137,12 @@
             return False
         request.pool = self.pool
         names = self.names
-        request.name = read_name(found.get(b"req-id", b""))
+        request.name = parse_request_id(found.get(b"req-id", b""))
         name = found.get(b"req-kind", b"")
         number = names.classes.get(name)
         kind = None if number is None else self.pool.settings.classes[number]
         # No request takes longer than the longest deadline of a class.
-        wait = read_wait(found.get(b"req-deadline-ms", b""))
+        wait = parse_wait_ms(found.get(b"req-deadline-ms", b""))
         request.wait_ms = min(wait, names.longest_deadline // 1000)
         idempotency_key = found.get(b"idempotency-key")
         if kind is None or not _matches_form(kind.idempotency, head, idempotency_key):
@@ -172,14 +172,14 @@
     return head.method == b"POST" and (key is not None) == (idempotency == Idempotency.KEYED)
 
 
-def read_name(name: bytes) -> bytes:
+def parse_request_id(name: bytes) -> bytes:
     """Check a request's id and return it; raises RejectError."""
     if not name or len(name) > 128 or (not name.isalnum() and not _is_visible_ascii(name)):
         raise RejectError(400, "Req-Id missing or invalid")
     return name
 
 
-def read_wait(wait: bytes) -> int:
+def parse_wait_ms(wait: bytes) -> int:
     """Parse how long a client waits, in ms; raises RejectError."""
     if not wait.isdigit() or len(wait) > 9 or int(wait) == 0:
         raise RejectError(400, "Req-Deadline-Ms missing or invalid")
