--- a/tests/test_overlooked_ends.py
+++ b/tests/test_overlooked_ends.py
@@ -38,10 +38,10 @@
 # The real program, whose system has no descriptor or buffer for its first sockets.
 SHORT_START = """
 import errno, socket, sys
-from tests.failing_calls import FailingCall, ModuleWith
+from tests.failing_calls import FailingCall, ModuleProxy
 import sailhitch.net.listener as listener
 call = FailingCall(socket.socket, [errno.ENFILE, errno.ENOBUFS, errno.ENFILE])
-listener.socket = ModuleWith(socket, "socket", call)
+listener.socket = ModuleProxy(socket, "socket", call)
 from sailhitch.__main__ import main
 sys.exit(main([]))
 """
