--- a/sailhitch/net/connection_pool.py
+++ b/sailhitch/net/connection_pool.py
@@ -134,7 +134,7 @@
         if host is None or host.replaced:
             self.pool.defer_outcome(attempt, AttemptOutcome.CONNECT_FAILED)
             return
-        if self._is_forbidden(attempt) or self._is_cancelled(attempt):
+        if self._is_forbidden(attempt) or self._is_abandoned(attempt):
             self.pool.defer_outcome(attempt, AttemptOutcome.NOT_SENT)
             return
         # After a stall, requests may be read before endpoint updates that have waited as long.
@@ -290,24 +290,24 @@
         elif not pool.is_key_remembered(attempt.request, now):
             self.give_back(conn)
             pool.attempt_finished(attempt, AttemptOutcome.WITHHELD, None, None)
-        elif self._is_finished(attempt, now) or not pool.may_send(attempt, now, still_valid):
+        elif self._must_not_send(attempt, now) or not pool.may_send(attempt, now, still_valid):
             self.give_back(conn)
             pool.attempt_finished(attempt, AttemptOutcome.NOT_SENT, None, None)
         elif not conn.begin(attempt, now):
             conn.close()
             pool.attempt_finished(attempt, AttemptOutcome.CONNECT_FAILED, None, None)
 
-    def _is_finished(self, attempt: Attempt, now: int) -> bool:
-        """Return whether an attempt that has waited for its connection must not be sent now."""
+    def _must_not_send(self, attempt: Attempt, now: int) -> bool:
+        """Return whether an attempt must not be sent now that its connection is open."""
         return (
-            now >= attempt.expires_at or self._is_forbidden(attempt) or self._is_cancelled(attempt)
+            now >= attempt.expires_at or self._is_forbidden(attempt) or self._is_abandoned(attempt)
         )
 
     def _is_forbidden(self, attempt: Attempt) -> bool:
         """Return whether current rules forbid an attempt that was chosen under earlier ones."""
         return self.pool.may_write is not None and not self.pool.may_write(attempt)
 
-    def _is_cancelled(self, attempt: Attempt) -> bool:
+    def _is_abandoned(self, attempt: Attempt) -> bool:
         """Return whether nobody waits for this attempt any more.
 
         While a request waited for a token, a connection, another attempt or its turn, its client
--- a/sailhitch/net/discovery.py
+++ b/sailhitch/net/discovery.py
@@ -39,7 +39,7 @@
         self.names = config.names
         self.address = config.discovery
         self.version = config.known_endpoints.version
-        self.first_call_done = asyncio.Event()  # the first call has ended
+        self.first_call_done = asyncio.Event()  # also set if that call failed
         self._watch_wanted = asyncio.Event()
         self._address_changed = asyncio.Event()
         self._call: Call | None = None
@@ -96,8 +96,8 @@
     def _change_address(self, address: Address) -> None:
         """Use another address from now on, and ask it for the full list at once.
 
-        Versions of two services can't be compared, so the old one is dropped. An open call is
-        aborted: its response could be older than what the new service sends.
+        Versions of two services can't be compared, so the current one is not sent to it. An open
+        call is aborted: its response could be older than what the new service sends.
         """
         if address == self.address:
             return
@@ -182,8 +182,8 @@
         fail. The decision module's own backoff does not consider connections, nor how long a call
         took.
         """
-        left = self.times.next_call - (self.core.clock() - started) / 1e6
-        return max(0.0, min(self._backoff.pause(), left))
+        time_left = self.times.next_call - (self.core.clock() - started) / 1e6
+        return max(0.0, min(self._backoff.pause(), time_left))
 
     async def _pause(self, seconds: float) -> None:
         """Wait between two calls, unless the address of discovery changes."""
--- a/sailhitch/net/discovery_timing.py
+++ b/sailhitch/net/discovery_timing.py
@@ -19,9 +19,8 @@
 SHARED_NEXT_CALL: Final = (
     NOTIFY_WITHIN - PROCESSING_MARGIN - SHARED_CONNECT_TIMEOUT - SHARED_RESPONSE_TIMEOUT
 )
-SHARED_WAIT: Final = (
-    SHARED_NEXT_CALL - SHARED_RESPONSE_TIMEOUT
-)  # s that a watch call waits for an update
+# s that a watch call waits for an update
+SHARED_WAIT: Final = SHARED_NEXT_CALL - SHARED_RESPONSE_TIMEOUT
 SHARED_BACKOFF_MIN: Final = 0.25  # s
 SHARED_BACKOFF_MAX: Final = 1.0  # s, with few gateways
 
--- a/sailhitch/net/listener.py
+++ b/sailhitch/net/listener.py
@@ -105,9 +105,7 @@
             verdict = core.admission_verdict()
             if verdict == Verdict.WAIT and not closing:
                 self._backlog_since = self._backlog_since or core.clock()
-                return (
-                    AcceptResult.MORE_MAY_WAIT
-                )  # closing descriptors are free in the next iteration
+                return AcceptResult.MORE_MAY_WAIT  # closing descriptors are free next turn
             try:
                 sock, peer = self.sock.accept()
             except BlockingIOError:
--- a/sailhitch/net/request_reader.py
+++ b/sailhitch/net/request_reader.py
@@ -20,7 +20,7 @@
 from .response_writer import ResponseWriter
 from .tcp_info import data_arrival
 
-MAX_PIPELINED: Final = 4  # requests that a client may send before it gets a response
+MAX_PIPELINED: Final = 4  # requests of a client that may be queued for dispatch
 
 
 class RequestReader(ResponseWriter):
--- a/sailhitch/net/upstream_connection.py
+++ b/sailhitch/net/upstream_connection.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from .connection_pool import ConnectionPool, Host
 
-CHUNK_BYTES: Final = 64 * 1024  # of a large request, passed to the transport at a time
+CHUNK_BYTES: Final = 64 * 1024  # large requests are passed to the transport in such pieces
 # A response of unknown length is streamed if it is incomplete so many us after its head.
 STREAM_AFTER: Final = 300_000
 # A host that streams a response more slowly than this counts as stalled.
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -274,7 +274,7 @@
 
 
 def test_a_lack_of_descriptors_does_not_count_against_hosts() -> None:
-    async def act(gateway: RunningGateway) -> None:
+    async def check(gateway: RunningGateway) -> None:
         gateway.core.free_descriptor = lambda: False  # type: ignore[method-assign]
         client = await gateway.client()
         assert (await client.ask(request("r1")))[0] == 503
@@ -282,7 +282,7 @@
 
     async def scenario() -> None:
         async with Server() as host, running_gateway(("a", host.addr)) as gateway:
-            await act(gateway)
+            await check(gateway)
 
     asyncio.run(scenario())
 
