--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,4 +1,4 @@
-"""Ways to hold a moment open, so that a test decides what crosses what."""
+"""Aids to delay connects and disconnects, so that a test controls the order of events."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from typing import Any
 
 from sailhitch.net.downstream import Downstream
-from tests.sockets import PATIENCE, Client, Gate, Server, gate, until
+from tests.sockets import TEST_TIMEOUT, Client, RunningGateway, Server, running_gateway, until
 
-# No time-out of ours decides a race that a test holds open.
-PATIENT: dict[str, Any] = {"limits": {"connectTimeout": 20_000_000}}
+# Long enough that no connect timeout ends an attempt that a test delays.
+LONG_CONNECT_TIMEOUT: dict[str, Any] = {"limits": {"connectTimeout": 20_000_000}}
 
 
-class Held:
-    """What waits at a door of the loop, and the key to it."""
+class Barrier:
+    """Counts the tasks that wait for it, and lets them continue once `go` is set."""
 
     def __init__(self) -> None:
         self.waiting = 0
@@ -26,48 +26,48 @@
 
     async def wait(self) -> None:
         self.waiting += 1
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await self.go.wait()
 
 
 @contextlib.asynccontextmanager
-async def held_connects(to: str) -> AsyncIterator[Held]:
-    """Connections to an address come up when the test says so."""
+async def delayed_connects(to: str) -> AsyncIterator[Barrier]:
+    """Delay connects to an address until the test releases the barrier."""
     loop: Any = asyncio.get_running_loop()
-    connect, held = loop.sock_connect, Held()
+    connect, barrier = loop.sock_connect, Barrier()
     host, _, port = to.rpartition(":")
 
     async def wait(sock: Any, addr: Any) -> None:
         if addr == (host, int(port)):
-            await held.wait()
+            await barrier.wait()
         await connect(sock, addr)
 
     loop.sock_connect = wait
     try:
-        yield held
+        yield barrier
     finally:
-        held.go.set()
+        barrier.go.set()
         loop.sock_connect = connect
 
 
 @contextlib.asynccontextmanager
-async def waiting_gate() -> AsyncIterator[tuple[Server, Gate, Held]]:
-    """A gateway with one host, whose connections come up when the test says so."""
+async def gateway_with_delayed_connects() -> AsyncIterator[tuple[Server, RunningGateway, Barrier]]:
+    """Run a gateway with one host; connects to it wait until the test releases the barrier."""
     async with (
         Server() as host,
-        gate(("a", host.addr), settings=PATIENT) as it,
-        held_connects(host.addr) as held,
+        running_gateway(("a", host.addr), settings=LONG_CONNECT_TIMEOUT) as gateway,
+        delayed_connects(host.addr) as barrier,
     ):
-        yield host, it, held
+        yield host, gateway, barrier
 
 
 def reset_at_close(sock: Any) -> None:
-    """Closing it resets the connection."""
+    """Have close(2) reset the connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-def leave(client: Client, how: str) -> None:
-    """A client closes its connection: in the ordinary way, with a reset, or with more behind."""
+def disconnect(client: Client, how: str) -> None:
+    """Close a client connection: orderly, with a reset, or right after sending more bytes."""
     sock = client.writer.get_extra_info("socket")
     if how == "reset":
         reset_at_close(sock)
@@ -76,16 +76,16 @@
     client.writer.transport.abort()
 
 
-def unread(it: Gate) -> Downstream:
-    """A client's connection that the loop has no time to read."""
-    (conn,) = it.clients()
+def pause_client(gateway: RunningGateway) -> Downstream:
+    """Pause reading the only client connection, as if the loop were busy; return it."""
+    (conn,) = gateway.clients()
     assert conn.transport is not None
     conn.transport.pause_reading()
     return conn
 
 
-async def ended(conn: Downstream) -> None:
-    """The end of a client's connection has come, whoever has read it."""
-    look = select.poll()
-    look.register(conn.sock, select.POLLRDHUP)
-    await until(lambda: bool(look.poll(0)))
+async def wait_for_close(conn: Downstream) -> None:
+    """Wait until the client's close has reached the socket, read or not."""
+    poll = select.poll()
+    poll.register(conn.sock, select.POLLRDHUP)
+    await until(lambda: bool(poll.poll(0)))
--- a/tests/generations.py
+++ b/tests/generations.py
@@ -15,9 +15,9 @@
 
 from sailhitch.lab.ports import free_port
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     Client,
-    Registry,
+    DiscoveryServer,
     Server,
     config_value,
     dial,
@@ -29,7 +29,7 @@
     """One call to an operators' door: the status it is answered with."""
     client = await dial(addr)
     client.send(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
-    answer = await client.rest()
+    answer = await client.read_to_end()
     client.writer.close()
     return int(answer.split(b" ")[1])
 
@@ -52,14 +52,14 @@
         return await call(self.operator, f"/maintenance/exit?target={host}")
 
     async def until_serving(self) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while not await self.serving():
                 assert self.program.returncode is None, self.log.read_text()
                 await asyncio.sleep(0.02)
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> int:
         self.program.send_signal(number)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             return await self.program.wait()
 
 
@@ -73,7 +73,7 @@
 
     async def until_read(self) -> None:
         """Wait until a process has opened it."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while self._descriptor < 0:
                 with contextlib.suppress(OSError):  # ENXIO: nobody has
                     self._descriptor = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
@@ -157,7 +157,7 @@
         for host in hosts.values():
             await stack.enter_async_context(host)
         named = [(name, host.addr) for name, host in hosts.items()]
-        registry = await stack.enter_async_context(Registry(*named))
+        registry = await stack.enter_async_context(DiscoveryServer(*named))
         value = config_value(registry.addr, *named)
         yield await stack.enter_async_context(site(folder, value))
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -15,15 +15,28 @@
 from sailhitch.core.budget import Budget
 from sailhitch.core.process import finish
 from sailhitch.front import time_limits
-from tests.sockets import PATIENCE, Gate, Server, Writer, answer, fill, gate, plain, request, until
+from tests.sockets import (
+    TEST_TIMEOUT,
+    RunningGateway,
+    Server,
+    Writer,
+    answer,
+    open_socket,
+    request,
+    running_gateway,
+    start_requests,
+    until,
+)
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: x1\r\nReq-Kind: side_effect-all\r\n"
 WAIT = b"Req-Deadline-Ms: 900\r\n"
 
 
-def run_scenario(scenario: Callable[[Gate, Server], Awaitable[None]], **changes: Any) -> None:
+def run_scenario(
+    scenario: Callable[[RunningGateway, Server], Awaitable[None]], **changes: Any
+) -> None:
     async def run() -> None:
-        async with Server() as host, gate(("a", host.addr), **changes) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr), **changes) as gateway:
             await scenario(gateway, host)
             # In each scenario the gateway keeps serving, and no buffered body is left.
             client = await gateway.client()
@@ -66,10 +79,10 @@
 
 @pytest.mark.parametrize("kind", list(MALFORMED))
 def test_a_malformed_request_gets_an_error_and_is_not_forwarded(kind: str) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(MALFORMED[kind])
-        got = await client.rest()
+        got = await client.read_to_end()
         assert got[:10] == b"HTTP/1.1 4", got[:100]
         assert got.count(b"HTTP/1.1 ") == 1
         assert host.seen == []
@@ -78,13 +91,13 @@
 
 
 def test_half_a_request_and_a_close_leaves_nothing_behind() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         for part in (request("x1")[:30], request("x2", b"b" * 5000)[:-2000]):
             client = await gateway.client()
             client.send(part)
             await until(lambda: any(not c.is_idle() for c in gateway.core.clients))
             client.writer.write_eof()
-            await client.rest()
+            await client.read_to_end()
         await until(lambda: not gateway.core.clients)
         assert host.seen == []
 
@@ -95,10 +108,10 @@
     "part", [b"", b"\r\n", request("x1")[:30], request("x1", b"b" * 60_000)[:-10]]
 )
 def test_a_stalled_request_times_out(part: bytes) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(part)
-        got = await client.rest()  # returns only once the gateway has closed the connection
+        got = await client.read_to_end()  # returns only once the gateway has closed the connection
         assert got == b"" or got.startswith(b"HTTP/1.1 408")
         assert host.seen == []
 
@@ -117,7 +130,7 @@
 
 
 def test_a_trickling_client_gains_no_time_with_each_byte() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
 
         async def trickle() -> None:
@@ -126,7 +139,7 @@
                 await asyncio.sleep(0.1)
 
         task = asyncio.ensure_future(trickle())
-        got = await client.rest()
+        got = await client.read_to_end()
         task.cancel()
         assert got == b"" or got.startswith(b"HTTP/1.1 408")
         assert host.seen == []
@@ -142,7 +155,7 @@
         writer.write(answer(b"mine"))
 
     async def run() -> None:
-        async with Server(slow) as host, gate(("a", host.addr)) as gateway:
+        async with Server(slow) as host, running_gateway(("a", host.addr)) as gateway:
             first = await gateway.client()
             first.send(request("same", b"body"))
             await until(lambda: len(host.seen) == 1)
@@ -163,7 +176,7 @@
         writer.write(answer(message.partition(b"Req-Id: ")[2].partition(b"\r\n")[0]))
 
     async def run() -> None:
-        async with Server(echo) as host, gate(("a", host.addr)) as gateway:
+        async with Server(echo) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             client.send(b"".join(request(f"p{i}") for i in range(4)))
             for i in range(4):
@@ -182,7 +195,7 @@
         writer.write(answer(b"served"))
 
     async def run() -> None:
-        async with Server(wait) as host, gate(("a", host.addr)) as gateway:
+        async with Server(wait) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             client.send(request("r1") + request("r2", b"pay") + request("r3"))
             await asked.wait()
@@ -192,7 +205,7 @@
             go.set()
             for _ in range(3):
                 assert await client.answer() == (200, b"served")
-            assert await client.rest() == b""
+            assert await client.read_to_end() == b""
             await end
             assert len(host.seen) == 3
 
@@ -201,15 +214,15 @@
 
 def test_too_many_pipelined_requests_end_the_connection_with_one_error() -> None:
     async def silent(message: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def run() -> None:
-        async with Server(silent) as host, gate(("a", host.addr)) as gateway:
+        async with Server(silent) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             client.send(request("first", b"body"))
             await until(lambda: len(host.seen) == 1)
             client.send(b"".join(request(f"p{i}") for i in range(50)))
-            got = await client.rest()
+            got = await client.read_to_end()
             assert got.startswith(b"HTTP/1.1 400")
             assert got.count(b"HTTP/1.1") == 1
             assert len(host.seen) == 1
@@ -218,7 +231,7 @@
 
 
 def test_bodies_beyond_the_budget_are_rejected_not_buffered() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         gateway.core.budget.limit = 100_000
         clients = [await gateway.client() for _ in range(4)]
         for i, client in enumerate(clients):
@@ -237,7 +250,7 @@
 
 
 def test_a_request_with_upgrade_is_answered_as_http_1_1() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         for i, more in enumerate((b"", b"Connection: Upgrade, HTTP2-Settings\r\n")):
             client = await gateway.client()
             fields = more + b"Upgrade: h2c\r\nHTTP2-Settings: AAMAAABkAAQ\r\n"
@@ -247,7 +260,7 @@
 
 
 def test_connection_options_do_not_remove_the_request_id() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         fields = b"Connection: keep-alive, req-id, idempotency-key\r\n"
         assert (await client.ask(request("kept", fields=fields)))[0] == 200
@@ -257,7 +270,7 @@
 
 
 def test_silent_connections_do_not_block_other_clients() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         old = await gateway.client()
         assert await old.ask(request("before")) == (200, b"served")
         crowd = [await gateway.client() for _ in range(300)]
@@ -272,8 +285,8 @@
 
 
 def test_a_connection_with_an_unread_request_is_not_closed_as_idle() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
-        sock = plain(gateway.addr)
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
+        sock = open_socket(gateway.addr)
         with sock:
             await until(lambda: len(gateway.core.clients) == 1)
             (client,) = gateway.clients()
@@ -289,7 +302,7 @@
 
 
 def test_a_burst_of_connections_stays_within_the_descriptor_limit() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         most, limit = 0, gateway.platform.config.descriptors
         address = gateway.addr.rpartition(":")[0], int(gateway.addr.rpartition(":")[2])
         base = len(os.listdir("/proc/self/fd"))
@@ -312,20 +325,20 @@
 
 def test_connections_are_rejected_when_no_descriptor_can_be_freed() -> None:
     async def silent(message: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def run() -> None:
         async with (
             Server(silent) as host,
-            gate(("a", host.addr), limits={"sockets": 64}) as gateway,
+            running_gateway(("a", host.addr), limits={"sockets": 64}) as gateway,
         ):
-            _held = await fill(gateway, 80)
+            _held = await start_requests(gateway, 80)
             await until(lambda: gateway.core.counters.crowded > 0)
             held = len(gateway.core.clients) + len(gateway.core.arriving) + gateway.hosts.size()
             assert held <= 64
             last = await gateway.client()
             # Rejected without reading its request, so that a retry is safe.
-            assert (await last.rest()).startswith(b"HTTP/1.1 503 ")
+            assert (await last.read_to_end()).startswith(b"HTTP/1.1 503 ")
 
     asyncio.run(run())
 
@@ -333,16 +346,19 @@
 def test_queued_connections_are_answered_when_the_listener_closes() -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        async with Server() as host, gate(("a", host.addr), limits={"sockets": 64}) as gateway:
+        async with (
+            Server() as host,
+            running_gateway(("a", host.addr), limits={"sockets": 64}) as gateway,
+        ):
             with contextlib.ExitStack() as stack:
                 crowd = []
                 for i in range(80):  # the event loop doesn't run meanwhile, so none is accepted
-                    one = stack.enter_context(plain(gateway.addr))
+                    one = stack.enter_context(open_socket(gateway.addr))
                     one.sendall(request(f"w{i}"))
                     one.setblocking(False)
                     crowd.append(one)
                 gateway.listener.close()
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT):
                     got = [await loop.sock_recv(one, 1000) for one in crowd]
             said = Counter(one[:13] for one in got)
             assert set(said) == {b"HTTP/1.1 200 ", b"HTTP/1.1 503 "}, said
@@ -355,10 +371,13 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: \t 6 \t\r\n\r\nserved")
 
     async def run() -> None:
-        async with Server(respond_with_whitespace) as host, gate(("a", host.addr)) as gateway:
+        async with (
+            Server(respond_with_whitespace) as host,
+            running_gateway(("a", host.addr)) as gateway,
+        ):
             client = await gateway.client()
-            plain = request("b1", b"effect", fields=b"Transfer-Encoding: \t chunked\r\n")
-            head, _, body = plain.partition(b"\r\n\r\n")
+            open_socket = request("b1", b"effect", fields=b"Transfer-Encoding: \t chunked\r\n")
+            head, _, body = open_socket.partition(b"\r\n\r\n")
             lines = [line + b"  " for line in head.split(b"\r\n") if b"Content-Le" not in line]
             lines[0] = lines[0].strip()
             chunked = b"\r\n".join(lines) + b"\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -15,21 +15,38 @@
 from sailhitch.core.budget import MAX_BUFFERED_BODY
 from sailhitch.core.endpoints import EndpointUpdate
 from sailhitch.net import connection_pool
-from tests.crossings import PATIENT, ended, leave, reset_at_close, unread, waiting_gate
-from tests.sockets import Client, Gate, Server, Writer, answer, gate, plain, request, until
+from tests.crossings import (
+    LONG_CONNECT_TIMEOUT,
+    disconnect,
+    gateway_with_delayed_connects,
+    pause_client,
+    reset_at_close,
+    wait_for_close,
+)
+from tests.sockets import (
+    Client,
+    RunningGateway,
+    Server,
+    Writer,
+    answer,
+    open_socket,
+    request,
+    running_gateway,
+    until,
+)
 
 DISCONNECTS = ("end", "reset", "bytes before")
-pytestmark = pytest.mark.parametrize("disconnect", DISCONNECTS)
+pytestmark = pytest.mark.parametrize("method", DISCONNECTS)
 
 
-async def disconnect_unread(gateway: Gate, client: Client, disconnect: str) -> None:
+async def disconnect_unread(gateway: RunningGateway, client: Client, method: str) -> None:
     """End the client's connection without the event loop reading that."""
-    conn = unread(gateway)
-    leave(client, disconnect)
-    await ended(conn)
+    conn = pause_client(gateway)
+    disconnect(client, method)
+    await wait_for_close(conn)
 
 
-async def serve_later_request(gateway: Gate) -> None:
+async def serve_later_request(gateway: RunningGateway) -> None:
     """Serve another client's request."""
     client = await gateway.client()
     assert await client.ask(request("later")) == (200, b"served")
@@ -41,15 +58,15 @@
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_queued_without_a_host(disconnect: str, body: bytes | None) -> None:
+def test_queued_without_a_host(method: str, body: bytes | None) -> None:
     async def run() -> None:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             known = gateway.pool.endpoints["a"]
             gateway.pool.on_endpoint_update(EndpointUpdate(1, True, (), 0, frozenset()))
             client = await gateway.client()
             client.send(request("r1", body))
             await until(lambda: bool(gateway.pool.policy.backlog.held))
-            await disconnect_unread(gateway, client, disconnect)
+            await disconnect_unread(gateway, client, method)
             gateway.pool.on_endpoint_update(EndpointUpdate(2, True, (known,), 0, frozenset()))
             await serve_later_request(gateway)
             assert received(host) == []
@@ -62,13 +79,13 @@
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_waiting_for_a_connection(disconnect: str, body: bytes | None) -> None:
+def test_waiting_for_a_connection(method: str, body: bytes | None) -> None:
     async def run() -> None:
-        async with waiting_gate() as (host, gateway, pending_connects):
+        async with gateway_with_delayed_connects() as (host, gateway, pending_connects):
             client = await gateway.client()
             client.send(request("r1", body))
             await until(lambda: pending_connects.waiting == 1)
-            await disconnect_unread(gateway, client, disconnect)
+            await disconnect_unread(gateway, client, method)
             pending_connects.go.set()
             await serve_later_request(gateway)
             assert received(host) == []
@@ -80,13 +97,13 @@
 
 @pytest.mark.parametrize("body", [None, b"pay"])
 def test_waiting_for_the_reuse_delay_of_a_connection(
-    disconnect: str, body: bytes | None, monkeypatch: pytest.MonkeyPatch
+    method: str, body: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection waits for REUSE_DELAY after a response before it is used again."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY", 300_000)
 
     async def run() -> None:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             first = await gateway.client()
             assert await first.ask(request("r0")) == (200, b"served")
             first.writer.close()
@@ -98,7 +115,7 @@
             (attempt,) = request_context.open_attempts
             assert attempt.pending_connect is not None
             assert not gateway.hosts.connecting
-            await disconnect_unread(gateway, client, disconnect)
+            await disconnect_unread(gateway, client, method)
             await until(lambda: not gateway.core.open_requests)
             await serve_later_request(gateway)
             assert len(received(host)) == 1
@@ -108,7 +125,7 @@
 
 
 @pytest.mark.parametrize("body", [None, b"pay"])
-def test_between_two_attempts(disconnect: str, body: bytes | None) -> None:
+def test_between_two_attempts(method: str, body: bytes | None) -> None:
     asked, go = asyncio.Event(), asyncio.Event()
 
     async def reject(message: bytes, writer: Writer) -> None:
@@ -123,12 +140,12 @@
         async with (
             Server(reject) as one,
             Server(reject) as two,
-            gate(("a", one.addr), ("b", two.addr)) as gateway,
+            running_gateway(("a", one.addr), ("b", two.addr)) as gateway,
         ):
             client = await gateway.client()
             client.send(request("r1", body))
             await asked.wait()
-            await disconnect_unread(gateway, client, disconnect)
+            await disconnect_unread(gateway, client, method)
             go.set()
             await until(lambda: "full" in gateway.core.counters.statuses)
             await serve_later_request(gateway)
@@ -139,7 +156,7 @@
     asyncio.run(run())
 
 
-def test_hedge_beside_an_open_attempt(disconnect: str) -> None:
+def test_hedge_beside_an_open_attempt(method: str) -> None:
     asked = asyncio.Event()
 
     async def silent(message: bytes, writer: Writer) -> None:
@@ -151,12 +168,12 @@
         async with (
             Server(silent) as one,
             Server(silent) as two,
-            gate(("a", one.addr), ("b", two.addr)) as gateway,
+            running_gateway(("a", one.addr), ("b", two.addr)) as gateway,
         ):
             client = await gateway.client()
             client.send(request("r1"))
             await asked.wait()
-            await disconnect_unread(gateway, client, disconnect)
+            await disconnect_unread(gateway, client, method)
             (req,) = gateway.core.open_requests
             other = "b" if one.seen else "a"
             gateway.pool.notify_policy(
@@ -169,7 +186,7 @@
     asyncio.run(run())
 
 
-def test_queued_behind_a_pipelined_request(disconnect: str) -> None:
+def test_queued_behind_a_pipelined_request(method: str) -> None:
     asked, go = asyncio.Event(), asyncio.Event()
 
     async def wait(message: bytes, writer: Writer) -> None:
@@ -178,11 +195,11 @@
         writer.write(answer(b"served"))
 
     async def run() -> None:
-        async with Server(wait) as host, gate(("a", host.addr)) as gateway:
+        async with Server(wait) as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             client.send(request("r1") + request("r2", b"pay"))
             await asked.wait()
-            await disconnect_unread(gateway, client, disconnect)
+            await disconnect_unread(gateway, client, method)
             go.set()
             await serve_later_request(gateway)
             assert len(received(host)) == 1
@@ -197,9 +214,9 @@
     return whole[:first], whole[first:]
 
 
-def test_with_half_a_body_and_no_connection_yet(disconnect: str) -> None:
+def test_with_half_a_body_and_no_connection_yet(method: str) -> None:
     async def run() -> None:
-        async with waiting_gate() as (host, gateway, pending_connects):
+        async with gateway_with_delayed_connects() as (host, gateway, pending_connects):
             client = await gateway.client()
             first, rest = _split_long_request("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
@@ -207,8 +224,8 @@
             client.send(rest)  # is not read, as the buffer for the body is full
             await client.writer.drain()
             (conn,) = gateway.clients()
-            leave(client, disconnect)
-            await ended(conn)
+            disconnect(client, method)
+            await wait_for_close(conn)
             pending_connects.go.set()
             await serve_later_request(gateway)
             assert received(host) == []
@@ -218,7 +235,7 @@
     asyncio.run(run())
 
 
-def test_with_the_rest_of_a_body_unread(disconnect: str) -> None:
+def test_with_the_rest_of_a_body_unread(method: str) -> None:
     """The host has the start of the body, and would run the request after its last byte."""
     begun = asyncio.Event()
 
@@ -232,16 +249,16 @@
         got: dict[Writer, bytes] = {}
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with server, gate(("a", addr), settings=PATIENT) as gateway:
+        async with server, running_gateway(("a", addr), settings=LONG_CONNECT_TIMEOUT) as gateway:
             client = await gateway.client()
             first, rest = _split_long_request("r1", MAX_BUFFERED_BODY + 9000)
             client.send(first)
             await begun.wait()
-            conn = unread(gateway)
+            conn = pause_client(gateway)
             client.send(rest)
             await client.writer.drain()
-            leave(client, disconnect)
-            await ended(conn)
+            disconnect(client, method)
+            await wait_for_close(conn)
             conn.resume_reading()  # as if the host had taken all that was sent
             await until(lambda: not gateway.core.open_requests)
             await until(lambda: not gateway.clients())
@@ -257,7 +274,7 @@
     asyncio.run(run())
 
 
-def test_with_its_last_byte_read_in_the_same_loop_iteration(disconnect: str) -> None:
+def test_with_its_last_byte_read_in_the_same_loop_iteration(method: str) -> None:
     """The rest of the body and the end of the connection arrive in one loop iteration."""
 
     async def run() -> None:
@@ -268,15 +285,15 @@
         got: list[int] = []
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         addr = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with server, gate(("a", addr), settings=PATIENT) as gateway:
+        async with server, running_gateway(("a", addr), settings=LONG_CONNECT_TIMEOUT) as gateway:
             first, rest = _split_long_request("r1", MAX_BUFFERED_BODY + 9000)
-            with plain(gateway.addr) as client:
+            with open_socket(gateway.addr) as client:
                 client.setblocking(False)
                 await asyncio.get_running_loop().sock_sendall(client, first)
                 await until(lambda: sum(got) >= MAX_BUFFERED_BODY)
-                if disconnect == "reset":
+                if method == "reset":
                     reset_at_close(client)
-                more = b"GET /more HTTP/1.1\r\n" if disconnect == "bytes before" else b""
+                more = b"GET /more HTTP/1.1\r\n" if method == "bytes before" else b""
                 assert client.send(rest + more) == len(rest + more)
             await until(
                 lambda: (
@@ -290,11 +307,11 @@
     asyncio.run(run())
 
 
-def test_with_its_last_bytes_unsent(disconnect: str) -> None:
+def test_with_its_last_bytes_unsent(method: str) -> None:
     """The host reads slowly, so the last bytes wait in the gateway."""
 
     async def run() -> None:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             assert await client.ask(request("r0")) == (200, b"served")
             (conn,) = gateway.hosts.connections
@@ -307,7 +324,7 @@
             client.send(request("r1", b"x" * 60_000, wait_ms=20_000))
             await until(lambda: bool(conn.attempt))
             assert conn.has_unsent_bytes()
-            leave(client, disconnect)
+            disconnect(client, method)
             await until(lambda: gateway.core.counters.disconnected == 1)
             host_writer.transport.resume_reading()  # type: ignore[attr-defined]
             await until(lambda: not gateway.hosts.connections or len(host.seen) > 1)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,12 +18,12 @@
 
 from sailhitch.lab.ports import free_port
 from tests.sockets import (
-    Registry,
+    DiscoveryServer,
     Server,
     Writer,
     config_value,
     dial,
-    plain,
+    open_socket,
     process,
     request,
     until,
@@ -84,12 +84,12 @@
                 with open_clients() as clients:
                     loop = asyncio.get_running_loop()
                     for number in range(20):
-                        clients.append(plain(addr))
+                        clients.append(open_socket(addr))
                         clients[-1].setblocking(False)
                         await loop.sock_sendall(clients[-1], request(f"r{number}"))
                         assert await loop.sock_recv(clients[-1], 1000)
                     await exhaust_descriptors(program.pid)
-                    registry = Registry(("a", host.addr))
+                    registry = DiscoveryServer(("a", host.addr))
                     await restart_discovery(registry, discovery_address)
                     await wait_for_watch(registry)
                     registry.stop()
@@ -138,7 +138,7 @@
                     registry.stop()
                     registry.seen.clear()
                     await until(lambda: descriptor_count(program.pid) >= DESCRIPTORS_IN_USE)
-                    registry.answerer = Registry(("a", host.addr)).reply
+                    registry.handler = DiscoveryServer(("a", host.addr)).reply
                     await restart_discovery(registry, registry.addr)
                     await wait_for_watch(registry)
                     assert descriptor_count(program.pid) <= DESCRIPTORS
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -6,12 +6,14 @@
 
 import pytest
 
-from tests.crossings import PATIENT, held_connects
+from tests.crossings import LONG_CONNECT_TIMEOUT, delayed_connects
 from tests.fake import BASE
-from tests.sockets import Server, Writer, answer, gate, request
+from tests.sockets import Server, Writer, answer, request, running_gateway
 from tests.virtual import eventually, play
 
-SHORT_WINDOW = PATIENT | {"classes": [one | {"memorySpan": 1_000_000} for one in BASE["classes"]]}
+SHORT_WINDOW = LONG_CONNECT_TIMEOUT | {
+    "classes": [one | {"memorySpan": 1_000_000} for one in BASE["classes"]]
+}
 
 
 @pytest.mark.parametrize("after_window", [True, False])
@@ -30,12 +32,15 @@
         writer.transport.abort()
 
     async def scenario() -> None:
-        async with Server(reset) as host, gate(("a", host.addr), settings=SHORT_WINDOW) as it:
+        async with (
+            Server(reset) as host,
+            running_gateway(("a", host.addr), settings=SHORT_WINDOW) as it,
+        ):
             client = await it.client()
             keyed = b"Idempotency-Key: k1\r\n"
             client.send(request("r1", b"pay", fields=keyed, kind=kind))
             await received.wait()
-            async with held_connects(host.addr) as held:
+            async with delayed_connects(host.addr) as held:
                 go.set()
                 await eventually(lambda: held.waiting == 1)
                 await asyncio.sleep(0.95 if after_window else 0.5)  # the idempotency window is 1 s
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -20,15 +20,15 @@
 from sailhitch.net import response_writer, upstream_connection
 from tests.crossings import reset_at_close
 from tests.sockets import (
-    PATIENCE,
+    TEST_TIMEOUT,
     Client,
-    Gate,
+    RunningGateway,
     Server,
     Writer,
     answer,
-    gate,
     read_message,
     request,
+    running_gateway,
     until,
 )
 
@@ -131,10 +131,10 @@
 
 
 def run_scenario(
-    scenario: Callable[[Gate, Server], Awaitable[None]], host: Server, **changes: Any
+    scenario: Callable[[RunningGateway, Server], Awaitable[None]], host: Server, **changes: Any
 ) -> None:
     async def run() -> None:
-        async with host, gate(("a", host.addr), **changes) as gateway:
+        async with host, running_gateway(("a", host.addr), **changes) as gateway:
             await scenario(gateway, host)
             await until(lambda: gateway.core.budget.reserved == gateway.core.budget.streamed == 0)
             assert gateway.core.counters.panics == gateway.core.counters.faults == 0
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize("form", [b"length", b"chunked", b"close"])
 @pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, 3 * MB])
 def test_bodies_of_any_form_and_length_go_both_ways(form: bytes, size: int) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         for i, step in enumerate((0, 7_001, 200_000)):
             plain = request(f"r{i}", BODY[:size], fields=b"X-Form: %s\r\n" % form)
@@ -187,11 +187,11 @@
 
 
 def test_an_http_1_0_client_gets_a_long_response_of_unknown_length() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         asked = request("r", fields=b"X-Form: chunked\r\n").replace(b"HTTP/1.1", b"HTTP/1.0")
         client.send(asked)
-        head, _, body = (await client.rest()).partition(b"\r\n\r\n")
+        head, _, body = (await client.read_to_end()).partition(b"\r\n\r\n")
         assert body == BODY
         assert b"transfer-encoding" not in head.lower()
 
@@ -203,7 +203,7 @@
 ) -> None:
     count, most = 12, 0
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         nonlocal most
 
         async def one(i: int) -> None:
@@ -245,7 +245,7 @@
             await writer.drain()
             writer.transport.close()
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(request("r", b"effect"))
         with pytest.raises((asyncio.IncompleteReadError, OSError)):
@@ -269,7 +269,7 @@
 ) -> None:
     """Without a length, only an orderly close ends a response; a reset means it is incomplete."""
 
-    gates: list[Gate] = []
+    gates: list[RunningGateway] = []
 
     async def aborts(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + BODY[:size])
@@ -277,7 +277,7 @@
         await until(lambda: any(conn.size >= size for conn in gates[0].hosts.connections))
         reset(writer)
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         gates.append(gateway)
         client = await gateway.client()
         asked = request("r", b"effect", fields=b"Connection: close\r\n")
@@ -306,7 +306,7 @@
 
     begun = asyncio.Event()
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(request("r", b"effect").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
         assert await client.reader.read(65536)
@@ -329,17 +329,17 @@
             writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
             self.seen.append(b"declined")
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         whole = request("r", BODY)
         client.send(whole[: 2 * MAX_BUFFERED_BODY])
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             early = await read_message(client.reader)
         assert early.startswith(b"HTTP/1.1 503")
         assert b"\r\nConnection: close\r\n" in early
         # The rest of the body is read, as closing with unread bytes would reset the connection.
         client.send(whole[2 * MAX_BUFFERED_BODY :])
-        assert await client.rest() == b""
+        assert await client.read_to_end() == b""
 
     run_scenario(scenario, EarlyRejectingServer())
 
@@ -369,7 +369,7 @@
 
 
 def test_a_client_that_disconnects_during_its_upload_leaves_nothing_behind() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         assert isinstance(host, HalfReader)
         client = await gateway.client()
         client.send(request("r", BODY)[: 2 * MB])
@@ -385,7 +385,7 @@
 
 
 def test_an_upload_whose_start_is_released_is_rejected_when_its_host_fails() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         assert isinstance(host, HalfReader)
         host.aborts = True
         client = await gateway.client()
@@ -398,7 +398,10 @@
 
 def test_an_upload_whose_start_is_buffered_goes_to_another_host() -> None:
     async def run() -> None:
-        async with Server(echo) as host, gate(("a", "127.0.0.1:9"), ("b", host.addr)) as gateway:
+        async with (
+            Server(echo) as host,
+            running_gateway(("a", "127.0.0.1:9"), ("b", host.addr)) as gateway,
+        ):
             for i in range(6):
                 client = await gateway.client()
                 client.send(request(f"r{i}", BODY))
@@ -413,7 +416,7 @@
 ) -> None:
     monkeypatch.setattr(response_writer, "READ_STALL", (500_000, 500_000))
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         silent, other = await gateway.client(), await gateway.client()
         silent.writer.transport.pause_reading()  # type: ignore[attr-defined]
         silent.send(request("s", BODY * 4))
@@ -434,7 +437,7 @@
             client.send(message[at : at + step])
             await asyncio.sleep(every)
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         slow, trickle, half = [await gateway.client() for _ in range(3)]
         tasks = [
             asyncio.create_task(
@@ -460,7 +463,7 @@
             await go.wait()
         await echo(message, writer)
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(request("first", b"one") + request("next", BODY) + request("last", b"end"))
         await until(lambda: bool(host.seen))
@@ -475,7 +478,7 @@
 
 
 def test_an_endless_upload_is_rejected() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         head = request("r", b"").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
         client.send(head)
@@ -493,7 +496,7 @@
 
 
 def test_a_client_that_disconnects_during_its_response_leaves_nothing_behind() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(request("r", BODY * 4))
@@ -522,17 +525,17 @@
         await go.wait()
         writer.write(BODY[MB:])
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(request("r"))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(MB) == BODY[:MB]
         (held,) = gateway.clients()
         assert held.read_watchdog is not None
         assert held.read_watchdog.moved > 0.9 * MB
         go.set()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             assert await client.reader.readexactly(len(BODY) - MB) == BODY[MB:]
 
     run_scenario(scenario, Server(respond_in_pieces))
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -25,17 +25,17 @@
 from sailhitch.net import downstream, response_writer
 from sailhitch.net.config import parse_config
 from tests.sockets import (
-    PATIENCE,
-    Gate,
-    Registry,
+    TEST_TIMEOUT,
+    DiscoveryServer,
+    RunningGateway,
     Server,
     Writer,
     config_value,
     dial,
-    fill,
-    gate,
     process,
     request,
+    running_gateway,
+    start_requests,
     until,
 )
 
@@ -55,7 +55,7 @@
 class LoadSetup:
     """A gateway, a node, a crowd, and a front that uses a third of the descriptors."""
 
-    def __init__(self, gateway: Gate, node: Node, crowd: Crowd, sockets: int) -> None:
+    def __init__(self, gateway: RunningGateway, node: Node, crowd: Crowd, sockets: int) -> None:
         self.gateway, self.node, self.crowd = gateway, node, crowd
         self.front = Front(gateway.addr, sockets // 3, SAFE)
         self.honest = Tally()
@@ -83,7 +83,7 @@
     async def run() -> None:
         async with (
             Node(delay) as node,
-            gate(("a", node.addr), limits={"sockets": sockets}) as gateway,
+            running_gateway(("a", node.addr), limits={"sockets": sockets}) as gateway,
             Crowd(gateway.addr) as crowd,
         ):
             await scenario(LoadSetup(gateway, node, crowd, sockets))
@@ -396,13 +396,13 @@
     part: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def silent(_: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     def broken(*_: Any, **__: Any) -> None:
         raise ZeroDivisionError("a bug")
 
     async def run() -> None:
-        async with Server(silent) as host, gate(("a", host.addr)) as gateway:
+        async with Server(silent) as host, running_gateway(("a", host.addr)) as gateway:
             core = gateway.core
             client = await gateway.client()
             core.periodic.statistics_at = 0
@@ -426,10 +426,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def silent(_: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def run() -> None:
-        async with Server(silent) as host, gate(("a", host.addr)) as gateway:
+        async with Server(silent) as host, running_gateway(("a", host.addr)) as gateway:
             core = gateway.core
             first, second = await gateway.client(), await gateway.client()
             real, failed_contexts = core._check_timeouts, []
@@ -456,8 +456,8 @@
     async def run() -> None:
         async with (
             Server() as host,
-            Registry(("a", host.addr)) as registry,
-            gate(discovery=registry.addr) as gateway,
+            DiscoveryServer(("a", host.addr)) as registry,
+            running_gateway(discovery=registry.addr) as gateway,
         ):
             real = gateway.pool.on_endpoint_update
             broken: list[Any] = []
@@ -485,7 +485,7 @@
 ) -> AsyncIterator[tuple[Node, Path, asyncio.subprocess.Process, Crowd, Front]]:
     """Run the real program with a node behind it, and a crowd and a front before it."""
     path = folder / "c.json"
-    async with Node(delay) as node, Registry(("a", node.addr)) as registry:
+    async with Node(delay) as node, DiscoveryServer(("a", node.addr)) as registry:
         value = config_value(registry.addr, ("a", node.addr))
         async with process(path, value) as (program, addr), Crowd(addr) as crowd:
             yield node, path, program, crowd, Front(addr, 85, SAFE)
@@ -505,7 +505,7 @@
             await crowd.honest(front, tally, 100, 20)
             assert tally.ends[SERVED] == tally.asked - tally.ends[NO_SEAT]
             assert tally.ends[LOST] == 0
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 assert await program.wait() == 0
 
     asyncio.run(run())
@@ -538,20 +538,20 @@
 
 def test_a_rejected_connection_gets_one_503_without_a_guessed_retry_after() -> None:
     async def silent(_: bytes, writer: Writer) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT)
 
     async def run() -> None:
         async with (
             Server(silent) as host,
-            gate(("a", host.addr), limits={"sockets": 64}) as gateway,
+            running_gateway(("a", host.addr), limits={"sockets": 64}) as gateway,
         ):
-            _held = await fill(gateway, 30)
+            _held = await start_requests(gateway, 30)
             await until(lambda: gateway.core.counters.crowded > 0)
             last = await gateway.client()
-            got = await last.rest()
+            got = await last.read_to_end()
             assert got.startswith(b"HTTP/1.1 503 ")
             # With all slots busy it is unknown when one is free, so there is no Retry-After.
             assert b"Retry-After" not in got
-            assert (await (await dial(gateway.addr)).rest()).count(b"HTTP/1.1") == 1
+            assert (await (await dial(gateway.addr)).read_to_end()).count(b"HTTP/1.1") == 1
 
     asyncio.run(run())
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -16,7 +16,7 @@
     parse_settings,
 )
 from tests.fake import S, settings_value
-from tests.sockets import Gate, Server, Writer, gate, request, until
+from tests.sockets import RunningGateway, Server, Writer, request, running_gateway, until
 
 CLASSES = {cls.idempotency: cls for cls in parse_settings(settings_value()).classes[:3]}
 NOW = 10 * S
@@ -88,9 +88,9 @@
     assert invariants.before_send(second, NOW, True, False) is Violation.REPEATED
 
 
-def run_scenario(scenario: Callable[[Gate, Server], object], host: Server) -> None:
+def run_scenario(scenario: Callable[[RunningGateway, Server], object], host: Server) -> None:
     async def run() -> None:
-        async with host, gate(("a", host.addr)) as gateway:
+        async with host, running_gateway(("a", host.addr)) as gateway:
             await scenario(gateway, host)  # type: ignore[misc]
 
     asyncio.run(run())
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("body", [None, b"pay"])
 def test_rejecting_a_request_that_may_have_run_is_sent_as_a_failure(body: bytes | None) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(request("q1", body))
         await until(lambda: bool(host.seen))
@@ -118,7 +118,7 @@
 
 
 def test_a_second_response_is_not_sent() -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(request("q1"))
         await until(lambda: bool(host.seen))
@@ -136,7 +136,7 @@
 def test_closing_with_a_pending_response_is_a_violation_only_of_the_gateway(
     by_client: bool,
 ) -> None:
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         client.send(request("q1"))
         await until(lambda: bool(host.seen))
@@ -156,7 +156,7 @@
     async def busy(message: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 
-    async def scenario(gateway: Gate, host: Server) -> None:
+    async def scenario(gateway: RunningGateway, host: Server) -> None:
         client = await gateway.client()
         assert (await client.ask(request("q1")))[0] == 503
         figures = gateway.pool.policy.counters
--- a/tests/test_leaving_hosts.py
+++ b/tests/test_leaving_hosts.py
@@ -14,8 +14,17 @@
 
 from sailhitch.core.core import PERIODIC_INTERVAL
 from sailhitch.core.timer_wheel import LATE
-from tests.crossings import PATIENT, held_connects
-from tests.sockets import Registry, Server, Writer, answer, entry, gate, request, until
+from tests.crossings import LONG_CONNECT_TIMEOUT, delayed_connects
+from tests.sockets import (
+    DiscoveryServer,
+    Server,
+    Writer,
+    answer,
+    entry,
+    request,
+    running_gateway,
+    until,
+)
 
 
 @pytest.mark.parametrize("state", ["leaving", "left", "missing"])
@@ -27,11 +36,13 @@
 
     async def run() -> None:
         async with Server() as leaving, Server() as staying:
-            registry = Registry(("a", leaving.addr))
+            registry = DiscoveryServer(("a", leaving.addr))
             async with (
                 registry,
-                gate(("a", leaving.addr), discovery=registry.addr, settings=PATIENT) as gateway,
-                held_connects(leaving.addr) as pending_connects,
+                running_gateway(
+                    ("a", leaving.addr), discovery=registry.addr, settings=LONG_CONNECT_TIMEOUT
+                ) as gateway,
+                delayed_connects(leaving.addr) as pending_connects,
             ):
                 client = await gateway.client()
                 client.send(request("r1", body))
@@ -56,7 +67,7 @@
     """It would be sent once the host reads again, whatever the list says of it by then."""
 
     async def run() -> None:
-        async with Server() as host, gate(("a", host.addr)) as gateway:
+        async with Server() as host, running_gateway(("a", host.addr)) as gateway:
             client = await gateway.client()
             assert await client.ask(request("r0")) == (200, b"served")
             (conn,) = gateway.hosts.connections
@@ -77,11 +88,13 @@
 
     async def run() -> None:
         async with Server() as one, Server() as other, Server() as third:
-            registry = Registry(("a", one.addr))
+            registry = DiscoveryServer(("a", one.addr))
             async with (
                 registry,
-                gate(("a", one.addr), discovery=registry.addr, settings=PATIENT) as gateway,
-                held_connects(one.addr) as pending_connects,
+                running_gateway(
+                    ("a", one.addr), discovery=registry.addr, settings=LONG_CONNECT_TIMEOUT
+                ) as gateway,
+                delayed_connects(one.addr) as pending_connects,
             ):
                 client = await gateway.client()
                 client.send(request("r1", b"pay"))
@@ -110,7 +123,7 @@
     asyncio.run(run())
 
 
-class LongPollRegistry(Registry):
+class LongPollRegistry(DiscoveryServer):
     """Leaves a watch call that is up to date open; the test writes the response."""
 
     async def reply(self, message: bytes, writer: Writer) -> None:
@@ -131,7 +144,10 @@
     async def run() -> None:
         async with Server() as leaving, Server() as staying:
             registry = LongPollRegistry(("a", leaving.addr))
-            async with registry, gate(("a", leaving.addr), discovery=registry.addr) as gateway:
+            async with (
+                registry,
+                running_gateway(("a", leaving.addr), discovery=registry.addr) as gateway,
+            ):
                 client = await gateway.client()
                 assert await client.ask(request("r1")) == (200, b"served")
                 seen = len(registry.seen)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -13,7 +13,7 @@
     EndpointState,
     WatchEventKind,
 )
-from tests.sockets import Server, gate, request
+from tests.sockets import Server, request, running_gateway
 
 S = 1_000_000
 STEPS = st.lists(
@@ -84,7 +84,7 @@
         async with (
             Server() as first,
             Server() as second,
-            gate(("a", first.addr), ("b", second.addr)) as gateway,
+            running_gateway(("a", first.addr), ("b", second.addr)) as gateway,
         ):
             client = await gateway.client()
             gateway.pool.enter_maintenance("a")
--- a/tests/test_overlooked_ends.py
+++ b/tests/test_overlooked_ends.py
@@ -24,15 +24,24 @@
 from sailhitch.net import listener
 from tests.failing_calls import FailingCall
 from tests.generations import hosted, told
-from tests.sockets import PATIENCE, Registry, Server, Writer, config_value, gate, request, until
+from tests.sockets import (
+    TEST_TIMEOUT,
+    DiscoveryServer,
+    Server,
+    Writer,
+    config_value,
+    request,
+    running_gateway,
+    until,
+)
 
 # The real program, whose system has no descriptor or buffer for its first sockets.
 SHORT_START = """
 import errno, socket, sys
-from tests.failing_calls import FailingCall, ModuleWith
+from tests.failing_calls import FailingCall, ModuleProxy
 import sailhitch.net.listener as listener
 call = FailingCall(socket.socket, [errno.ENFILE, errno.ENOBUFS, errno.ENFILE])
-listener.socket = ModuleWith(socket, "socket", call)
+listener.socket = ModuleProxy(socket, "socket", call)
 from sailhitch.__main__ import main
 sys.exit(main([]))
 """
@@ -40,7 +49,7 @@
 
 def test_a_start_waits_for_a_system_that_has_no_socket_for_a_moment(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Server() as host, Registry(("a", host.addr)) as registry:
+        async with Server() as host, DiscoveryServer(("a", host.addr)) as registry:
             path = tmp_path / "config.json"
             path.write_text(json.dumps(config_value(registry.addr, ("a", host.addr))))
             env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
@@ -50,7 +59,7 @@
             )
             assert program.stderr is not None
             said = b""
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 while line := await program.stderr.readline():
                     said += line
                     if line.rstrip().endswith(b" ready"):
@@ -79,7 +88,7 @@
         held_up = saying.is_alive()
         while filled > 0:
             filled -= len(os.read(reader, min(filled, 65536)))
-        saying.join(PATIENCE)
+        saying.join(TEST_TIMEOUT)
         log.write("another line")
         stream.flush()
         said = os.read(reader, 65536).decode()
@@ -103,7 +112,7 @@
 
     async def play() -> None:
         loop = asyncio.get_running_loop()
-        async with Server(long) as host, gate(("a", host.addr)) as it:
+        async with Server(long) as host, running_gateway(("a", host.addr)) as it:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             host_name, _, port = it.addr.rpartition(":")
@@ -113,7 +122,7 @@
             await until(lambda: bool(it.clients()))
             (client,) = it.clients()
             got = 0
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 while client.slot.state != State.CLOSING:
                     got += len(await loop.sock_recv(sock, 1024))
             transport = client.transport
@@ -122,7 +131,7 @@
             since = it.core.clock()
             await until(lambda: it.core.clock() - since > 2 * REJECTED_LINGER)
             it.core.on_descriptors_exhausted()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 try:
                     while data := await loop.sock_recv(sock, 65536):
                         got += len(data)
@@ -147,7 +156,7 @@
             assert await first.out("a") == 200
             await told(first, "out for maintenance")
             value = json.loads(it.path.read_text())
-            async with gate(discovery=value["discovery"]) as other:
+            async with running_gateway(discovery=value["discovery"]) as other:
                 failing = FailingCall(link._socket, [number, number])
                 monkeypatch.setattr(link, "_socket", failing)
                 places = HandoverFiles(str(tmp_path), "n0")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -23,7 +23,15 @@
     parse_settings,
 )
 from tests.fake import GatewayHarness, S, settings_value
-from tests.sockets import Server, Writer, config_value, gate, hosted_process, request, until
+from tests.sockets import (
+    Server,
+    Writer,
+    config_value,
+    hosted_process,
+    request,
+    running_gateway,
+    until,
+)
 
 TENANTS = [{"name": "a", "portion": 0.5, "quotaPerS": 5.0}]
 VALUE = config_value("127.0.0.1:9", ("a", "127.0.0.1:8"), settings={"tenants": TENANTS})
@@ -122,7 +130,7 @@
                 current_client = client
                 while (await current_client.ask(request(f"n{n}", kind="renamed")))[0] != 200:
                     n += 1
-                    current_client = await current_client.again()
+                    current_client = await current_client.reconnect()
 
     asyncio.run(play())
 
@@ -135,7 +143,7 @@
         writer.transport.abort()
 
     async def play() -> None:
-        async with Server(resets) as host, gate(("a", host.addr)) as it:
+        async with Server(resets) as host, running_gateway(("a", host.addr)) as it:
             safe_client, unsafe_client, incomplete = [await it.client() for _ in range(3)]
             safe_client.send(request("safe"))
             unsafe_client.send(request("effect", b"b"))
@@ -172,7 +180,7 @@
 
 def test_a_previous_class_is_accepted_briefly_with_the_stricter_idempotency() -> None:
     async def play() -> None:
-        async with Server() as host, gate(("a", host.addr)) as it:
+        async with Server() as host, running_gateway(("a", host.addr)) as it:
             _apply_settings(it, Idempotency.UNSAFE, Idempotency.UNSAFE)
             client = await it.client()
             assert await client.ask(request("r1", b"", kind="pure-all")) == (200, b"served")
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tests.crossings import PATIENT
-from tests.sockets import Client, Gate, Server, Writer, answer, gate, request
+from tests.crossings import LONG_CONNECT_TIMEOUT
+from tests.sockets import Client, RunningGateway, Server, Writer, answer, request, running_gateway
 from tests.virtual import play
 
 DEADLINE = re.compile(rb"Req-Deadline-Ms: (\d+)")
@@ -52,7 +52,7 @@
         async with (
             Host(0.4, busy=1) as host_a,
             Host(0.4, busy=1) as host_b,
-            gate(("a", host_a.addr), ("b", host_b.addr)) as it,
+            running_gateway(("a", host_a.addr), ("b", host_b.addr)) as it,
         ):
             client = await it.client()
             asked_at = asyncio.get_running_loop().time()
@@ -71,7 +71,10 @@
             await asyncio.sleep(0.3)
             await connect(*args)  # type: ignore[arg-type]
 
-        async with Host() as host, gate(("a", host.addr), settings=PATIENT) as it:
+        async with (
+            Host() as host,
+            running_gateway(("a", host.addr), settings=LONG_CONNECT_TIMEOUT) as it,
+        ):
             client = await it.client()
             loop.sock_connect = slow_connect  # type: ignore[method-assign, assignment]
             asked_at = loop.time()
@@ -82,7 +85,7 @@
     play(scenario())
 
 
-async def _pipeline_two(it: Gate, first_delay: float) -> tuple[Client, float]:
+async def _pipeline_two(it: RunningGateway, first_delay: float) -> tuple[Client, float]:
     """Pipeline two requests; the host answers the first one after this time."""
     client = await it.client()
     asked_at = asyncio.get_running_loop().time()
@@ -96,7 +99,7 @@
     """Its deadline counts from its last byte, not from when the first one is finished."""
 
     async def scenario() -> None:
-        async with Host(0.5) as host, gate(("a", host.addr)) as it:
+        async with Host(0.5) as host, running_gateway(("a", host.addr)) as it:
             client, asked_at = await _pipeline_two(it, 0.5)
             assert await client.answer() == (200, b"served")
             host.limits_received = host.limits_received[1:]
@@ -107,7 +110,7 @@
 
 def test_a_pipelined_request_that_expires_before_its_turn_is_not_sent() -> None:
     async def scenario() -> None:
-        async with Host(1.45) as host, gate(("a", host.addr)) as it:
+        async with Host(1.45) as host, running_gateway(("a", host.addr)) as it:
             client, _ = await _pipeline_two(it, 1.45)
             assert (await client.answer())[0] == 503
             assert len(host.limits_received) == 1
