--- a/sailhitch/policy/score.py
+++ b/sailhitch/policy/score.py
@@ -47,7 +47,7 @@
         # With fewer gateways than the bound, this is the paper's n: the number of clients.
         self.outstanding_weight = min(float(settings.gateway_count), MAX_OUTSTANDING_WEIGHT)
 
-    def best(  # noqa: C901 (one loop on the hot path: function calls would cost more than the score)
+    def best(  # noqa: C901 (one loop on the hot path: calls would cost more than the score)
         self, now: int, request: Request, candidates: list[Server]
     ) -> Server | None:
         """Return the candidate with the lowest psi that may get the request and has a token."""
