--- a/sailhitch/policy/__init__.py
+++ b/sailhitch/policy/__init__.py
@@ -1,10 +1,9 @@
-"""The decision module of a gateway: server selection, retries, hedging and load shedding.
+"""Decision module: server selection, retries, shedding; types: sailhitch/policy_interface.py.
 
 It implements C3 adaptive replica selection without doing any I/O. It ranks servers by C3's cubic
 score, limits the send rate to each server with a cubic rate controller, and queues requests in a
 backlog when every eligible server is saturated. The embedding gateway passes in events with their
-timestamps and carries out the actions, which leave through `Port`. The types of events and actions
-are in sailhitch/policy_interface.py.
+timestamps and carries out the actions, which leave through `Port`.
 
 Times are integer microseconds on the caller's clock, rates are per second. Instances share no
 state, and all randomness comes from the seed. Doc comments give the C3 paper's symbol for each
