--- a/sailhitch/policy/gateway.py
+++ b/sailhitch/policy/gateway.py
@@ -69,10 +69,7 @@
         self.overload.post_stall_until = now + POST_STALL_WINDOW
 
     def reconfigure(self, now: int, settings: Settings) -> None:
-        """Apply new settings and keep all learned state.
-
-        Open requests keep the class settings that they arrived with.
-        """
+        """Apply new settings, keep learned state; open requests keep their class's old settings."""
         self.settings = settings
         self.overload.reconfigure(now, settings)
         self.scores.reconfigure(settings)
@@ -105,8 +102,7 @@
     ) -> None:
         """Apply an event of the endpoint list; after a failure, reopen the watch with backoff.
 
-        `since` is the latest time at which the previous list is known to have been current; 0 if
-        that is unknown.
+        `since` is the latest time when the previous list is known to have been current; 0: unknown.
         """
         if mode == WatchEventKind.FAILED:
             self.port.set_timer(WATCH_TIMER, now + self.watch.on_failed())
@@ -134,8 +130,7 @@
     ) -> None:
         """Handle a client's request. `work` is the client's estimate of its cost; 0 if unknown.
 
-        `uploading` means that the request body is incomplete: a server can't start on the request
-        before `body_complete`.
+        `uploading`: the body is incomplete, and no server can start on it before `body_complete`.
         """
         request_class = self.settings.classes[cls]
         request = Request(now, req, request_class, deadline, work, key)
@@ -165,8 +160,7 @@
     ) -> None:
         """Record the outcome of an attempt, and retry or finish its request.
 
-        `reflects_server` is False if the outcome was caused by this gateway and must not affect
-        the server's statistics.
+        `reflects_server`: False if this gateway caused the outcome; server statistics then stay.
         """
         server = self.endpoint_table.servers.get(name)
         request = self.open_requests.get(req)
@@ -266,10 +260,7 @@
             self.port.fail(request.id)
 
     def _place(self, now: int, request: Request) -> bool:
-        """Send to a server in slow start that the draw selects, or to the best-scored server.
-
-        Return False if no candidate may get the request and has a token.
-        """
+        """Send to the slow start draw's server or the best; return False if none has a token."""
         server = self.endpoint_table.pick_cold(now, request)
         if server is None:
             server = self.scores.best(now, request, self.endpoint_table.candidates(now, request))
