--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,8 +1,8 @@
-"""Least-squares fits of a measured cost by size, and what they come to at another size.
+"""Least-squares fits of a measured cost over size, to extrapolate it to another size.
 
-A line (constant and slope) is fitted first. Where it misses the points by more than
-`MOST_RESIDUAL`, or a quadratic term carries a real part of the cost, the fit says that it is not
-linear and is extrapolated by the parabola instead.
+A line (constant and slope) is fitted first. Where its residual is above half of
+`MAX_RESIDUAL` and a quadratic term makes up a large enough part of the cost, a parabola is fitted
+instead, and the fit is reported as not linear.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 import numpy as np
 
-LEAST_SIZES: Final = 3
-MOST_RESIDUAL: Final = 0.10  # of the values' mean, above which a line does not describe them
-QUADRATIC_SHARE: Final = 0.25  # of the largest value: less of a quadratic term may be noise
+MIN_SIZES: Final = 3
+MAX_RESIDUAL: Final = 0.10  # relative to the values' mean; above it, a line does not describe them
+QUADRATIC_SHARE: Final = 0.25  # of the largest value; a smaller quadratic term may be noise
 
 
 class FitError(ValueError):
-    """Points that nothing can be fitted to; the text says why."""
+    """Points that can't be fitted; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,18 +30,18 @@
     constant: float
     slope: float
     quadratic: float
-    residual: float  # root mean square of what the fit misses, as a part of the values' mean
-    line_residual: float  # the same of the best straight line
+    residual: float  # root mean square error, relative to the values' mean
+    line_residual: float  # the same for the best straight line
 
     @property
     def is_linear(self) -> bool:
-        """Whether the cost grows as a line, within the residual that is allowed."""
-        return self.quadratic == 0.0 and self.residual <= MOST_RESIDUAL
+        """Whether the cost grows linearly, within the permitted residual."""
+        return self.quadratic == 0.0 and self.residual <= MAX_RESIDUAL
 
     @property
     def shape(self) -> str:
-        """What to call it: a line, a parabola, or points that neither describes."""
-        if self.residual > MOST_RESIDUAL:
+        """The shape in words: a line, a parabola, or points that neither describes."""
+        if self.residual > MAX_RESIDUAL:
             return "scattered"
         return "not linear" if self.quadratic else "line"
 
@@ -57,7 +57,7 @@
     slope, constant = np.polyfit(x, y, 1)
     line_residual = _residual(y, constant + slope * x)
     line = Fit(float(constant), float(slope), 0.0, line_residual, line_residual)
-    if line_residual <= MOST_RESIDUAL / 2:
+    if line_residual <= MAX_RESIDUAL / 2:
         return line
     quadratic, lower_slope, lower_constant = np.polyfit(x, y, 2)
     largest = float(x.max())
@@ -77,13 +77,13 @@
     if len(sizes) != len(values):
         raise FitError(f"{len(sizes)} sizes and {len(values)} values")
     if not all(math.isfinite(one) for one in (*sizes, *values)):
-        raise FitError("a size or value that is no finite number")
-    if len(set(sizes)) < LEAST_SIZES:
-        raise FitError(f"{len(set(sizes))} different sizes; a fit takes {LEAST_SIZES} at least")
+        raise FitError("a size or value is not a finite number")
+    if len(set(sizes)) < MIN_SIZES:
+        raise FitError(f"{len(set(sizes))} different sizes; a fit needs at least {MIN_SIZES}")
 
 
 def _residual(values: np.ndarray, fitted: np.ndarray) -> float:
-    """Root mean square of the differences, as a part of the values' mean."""
-    missed = float(np.sqrt(np.mean((values - fitted) ** 2)))
+    """Return the root mean square of the differences, relative to the values' mean."""
+    error = float(np.sqrt(np.mean((values - fitted) ** 2)))
     mean = float(np.mean(np.abs(values)))
-    return missed / mean if mean else 0.0
+    return error / mean if mean else 0.0
--- a/benchmarks/scale/gateway_slopes.py
+++ b/benchmarks/scale/gateway_slopes.py
@@ -1,7 +1,7 @@
-"""What the switch to another state costs a gateway, and what its hosts and operators see of it.
+"""Cost of switching a gateway to another state, and of its connections and operator commands.
 
-The switch is the daemon's own (`sailhitch.daemon.state_applier`), in this process and with no
-clients. The operator's commands are asked of a real daemon, each in a process of its own.
+The switch runs the daemon's own code (`sailhitch.daemon.state_applier`) in this process, without
+clients. Operator commands run in processes of their own, against a real daemon.
 """
 
 from __future__ import annotations
@@ -42,20 +42,20 @@
 COMMAND_FRACTIONS: Final = (0.05, 0.1, 0.2, 0.4)
 TENANTS: Final = (7_500, 15_000, 30_000, 75_000, 150_000)
 GATEWAYS: Final = (25, 50, 100, 200, 400, 800, 1700)
-POOLS: Final = 8  # that the memory of one is averaged over
-HOSTS_OF_A_SERVICE: Final = full_state.HOSTS // full_state.SERVICES
-TICKER: Final = 0.001  # s between two turns of the loop that are looked at
-STARTED_WITHIN: Final = 60.0  # s for a daemon to say that it is ready
-STOPPED_WITHIN: Final = 20.0
+POOLS: Final = 8  # to average the memory of one
+HOSTS_PER_SERVICE: Final = full_state.HOSTS // full_state.SERVICES
+LOOP_SAMPLE_INTERVAL: Final = 0.001  # s between two samples of the event loop
+START_TIMEOUT: Final = 60.0  # s until a daemon is ready
+STOP_TIMEOUT: Final = 20.0
 
 
 def _write_state(fraction: float, path: str) -> None:
-    """In a process of its own, so that what it allocates is not counted."""
+    """Write a state. Runs in its own process, so that its allocations are not counted."""
     Path(path).write_bytes(canonical({**full_state.state(fraction), "listeners": {}}))
 
 
-def written_state(fraction: float, folder: Path) -> Path:
-    """Return where a state of this fraction is, as a text."""
+def write_state_file(fraction: float, folder: Path) -> Path:
+    """Write the canonical text of a state of this fraction; return its path."""
     path = folder / "state.json"
     process = get_context("spawn").Process(target=_write_state, args=(fraction, str(path)))
     process.start()
@@ -65,25 +65,26 @@
 
 
 def switch(fraction: float) -> dict[str, float]:
-    """Return a gateway takes up a state, and then one in which one weight differs."""
-    return _with_live(fraction, _switch)
+    """Measure the switch of a gateway to a first state, then to one with one changed weight."""
+    return _with_state_applier(fraction, _switch)
 
 
-async def _switch(live: StateApplier, folder: Path, fraction: float) -> dict[str, float]:
-    path = written_state(fraction, folder)
+async def _switch(applier: StateApplier, folder: Path, fraction: float) -> dict[str, float]:
+    path = write_state_file(fraction, folder)
     before = resident_bytes()
     state: State = json.loads(path.read_bytes())
-    begun = time.process_time()
-    await live.change(StateChange(state, "bench", 1, dict.fromkeys(state["nodes"], 0)))
-    first_s = time.process_time() - begun
+    started_at = time.process_time()
+    await applier.change(StateChange(state, "bench", 1, dict.fromkeys(state["nodes"], 0)))
+    first_s = time.process_time() - started_at
     held = resident_bytes() - before
-    changed = one_weight_changed(state)  # shares its objects, as a version that is read does
-    begun, on_loop = time.process_time(), time.thread_time()
-    await live.change(StateChange(changed, "bench", 2))
+    # Shares objects with the first state, as a version read from the tier does.
+    changed = one_weight_changed(state)
+    started_at, on_loop = time.process_time(), time.thread_time()
+    await applier.change(StateChange(changed, "bench", 2))
     return {
         "first_switch_s": first_s,
         "first_memory_bytes": held,
-        "switch_s": time.process_time() - begun,
+        "switch_s": time.process_time() - started_at,
         "loop_s": time.thread_time() - on_loop,
         "peak_memory_bytes": resident_bytes("VmHWM") - before,
         "after_memory_bytes": resident_bytes() - before,
@@ -91,39 +92,39 @@
 
 
 def stall(fraction: float) -> dict[str, float]:
-    """Return how long the loop has no turn while a gateway goes to a state with another weight."""
-    return _with_live(fraction, _stall)
+    """Measure how long the event loop is blocked during a switch that changes one weight."""
+    return _with_state_applier(fraction, _stall)
 
 
-async def _stall(live: StateApplier, folder: Path, fraction: float) -> dict[str, float]:
-    state: State = json.loads(written_state(fraction, folder).read_bytes())
+async def _stall(applier: StateApplier, folder: Path, fraction: float) -> dict[str, float]:
+    state: State = json.loads(write_state_file(fraction, folder).read_bytes())
     changed = one_weight_changed(state)
-    await live.change(StateChange(state, "bench", 1, dict.fromkeys(state["nodes"], 0)))
+    await applier.change(StateChange(state, "bench", 1, dict.fromkeys(state["nodes"], 0)))
     gaps: list[float] = []
-    ticker = asyncio.create_task(_tick(gaps))
-    begun = time.perf_counter()
-    await live.change(StateChange(changed, "bench", 2))
-    took = time.perf_counter() - begun
-    await asyncio.sleep(3 * TICKER)
-    ticker.cancel()
-    late = [gap for gap in gaps if gap > 0.004 + TICKER]
+    sampler = asyncio.create_task(_sample_loop(gaps))
+    started_at = time.perf_counter()
+    await applier.change(StateChange(changed, "bench", 2))
+    took = time.perf_counter() - started_at
+    await asyncio.sleep(3 * LOOP_SAMPLE_INTERVAL)
+    sampler.cancel()
+    late = [gap for gap in gaps if gap > 0.004 + LOOP_SAMPLE_INTERVAL]
     return {"change_wall_s": took, "longest_stall_s": max(gaps), "stalled_s": sum(late)}
 
 
-async def _tick(gaps: list[float]) -> None:
+async def _sample_loop(gaps: list[float]) -> None:
     last = time.perf_counter()
     while True:
-        await asyncio.sleep(TICKER)
+        await asyncio.sleep(LOOP_SAMPLE_INTERVAL)
         now = time.perf_counter()
         gaps.append(now - last)
         last = now
 
 
-def _with_live(
+def _with_state_applier(
     fraction: float,
     work: Callable[[StateApplier, Path, float], Coroutine[Any, Any, dict[str, float]]],
 ) -> dict[str, float]:
-    """Play something at a gateway that has no state yet, and keeps its states on disk."""
+    """Run `work` on a gateway core that has no state yet and stores its states on disk."""
     gateway = GatewayPart.model_validate(GATEWAY_PART)
 
     async def main(folder: Path) -> dict[str, float]:
@@ -131,12 +132,12 @@
             resource_limits(gateway, 1_000_000), asyncio.get_running_loop(), Log("g1")
         )
         store = Store(folder / "states", gateway.name)
-        live = StateApplier(core, gateway, store)
+        applier = StateApplier(core, gateway, store)
         core.start()
         try:
-            return await work(live, folder, fraction)
+            return await work(applier, folder, fraction)
         finally:
-            live.stop_listening()
+            applier.stop_listening()
             core.stop()
             store.close()
 
@@ -144,10 +145,10 @@
         return asyncio.run(main(Path(folder)))
 
 
-# --- One pool's decision module
+# --- The decision module of a pool
 
 
-class _Nobody:
+class _NullPort:
     """A port that does nothing."""
 
     def send(self, req: int, server: str, timeout: int) -> None: ...
@@ -160,7 +161,7 @@
 
 
 def module_tenants(tenants: float) -> dict[str, float]:
-    """Memory of one pool's module by tenants, and the time that new settings take it."""
+    """Measure the memory of a pool's module by tenants, and the time to apply new settings."""
     import dataclasses
 
     from sailhitch.daemon.tables import Tables
@@ -173,12 +174,12 @@
     changed = dataclasses.replace(settings, tenants=(*settings.tenants,))
     held = allocated_bytes(lambda: [_module(settings, seed) for seed in range(POOLS)]) / POOLS
     modules = [_module(settings, seed) for seed in range(POOLS)]
-    begun = time.process_time()
+    started_at = time.process_time()
     for module in modules:
         module.reconfigure(200_000_000, changed)
     return {
         "pool_memory_bytes": held,
-        "pool_reconfigure_ms": (time.process_time() - begun) / POOLS * 1000,
+        "pool_reconfigure_ms": (time.process_time() - started_at) / POOLS * 1000,
     }
 
 
@@ -188,23 +189,23 @@
 
 
 def _module(settings: Settings, seed: int) -> Gateway:
-    module = Gateway(_Nobody(), settings, seed)
+    module = Gateway(_NullPort(), settings, seed)
     module.start(100_000_000)
     listed = [
-        Endpoint(f"h{i}", 1.0, 0, i, EndpointState.READY, 0, 0) for i in range(HOSTS_OF_A_SERVICE)
+        Endpoint(f"h{i}", 1.0, 0, i, EndpointState.READY, 0, 0) for i in range(HOSTS_PER_SERVICE)
     ]
     module.on_watch_event(100_000_000, WatchEventKind.RESTORED, listed)
     return module
 
 
-# --- A host's side
+# --- Connections per host
 
 
 class _Host:
-    """A host as reach knows it."""
+    """The part of a host that `Subsetter` uses."""
 
-    def __init__(self, lot: int) -> None:
-        self.hash = lot
+    def __init__(self, hash_value: int) -> None:
+        self.hash = hash_value
 
     def is_available(self, now: int) -> bool:
         return True
@@ -214,13 +215,13 @@
 
 
 def connections(gateways: float) -> dict[str, float]:
-    """Gateways that have a host in reach, of one service, and hosts in a gateway's reach."""
+    """Count the gateways that reach each host of a service, and the hosts a gateway reaches."""
     draws = random.Random(1)
-    hosts = [_Host(draws.getrandbits(64)) for _ in range(HOSTS_OF_A_SERVICE)]
+    hosts = [_Host(draws.getrandbits(64)) for _ in range(HOSTS_PER_SERVICE)]
     counts = dict.fromkeys((host.hash for host in hosts), 0)
     width = 0
-    for me in range(int(gateways)):
-        reach: Subsetter[_Host] = Subsetter(me, int(gateways))
+    for gateway_number in range(int(gateways)):
+        reach: Subsetter[_Host] = Subsetter(gateway_number, int(gateways))
         reach.set_servers(hosts, [])
         reach.select(0)
         width = max(width, reach.size())
@@ -236,11 +237,11 @@
     }
 
 
-# --- An operator's commands
+# --- Operator commands
 
 
 def commands(fraction: float) -> dict[str, float]:
-    """`sailhitch plan` and `apply` of one weight, asked of a real daemon."""
+    """Measure `sailhitch plan` and `apply` of one changed weight, against a real daemon."""
     with tempfile.TemporaryDirectory(prefix="sailhitch-") as name:
         folder = Path(name)
         value = full_state.operator_file(
@@ -256,7 +257,7 @@
             return _ask_for_change(folder, daemon)
         finally:
             daemon.terminate()
-            daemon.wait(STOPPED_WITHIN)
+            daemon.wait(STOP_TIMEOUT)
 
 
 def _start_daemon(folder: Path) -> subprocess.Popen[str]:
@@ -298,8 +299,8 @@
     }
 
 
-# A command that says at its end, as the last line of its errors, what it has used.
-_METERED: Final = """
+# Runs the command, then prints its processor time and peak memory as the last line of stderr.
+_METERED_COMMAND: Final = """
 import json, sys, time
 from benchmarks.scale.measurement import resident_bytes
 from sailhitch.daemon.cli import main
@@ -307,27 +308,27 @@
 print(json.dumps([time.process_time(), resident_bytes("VmHWM")]), file=sys.stderr)
 sys.exit(code)
 """
-_SAILHITCH: Final = (sys.executable, "-c", _METERED)
+_SAILHITCH: Final = (sys.executable, "-c", _METERED_COMMAND)
 
 
 def _run(*arguments: str, expected: int) -> tuple[float, int, float]:
-    """Return a command's processor seconds, most resident bytes, and wall seconds."""
-    begun = time.perf_counter()
+    """Run a command; return its processor seconds, peak resident bytes and wall seconds."""
+    started_at = time.perf_counter()
     done = subprocess.run([*_SAILHITCH, *arguments], capture_output=True, text=True, check=False)
-    took = time.perf_counter() - begun
+    took = time.perf_counter() - started_at
     assert done.returncode == expected, f"{arguments[0]}: {done.returncode}: {done.stderr[-300:]}"
     processor, resident = json.loads(done.stderr.splitlines()[-1])
     return float(processor), int(resident), took
 
 
 def _cpu_of(pid: int) -> float:
-    """Processor seconds of all threads of a process (proc(5), schedstat)."""
+    """Return the processor seconds of all threads of a process (proc(5), schedstat)."""
     tasks = Path(f"/proc/{pid}/task").glob("*/schedstat")
     return sum(int(task.read_text().split()[0]) for task in tasks) / 1e9
 
 
-_LIVE: Final = "daemon/state_applier.py"
-_OVERLOAD: Final = "policy/overload.py (tenants)"
+_APPLIER_MODULE: Final = "daemon/state_applier.py"
+_OVERLOAD_MODULE: Final = "policy/overload.py (tenants)"
 MEASUREMENTS: Final = (
     Measurement(
         "switch",
@@ -336,12 +337,22 @@
         FRACTIONS,
         1.0,
         (
-            Figure("first_switch_s", "s", "first switch, processor", _LIVE),
-            Figure("first_memory_bytes", "B", "memory held after it", f"{_LIVE}, {_OVERLOAD}"),
-            Figure("switch_s", "s", "one weight, processor, all threads", _LIVE),
-            Figure("loop_s", "s", "of that on the loop's thread", f"{_LIVE}, {_OVERLOAD}"),
-            Figure("peak_memory_bytes", "B", "most memory during both", _LIVE),
-            Figure("after_memory_bytes", "B", "memory held after both", _LIVE),
+            Figure("first_switch_s", "s", "first switch, processor", _APPLIER_MODULE),
+            Figure(
+                "first_memory_bytes",
+                "B",
+                "memory held after it",
+                f"{_APPLIER_MODULE}, {_OVERLOAD_MODULE}",
+            ),
+            Figure("switch_s", "s", "one weight, processor, all threads", _APPLIER_MODULE),
+            Figure(
+                "loop_s",
+                "s",
+                "of that on the loop's thread",
+                f"{_APPLIER_MODULE}, {_OVERLOAD_MODULE}",
+            ),
+            Figure("peak_memory_bytes", "B", "most memory during both", _APPLIER_MODULE),
+            Figure("after_memory_bytes", "B", "memory held after both", _APPLIER_MODULE),
         ),
         switch,
     ),
@@ -352,9 +363,11 @@
         FRACTIONS,
         1.0,
         (
-            Figure("change_wall_s", "s", "one weight, wall", _LIVE),
-            Figure("longest_stall_s", "s", "longest time without a turn of the loop", _LIVE),
-            Figure("stalled_s", "s", "time in stalls of over 4 ms", _LIVE),
+            Figure("change_wall_s", "s", "one weight, wall", _APPLIER_MODULE),
+            Figure(
+                "longest_stall_s", "s", "longest time without a turn of the loop", _APPLIER_MODULE
+            ),
+            Figure("stalled_s", "s", "time in stalls of over 4 ms", _APPLIER_MODULE),
         ),
         stall,
     ),
@@ -365,8 +378,8 @@
         TENANTS,
         full_state.TENANTS,
         (
-            Figure("pool_memory_bytes", "B", "one pool's module", _OVERLOAD),
-            Figure("pool_reconfigure_ms", "ms", "new settings for one pool", _OVERLOAD),
+            Figure("pool_memory_bytes", "B", "one pool's module", _OVERLOAD_MODULE),
+            Figure("pool_reconfigure_ms", "ms", "new settings for one pool", _OVERLOAD_MODULE),
         ),
         module_tenants,
     ),
@@ -399,9 +412,9 @@
             Figure("apply_memory_bytes", "B", "`apply`, most memory", "daemon/cli.py"),
             Figure("apply_wall_s", "s", "`apply`, wall", "daemon/source.py, live.py"),
             Figure("daemon_plan_cpu_s", "s", "a plan at the daemon", "daemon/admin.py"),
-            Figure("daemon_apply_cpu_s", "s", "an apply at the daemon", _LIVE),
-            Figure("daemon_memory_bytes", "B", "a daemon's memory, no tier", _LIVE),
-            Figure("daemon_peak_bytes", "B", "most of that in an apply", _LIVE),
+            Figure("daemon_apply_cpu_s", "s", "an apply at the daemon", _APPLIER_MODULE),
+            Figure("daemon_memory_bytes", "B", "a daemon's memory, no tier", _APPLIER_MODULE),
+            Figure("daemon_peak_bytes", "B", "most of that in an apply", _APPLIER_MODULE),
             Figure("admin_text_bytes", "B", "the state on the admin socket", "daemon/admin.py"),
         ),
         commands,
--- a/benchmarks/scale/measurement.py
+++ b/benchmarks/scale/measurement.py
@@ -1,4 +1,4 @@
-"""What a measurement is: figures of one kind of work, by size; and the meters that they share."""
+"""The description of a measurement, and the meters that measurements share."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One figure of a measurement: what it is, in which unit, and the mechanism that carries it."""
+    """One figure of a measurement, with its unit, its meaning and the code that causes the cost."""
 
     key: str
     unit: str
     meaning: str
-    mechanism: str  # the module that the cost is in
+    mechanism: str  # the module that causes the cost
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """Work that is done at several sizes, each in a process of its own."""
+    """Work that is measured at several sizes, each in its own process."""
 
     name: str
     role: str  # gateway, voter, host or operator
@@ -37,17 +37,17 @@
 
 
 def processor_seconds(work: Callable[[], Any], repeats: int = STEADY_REPEATS) -> float:
-    """Processor time of this process for one turn of the work; the least of a few."""
+    """Return the processor seconds of one run of the work: the minimum of several runs."""
     best = float("inf")
     for _ in range(repeats):
-        begun = time.process_time()
+        started_at = time.process_time()
         work()
-        best = min(best, time.process_time() - begun)
+        best = min(best, time.process_time() - started_at)
     return best
 
 
-def each_microseconds(work: Callable[[], Any], count: int) -> float:
-    """Processor time of one of so many calls, in microseconds: the mean of the best third."""
+def microseconds_per_call(work: Callable[[], Any], count: int) -> float:
+    """Return the processor microseconds per call: the mean of the best third of `count` calls."""
     batch = max(1, count // STEADY_REPEATS)
 
     def calls() -> None:
@@ -58,20 +58,20 @@
 
 
 def allocated_bytes(make: Callable[[], Any]) -> int:
-    """Bytes that Python's allocator holds for what `make` returns."""
+    """Return the bytes that Python's allocator holds for the result of `make`."""
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        kept = make()
+        result = make()
         after = tracemalloc.get_traced_memory()[0]
-        del kept
+        del result
         return after - before
     finally:
         tracemalloc.stop()
 
 
 def resident_bytes(field: str = "VmRSS", pid: int | str = "self") -> int:
-    """Resident memory of a process, now or (`VmHWM`) at its highest (proc(5))."""
+    """Return the resident bytes of a process, now or (`VmHWM`) at their peak (proc(5))."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         name, _, value = line.partition(":")
         if name == field:
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -1,9 +1,9 @@
-"""Every figure's slope: measured at three sizes at least, fitted, and extrapolated to full size.
+"""Measures each figure at three or more sizes, fits its growth and extrapolates it to full size.
 
     python -m benchmarks.scale.slopes [NAME ...] [--sizes 0.05,0.1,0.2] [--json FILE] [--list]
 
-Each size of each measurement is played by a process of its own, one after the other. Processor
-times hold beside other work; wall times are of the machine as it was, whose load is set down.
+Each size of each measurement runs in its own process, one at a time. Processor times are valid on
+a busy machine; wall times depend on the machine's load, which is recorded with them.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     one.name: one
     for one in (*state_slopes.MEASUREMENTS, *gateway_slopes.MEASUREMENTS, *tier_slopes.MEASUREMENTS)
 }
-PATIENCE: Final = 300.0  # s for one size of one measurement
+SIZE_TIMEOUT: Final = 300.0  # s, for one size of one measurement
 HEADING: Final = (
     "| role | figure | sizes | measured | constant + slope | residual | at full size | mechanism "
     "|\n| --- | --- | --- | --- | --- | --- | --- | --- |"
@@ -36,7 +36,7 @@
 
 
 class MeasurementError(Exception):
-    """A measurement that could not be played; the text says which, and why."""
+    """A measurement that failed; the message says which, and why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,14 +52,14 @@
         return fit_cost(self.sizes, self.values[key])
 
     def at_full(self, key: str) -> float:
-        """The figure at full size: as measured, where that was among the sizes, or by its fit."""
+        """Return the figure at full size: as measured if that size was run, else by its fit."""
         full = MEASUREMENTS[self.name].full
         if full in self.sizes:
             return self.values[key][self.sizes.index(full)]
         return self.fit(key).at(full)
 
     def as_json(self) -> dict[str, Any]:
-        """Return all of it, with its fits, for a file."""
+        """Return the result with its fits, as written to a results file."""
         measurement = MEASUREMENTS[self.name]
         figures = {}
         for figure in measurement.figures:
@@ -81,15 +81,15 @@
         }
 
 
-def play(measurement: Measurement, sizes: Sequence[float]) -> Result:
-    """Play a measurement at these sizes. Raises MeasurementError."""
-    found = [play_size(measurement, size) for size in sizes]
+def run_measurement(measurement: Measurement, sizes: Sequence[float]) -> Result:
+    """Run a measurement at these sizes. Raises MeasurementError."""
+    found = [run_size(measurement, size) for size in sizes]
     values = {one.key: tuple(at[one.key] for at in found) for one in measurement.figures}
     return Result(measurement.name, tuple(sizes), values)
 
 
-def play_size(measurement: Measurement, size: float) -> dict[str, float]:
-    """Play one size in a process of its own. Raises MeasurementError."""
+def run_size(measurement: Measurement, size: float) -> dict[str, float]:
+    """Run one size in its own process. Raises MeasurementError."""
     command = [sys.executable, "-m", "benchmarks.scale.slopes", "--one", measurement.name]
     where = f"{measurement.name} at {size:g} {measurement.axis}"
     try:
@@ -98,10 +98,10 @@
             capture_output=True,
             text=True,
             check=False,
-            timeout=PATIENCE,
+            timeout=SIZE_TIMEOUT,
         )
     except subprocess.TimeoutExpired:
-        raise MeasurementError(f"{where}: not done within {PATIENCE:g} s") from None
+        raise MeasurementError(f"{where}: timed out after {SIZE_TIMEOUT:g} s") from None
     if done.returncode:
         raise MeasurementError(f"{where}: {done.stderr.strip().splitlines()[-1:]}")
     found: dict[str, float] = json.loads(done.stdout.splitlines()[-1])
@@ -109,7 +109,7 @@
 
 
 def readable(value: float, unit: str) -> str:
-    """Return a figure with three digits, and bytes in the unit that suits them."""
+    """Format a figure with three digits, and bytes with a decimal prefix."""
     prefix = ""
     if unit.startswith("B"):
         while abs(value) >= 1000 and prefix != "G":
@@ -119,7 +119,7 @@
 
 
 def table(results: Iterable[Result]) -> str:
-    """Return a line for each figure, as the page has them."""
+    """Return a Markdown table with a row for each figure, as the capacity page shows it."""
     lines = [HEADING]
     for result in results:
         figures = MEASUREMENTS[result.name].figures
@@ -148,8 +148,8 @@
     return f"{text} + {readable(fit.quadratic, unit)} n²" if fit.quadratic else text
 
 
-def circumstances() -> dict[str, Any]:
-    """Return the machine and the commit that figures are of."""
+def environment() -> dict[str, Any]:
+    """Return the machine, its load and the commit that is measured."""
     commit = subprocess.run(
         ["git", "rev-parse", "HEAD"], capture_output=True, text=True, check=False
     ).stdout.strip()
@@ -166,20 +166,20 @@
     try:
         return tuple(float(part) for part in text.split(","))
     except ValueError:
-        raise argparse.ArgumentTypeError(f"{text!r}: not sizes such as 0.05,0.1,0.2") from None
+        raise argparse.ArgumentTypeError(f"{text!r}: expected sizes such as 0.05,0.1,0.2") from None
 
 
 def _name(text: str) -> str:
     if text not in MEASUREMENTS:
         known = ", ".join(MEASUREMENTS)
-        raise argparse.ArgumentTypeError(f"{text!r}: no such measurement; there are {known}")
+        raise argparse.ArgumentTypeError(f"{text!r}: unknown measurement; one of {known}")
     return text
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale.slopes", description=__doc__)
     parser.add_argument("names", nargs="*", type=_name, metavar="NAME", help="default: all")
-    parser.add_argument("--sizes", type=_sizes, help="in place of the measurement's own")
+    parser.add_argument("--sizes", type=_sizes, help="instead of the measurement's own")
     parser.add_argument("--json", type=Path, metavar="FILE", help="write results as JSON lines")
     parser.add_argument("--list", action="store_true", help="print the measurements' names")
     parser.add_argument("--one", type=_name, help=argparse.SUPPRESS)
@@ -187,7 +187,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Play measurements and print their table; 1 where one could not be played."""
+    """Run measurements and print their table; return 1 if one failed."""
     parser = _parser()
     options = parser.parse_args(arguments)
     if options.list:
@@ -195,26 +195,26 @@
         return 0
     if options.one is not None:
         if not options.sizes:
-            parser.error("--one: takes --sizes")
+            parser.error("--one requires --sizes")
         print(json.dumps(MEASUREMENTS[options.one].measure(options.sizes[0])))
         return 0
-    results, failed = _play_all(options.names or list(MEASUREMENTS), options.sizes, options.json)
+    results, failed = _run_all(options.names or list(MEASUREMENTS), options.sizes, options.json)
     print(table(results))
     for problem in failed:
         print(f"slopes: {problem}", file=sys.stderr)
     return 1 if failed else 0
 
 
-def _play_all(
+def _run_all(
     names: Iterable[str], sizes: tuple[float, ...] | None, file: Path | None
 ) -> tuple[list[Result], list[str]]:
-    """Play each, and write each as soon as it is played."""
+    """Run each measurement, and append its result to the file as soon as it is done."""
     results, failed = [], []
     for name in names:
         measurement = MEASUREMENTS[name]
-        before = circumstances()
+        before = environment()
         try:
-            result = play(measurement, sizes or measurement.sizes)
+            result = run_measurement(measurement, sizes or measurement.sizes)
             written = json.dumps({**before, **result.as_json()})
         except (FitError, MeasurementError) as error:
             failed.append(f"{name}: {error}")
--- a/benchmarks/scale/state_slopes.py
+++ b/benchmarks/scale/state_slopes.py
@@ -1,4 +1,4 @@
-"""What a state costs by its size: as text, in memory, read, checked, compared and kept."""
+"""Cost of a state by its size: as text, in memory, and to read, check, compare and store."""
 
 from __future__ import annotations
 
@@ -38,21 +38,21 @@
     "sockets": 16384,
     "memory_mb": 4096,
 }
-SOURCES: Final = 8  # members that a newcomer fetches from
-BEAT: Final = 100_000  # us between two ticks of a member
-FETCHED_WITHIN: Final = 300_000_000  # us
+SOURCES: Final = 8  # members that a new member fetches from
+TICK_INTERVAL: Final = 100_000  # us between two ticks of a member
+FETCH_TIMEOUT: Final = 300_000_000  # us
 KEYS: Final = Keys(1, {1: bytes(32)})
 
 
 def one_weight_changed(state: State) -> State:
-    """Return the state with another weight of one host, as a change of one weight gives it."""
+    """Return the state with the weight of one host changed; all else is shared."""
     name = next(iter(state["nodes"]))
     node = {**state["nodes"][name], "weight": state["nodes"][name]["weight"] + 0.5}
     return {**state, "nodes": {**state["nodes"], name: node}}
 
 
 def service_changed(state: State) -> State:
-    """Return the state with other weights of all hosts of one service."""
+    """Return the state with the weights of all hosts of one service changed."""
     pool = next(iter(state["pools"]))
     nodes = {
         name: {**node, "weight": node["weight"] + 0.5} if name.startswith(f"{pool}/") else node
@@ -61,14 +61,14 @@
     return {**state, "nodes": nodes}
 
 
-def copied(state: State) -> State:
-    """Return the state with objects of its own, as it comes from the admin socket."""
+def deep_copy(state: State) -> State:
+    """Return a copy that shares no objects with the state, as when read from the admin socket."""
     copy: State = json.loads(canonical(state))
     return copy
 
 
 def text(fraction: float) -> dict[str, float]:
-    """Return the canonical text, and its packing."""
+    """Measure the canonical text and its compression."""
     state = full_state.state(fraction)
     made = canonical(state)
     return {
@@ -82,7 +82,7 @@
 
 
 def read_file(fraction: float) -> dict[str, float]:
-    """Return an operator file, from TOML to a state."""
+    """Measure reading an operator file, from TOML to a state."""
     value = full_state.operator_file(fraction, (), (), "g1", "state", "tier.key")
     toml = toml_text(value)
     checked = parse_value(value)
@@ -95,14 +95,16 @@
 
 
 def compare(fraction: float) -> dict[str, float]:
-    """One weight changed: what each comparison of the two states takes."""
+    """Measure each comparison of two states that differ in one weight."""
     old = full_state.state(fraction)
-    new = one_weight_changed(old)  # shares its objects, as a version that is read does
-    from_file_anew = copied(new)
-    named = identity(old)
+    new = one_weight_changed(old)  # shares objects with it, as a version read from the tier does
+    unshared_copy = deep_copy(new)
+    old_identity = identity(old)
     kinds = ("routes", "classes", "tenants")
     return {
-        "plan_s": processor_seconds(lambda: make_plan("g1", 1, old, from_file_anew, named), 2),
+        "plan_s": processor_seconds(
+            lambda: make_plan("g1", 1, old, unshared_copy, old_identity), 2
+        ),
         "identity_s": processor_seconds(lambda: identity(old), 1),
         "diff_s": processor_seconds(lambda: diff(old, new), 2),
         "contradictions_s": processor_seconds(lambda: contradictions(old, new), 2),
@@ -114,7 +116,7 @@
 
 
 def keep(fraction: float) -> dict[str, float]:
-    """One more applied state on disk, one weight from the last; and the tier's content."""
+    """Measure storing an applied state that differs from the stored one in one weight."""
     old = full_state.state(fraction)
     new = one_weight_changed(old)
     born = dict.fromkeys(old["nodes"], 0)
@@ -122,9 +124,9 @@
         store = Store(Path(folder), "g1")
         _commit(store, AppliedState(1, 1, "bench", old, "", born))
         before = _disk_bytes(Path(folder))
-        begun = time.process_time()
+        started_at = time.process_time()
         _commit(store, AppliedState(2, 2, "bench", new, "1 to alter", born))
-        took = time.process_time() - begun
+        took = time.process_time() - started_at
         grown = _disk_bytes(Path(folder)) - before
         store.close()
     return {"store_s": took, "store_bytes": grown}
@@ -139,7 +141,7 @@
 
 
 def fetch(fraction: float) -> dict[str, float]:
-    """A member gets a version in which one weight has changed, from one that has it; and all."""
+    """Measure fetching a version with one changed weight, and a whole state by a new member."""
     old = {**full_state.state(fraction), "listeners": {}}
     new = one_weight_changed(old)
     base = to_tree(old)
@@ -150,15 +152,15 @@
     for store in (*sources, target):
         store.add(base)
     known = before.read(target, tree_digest(base.root))
-    begun = time.process_time()
+    started_at = time.process_time()
     name, _ = source.add(update_tree(source, base.root, old, new))
-    add_s = time.process_time() - begun
+    add_s = time.process_time() - started_at
     change = _fetch([source], target, name)
-    begun = time.process_time()
+    started_at = time.process_time()
     read = before.read(target, name)
-    read_s = time.process_time() - begun
-    assert read == new, "what was fetched is not the state that was changed"
-    assert known == old, "what was read first is not the state that was kept"
+    read_s = time.process_time() - started_at
+    assert read == new, "the fetched state differs from the changed state"
+    assert known == old, "the state read first differs from the stored state"
     whole = _fetch(sources, newcomer, tree_digest(base.root))
     service, _ = source.add(update_tree(source, base.root, old, service_changed(old)))
     return {
@@ -176,25 +178,25 @@
 
 
 @dataclass
-class _Fetched:
-    """What a fetch took, of both ends."""
+class _FetchCost:
+    """Cost of a fetch, at both ends."""
 
     kept: dict[str, bytes] = field(default_factory=dict)
     processor_s: float = 0.0
     bytes: int = 0
     datagrams: int = 0
-    now: int = 0  # microseconds, of no network: of the members' byte budgets alone
+    now: int = 0  # us; only byte budgets take time here, not the network
 
 
-def _fetch(sources: Sequence[ContentStore], target: ContentStore, name: str) -> _Fetched:
-    """Fetch a content over sealed datagrams that take no time. Raises AssertionError."""
-    rng, found = random.Random(1), _Fetched()
+def _fetch(sources: Sequence[ContentStore], target: ContentStore, name: str) -> _FetchCost:
+    """Fetch a content over sealed datagrams without network delay. Raises AssertionError."""
+    rng, found = random.Random(1), _FetchCost()
     names = [f"source-{i}" for i in range(len(sources))]
     stores = dict(zip(names, sources, strict=True))
     wires = {one: Wire(KEYS, one, 1) for one in names}
-    here = Wire(KEYS, "target", 2)
+    target_wire = Wire(KEYS, "target", 2)
 
-    def carry(sender: Wire, receiver: Wire, message: Any) -> Any:
+    def transmit(sender: Wire, receiver: Wire, message: Any) -> Any:
         data = sender.seal(receiver.name, message)
         envelope = receiver.open(data)
         assert envelope is not None, receiver.refused
@@ -203,26 +205,30 @@
         return envelope.message
 
     target.fetch(name, names[0])
-    begun = time.process_time()
+    started_at = time.process_time()
     while not target.has(name):
-        assert found.now < FETCHED_WITHIN, f"{name}: not fetched"
-        found.now += BEAT
-        asked = deque(_asked(target, found.now, rng, [names]))
+        assert found.now < FETCH_TIMEOUT, f"{name}: not fetched"
+        found.now += TICK_INTERVAL
+        asked = deque(_page_requests(target, found.now, rng, [names]))
         while asked:
             source, request = asked.popleft()
-            there = wires[source]
-            for reply in stores[source].answer_pages(carry(here, there, request), found.now):
-                arrival = target.on_page_reply(source, carry(there, here, reply), found.now)
+            source_wire = wires[source]
+            for reply in stores[source].answer_pages(
+                transmit(target_wire, source_wire, request), found.now
+            ):
+                arrival = target.on_page_reply(
+                    source, transmit(source_wire, target_wire, reply), found.now
+                )
                 found.kept.update(arrival.new_items)
-                asked += _asked(target, found.now, rng, None)
-    found.processor_s = time.process_time() - begun
+                asked += _page_requests(target, found.now, rng, None)
+    found.processor_s = time.process_time() - started_at
     return found
 
 
-def _asked(
+def _page_requests(
     store: ContentStore, now: int, rng: random.Random, others: list[list[str]] | None
 ) -> list[tuple[str, PageRequest]]:
-    """Return what a store asks whom for now, at a beat or after an answer."""
+    """Return the page requests that a store sends now, at a tick or after a reply."""
     return [
         (source, request)
         for source, request in store.requests(now, rng, others)
@@ -234,16 +240,16 @@
     with tempfile.TemporaryDirectory(prefix="sailhitch-") as folder:
         disk = Disk(Path(folder))
         before = _disk_bytes(Path(folder))
-        begun = time.process_time()
+        started_at = time.process_time()
         disk.write(dict(kept))
-        took = time.process_time() - begun
+        took = time.process_time() - started_at
         grown = _disk_bytes(Path(folder)) - before
         disk.close()
     return {"tier_disk_s": took, "tier_disk_bytes": grown}
 
 
 def routes(fraction: float) -> dict[str, float]:
-    """Return the lookup table of routes."""
+    """Measure the lookup table of routes."""
     from sailhitch.daemon.routes import RouteQuery, Routes
 
     made = parse_value(full_state.operator_file(fraction, (), (), "g1", "state", "tier.key"))
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""The fits that the capacity page goes by, and one small play of a measurement."""
+"""Tests of the fits behind the capacity page, and of the measurements at small sizes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert fit.at(1700) == pytest.approx(7.0)
 
 
-def test_a_square_is_told_from_a_line() -> None:
+def test_quadratic_cost_is_not_fitted_as_a_line() -> None:
     fit = fit_cost(SIZES, [1.0 + 0.1 * size + 0.02 * size**2 for size in SIZES])
     assert not fit.is_linear
     assert fit.shape == "not linear"
@@ -37,7 +37,7 @@
     assert fit.at(1700) == pytest.approx(1 + 170 + 0.02 * 1700**2)
 
 
-def test_a_little_noise_leaves_a_line_a_line() -> None:
+def test_linear_cost_with_little_noise_is_still_linear() -> None:
     noise = (1.02, 0.98, 1.01, 1.0)
     values = [(3.0 + 0.5 * size) * one for size, one in zip(SIZES, noise, strict=True)]
     fit = fit_cost(SIZES, values)
@@ -45,7 +45,7 @@
     assert 0.0 < fit.residual < 0.05
 
 
-def test_points_that_no_line_describes_are_said_to_be_none() -> None:
+def test_points_that_no_curve_describes_are_scattered() -> None:
     fit = fit_cost(SIZES, [10.0, 1.0, 12.0, 2.0])
     assert fit.residual > 0.1
     assert not fit.is_linear
@@ -58,11 +58,11 @@
         ((1.0, 2.0), (1.0, 2.0), "2 different sizes"),
         ((1.0, 1.0, 2.0), (1.0, 1.0, 2.0), "2 different sizes"),
         ((1.0, 2.0, 3.0), (1.0, 2.0), "3 sizes and 2 values"),
-        ((1.0, 2.0, 3.0), (1.0, math.nan, 2.0), "no finite number"),
-        ((1.0, 2.0, math.inf), (1.0, 2.0, 3.0), "no finite number"),
+        ((1.0, 2.0, 3.0), (1.0, math.nan, 2.0), "not a finite number"),
+        ((1.0, 2.0, math.inf), (1.0, 2.0, 3.0), "not a finite number"),
     ],
 )
-def test_points_that_nothing_can_be_fitted_to_are_refused(
+def test_invalid_points_are_refused(
     sizes: tuple[float, ...], values: tuple[float, ...], why: str
 ) -> None:
     with pytest.raises(FitError, match=why):
@@ -76,9 +76,9 @@
         assert len({figure.key for figure in one.figures}) == len(one.figures), one.name
 
 
-def test_a_measurement_is_played_in_processes_of_its_own_and_fitted() -> None:
-    result = slopes.play(slopes.MEASUREMENTS["table"], (10.0, 20.0, 40.0))
-    # Of the counts alone: each name takes as many bytes of the list as any other.
+def test_measurement_runs_in_its_own_processes_and_is_fitted() -> None:
+    result = slopes.run_measurement(slopes.MEASUREMENTS["table"], (10.0, 20.0, 40.0))
+    # Checks a byte count, which is exact: every name takes the same number of bytes in the list.
     assert result.fit("roster_bytes").residual == pytest.approx(0.0, abs=1e-9)
     assert result.fit("roster_bytes").slope == pytest.approx(len('"gw-0000",'))
     assert "| gateway | `table.roster_bytes`: " in slopes.table([result])
@@ -109,11 +109,11 @@
 
 def test_a_measurement_that_fails_is_named_with_its_size() -> None:
     with pytest.raises(slopes.MeasurementError, match="table at nan members"):
-        slopes.play_size(slopes.MEASUREMENTS["table"], math.nan)
+        slopes.run_size(slopes.MEASUREMENTS["table"], math.nan)
 
 
-def test_a_play_counts_what_a_change_sends_until_all_is_at_rest_again() -> None:
-    found = tier_slopes.play(7, None)
+def test_simulation_counts_what_a_change_sends_until_the_tier_is_idle() -> None:
+    found = tier_slopes.simulate_change(7, None)
     assert 1 <= found["rest_datagrams_s"] <= 10
     assert found["change_datagrams"] > found["rest_datagrams_s"]
     assert found["change_bytes"] > found["rest_bytes_s"]
@@ -124,14 +124,14 @@
 
 
 @pytest.mark.parametrize("name", slopes.MEASUREMENTS)
-def test_each_measurement_has_all_of_its_figures_of_what_the_daemon_does(name: str) -> None:
+def test_each_measurement_returns_all_of_its_figures(name: str) -> None:
     measurement = slopes.MEASUREMENTS[name]
     found = measurement.measure(SMALLEST[measurement.axis])
     assert found.keys() >= {figure.key for figure in measurement.figures}
     assert all(value >= 0 for value in found.values())
 
 
-def test_one_weight_brings_few_pages_and_a_newcomer_all_of_them() -> None:
+def test_changed_weight_fetches_few_pages_and_a_new_member_all() -> None:
     found = state_slopes.fetch(0.02)
     assert 0 < found["fetch_bytes"] < 16_000
     assert found["service_fetch_bytes"] < 16_000
