--- a/benchmarks/scale/budgets.py
+++ b/benchmarks/scale/budgets.py
@@ -1,9 +1,9 @@
-"""The operators' budgets against what measured slopes come to at full size.
+"""Checks the operators' budgets against measured slopes, extrapolated to full size.
 
     python -m benchmarks.scale.budgets RESULTS.jsonl
 
-Reads what `benchmarks.scale.slopes --json` wrote, and prints a table: each budget, what it comes
-to, how that is worked out, and whether it holds. Nothing is measured here.
+Reads the output of `benchmarks.scale.slopes --json`, and prints a table: each budget, the value it
+comes to, how that is calculated, and whether the budget holds. Nothing is measured here.
 """
 
 from __future__ import annotations
@@ -25,45 +25,47 @@
 from .slopes import readable
 from .tier_slopes import LEASE
 
-DAY: Final = 86_400.0  # s
-CHANGES: Final = 1_500  # of configuration a day
-REPLACEMENTS: Final = 4_300  # restarts and replacements a day, two register changes each
-REGISTER_CHANGES: Final = CHANGES + 2 * REPLACEMENTS  # a day
-BEATS: Final = 10  # ticks a second of a member
+SECONDS_PER_DAY: Final = 86_400.0  # s
+CHANGES_PER_DAY: Final = 1_500  # of configuration a day
+REPLACEMENTS_PER_DAY: Final = (
+    4_300  # restarts and replacements of members a day; two register changes each
+)
+REGISTER_CHANGES_PER_DAY: Final = CHANGES_PER_DAY + 2 * REPLACEMENTS_PER_DAY  # a day
+TICKS_PER_SECOND: Final = 10  # ticks a second of a member
 POOLS: Final = 280
 
-CORE_SHARE: Final = 0.018
-MEMORY: Final = 32e6
-BYTES_A_SECOND: Final = 22e3
-IN_FORCE: Final = 7.0  # s
-STALLED_SHARE: Final = 0.01  # of the time: 99 requests in 100 are to get no more than 4 ms
-ONE_CORE: Final = 1.0  # of a control machine, that its answers may take
+MAX_CORE_SHARE: Final = 0.018
+MAX_MEMORY: Final = 32e6
+MAX_BYTES_PER_SECOND: Final = 22e3
+MAX_IN_FORCE: Final = 7.0  # s
+MAX_STALLED_SHARE: Final = 0.01  # of the time: at most 4 ms may be added to 99 requests in 100
+ONE_CORE: Final = 1.0  # of a control machine, for a voter's work
 
 Figures = Mapping[str, float]  # at full size, by `measurement.figure`
 
 
 class ResultsError(Exception):
-    """Results that lack a figure, or are none; the text says which."""
+    """Results that are invalid or lack a figure; the message says which."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """A budget, and what it comes to."""
+    """A budget, the value measured for it, and how that was calculated."""
 
     name: str
     limit: float
     value: float
     unit: str
-    how: str
+    calculation: str
 
     @property
     def holds(self) -> bool:
-        """Whether the budget is kept."""
+        """Whether the value is within the budget."""
         return self.value <= self.limit
 
 
 def load_figures(path: Path) -> dict[str, float]:
-    """Figures at full size from a file of results. Raises ResultsError."""
+    """Load the figures at full size from a file of results. Raises ResultsError."""
     figures: dict[str, float] = {}
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
@@ -80,7 +82,7 @@
 
 
 def verdicts(figures: Figures) -> list[Verdict]:
-    """Each budget with what it comes to. Raises ResultsError."""
+    """Return each budget with its value. Raises ResultsError."""
     try:
         return [*_gateway(figures), *_requests(figures), *_control(figures)]
     except KeyError as error:
@@ -88,7 +90,7 @@
 
 
 def change_processor_seconds(figures: Figures) -> float:
-    """What one weight costs a gateway that hears of it: fetch, read, compare, switch, keep."""
+    """Return the cost of one changed weight at a gateway: fetch, read, compare, store, switch."""
     parts = (
         "fetch.fetch_s",
         "fetch.read_s",
@@ -100,8 +102,8 @@
 
 
 def busy_share(figures: Figures) -> float:
-    """The part of the day in which gossip goes at its full rate, as changes follow each other."""
-    return min(1.0, REGISTER_CHANGES * figures["play.until_rest_s"] / DAY)
+    """Return the share of the day in which gossip runs at its full rate because of changes."""
+    return min(1.0, REGISTER_CHANGES_PER_DAY * figures["play.until_rest_s"] / SECONDS_PER_DAY)
 
 
 def _datagram_us(figures: Figures) -> float:
@@ -109,44 +111,49 @@
 
 
 def _gossip_core(figures: Figures) -> float:
-    """Return the part of a core that gossip takes over a day, at rest and busy."""
+    """Return the share of a core that gossip takes, averaged over a day of idle and busy time."""
     busy = busy_share(figures)
-    beats = BEATS * ((1 - busy) * figures["rounds.tick_us"] + busy * figures["rounds.busy_tick_us"])
+    tick_us = TICKS_PER_SECOND * (
+        (1 - busy) * figures["rounds.tick_us"] + busy * figures["rounds.busy_tick_us"]
+    )
     datagrams = (1 - busy) * figures["play_lease.rest_datagrams_s"] + busy * (
         figures["play.worst_bytes_s"] / figures["rounds.news_bytes"]
     )
-    return (beats + datagrams * _datagram_us(figures)) / 1e6
+    return (tick_us + datagrams * _datagram_us(figures)) / 1e6
 
 
 def _gateway(figures: Figures) -> list[Verdict]:
     change = change_processor_seconds(figures)
     gossip, busy = _gossip_core(figures), busy_share(figures)
-    rest, most = 2 * figures["play_lease.rest_bytes_s"], 2 * figures["play.worst_bytes_s"]
-    gossip_bytes = (1 - busy) * rest + busy * most
+    idle_bytes, busy_bytes = (
+        2 * figures["play_lease.rest_bytes_s"],
+        2 * figures["play.worst_bytes_s"],
+    )
+    gossip_bytes = (1 - busy) * idle_bytes + busy * busy_bytes
     fetch = 2 * figures["fetch.fetch_bytes"]
     roster = 2 * figures["table.roster_packed_bytes"]
-    fetched = (CHANGES * fetch + 2 * REPLACEMENTS * roster) / DAY
+    fetched = (CHANGES_PER_DAY * fetch + 2 * REPLACEMENTS_PER_DAY * roster) / SECONDS_PER_DAY
     memory = figures["switch.after_memory_bytes"] + figures["table.table_bytes"]
     modules = POOLS * figures["module_tenants.pool_memory_bytes"]
     return [
         Verdict(
             "gateway: processor for control, mean of a day",
-            CORE_SHARE,
-            CHANGES * change / DAY + gossip,
+            MAX_CORE_SHARE,
+            CHANGES_PER_DAY * change / SECONDS_PER_DAY + gossip,
             "of a core",
-            f"{CHANGES} changes of {change:.2f} s, and gossip {gossip:.2%}, busy {busy:.0%} "
-            "of the day",
+            f"{CHANGES_PER_DAY} changes of {change:.2f} s, and gossip {gossip:.2%}, "
+            f"busy {busy:.0%} of the day",
         ),
         Verdict(
             "gateway: processor, worst second",
-            CORE_SHARE,
+            MAX_CORE_SHARE,
             min(1.0, change),
             "of a core",
             f"a change takes {change:.2f} s on end",
         ),
         Verdict(
             "gateway: bytes sent and received, mean of a day",
-            BYTES_A_SECOND,
+            MAX_BYTES_PER_SECOND,
             gossip_bytes + fetched,
             "B/s",
             f"gossip {readable(gossip_bytes, 'B/s')}, busy {busy:.0%} of the day; fetches "
@@ -154,14 +161,14 @@
         ),
         Verdict(
             "gateway: bytes sent and received, worst second",
-            BYTES_A_SECOND,
-            most + fetch,
+            MAX_BYTES_PER_SECOND,
+            busy_bytes + fetch,
             "B/s",
             "gossip at its full rate, and a whole version fetched and passed on in that second",
         ),
         Verdict(
             "gateway: memory",
-            MEMORY,
+            MAX_MEMORY,
             memory,
             "B",
             f"two states and the switch's tables; of that {readable(modules, 'B')} in tenants of "
@@ -184,15 +191,15 @@
     return [
         Verdict(
             "requests: part of the time that adds over 4 ms",
-            STALLED_SHARE,
-            CHANGES * stalled / DAY,
+            MAX_STALLED_SHARE,
+            CHANGES_PER_DAY * stalled / SECONDS_PER_DAY,
             "of the time",
             f"a change holds the loop up for {stalled:.1f} s of wall time, {longest:.1f} s on end; "
             f"by processor time the loop alone works {on_loop:.1f} s",
         ),
         Verdict(
             "one weight in force everywhere",
-            IN_FORCE,
+            MAX_IN_FORCE,
             in_force,
             "s",
             "the tier's rounds, then fetch, read and switch, none beside another",
@@ -211,8 +218,8 @@
 def _control(figures: Figures) -> list[Verdict]:
     asked = MEMBERS * RENEWALS_PER_LEASE * 1e6 / LEASE
     answer = figures["rounds.open_us"] + figures["rounds.poll_us"] + figures["rounds.seal_us"]
-    resting = BEATS * figures["rounds.voter_tick_us"] / 1e6
-    pending = BEATS * figures["pending.voter_pending_tick_ms"] / 1e3
+    resting = TICKS_PER_SECOND * figures["rounds.voter_tick_us"] / 1e6
+    pending = TICKS_PER_SECOND * figures["pending.voter_pending_tick_ms"] / 1e3
     return [
         Verdict(
             "voter: lease questions",
@@ -226,20 +233,20 @@
             ONE_CORE,
             resting,
             "of a core",
-            f"{BEATS} a second, each looks at all {MEMBERS} leases",
+            f"{TICKS_PER_SECOND} a second, each looks at all {MEMBERS} leases",
         ),
         Verdict(
             "voter: beats while a change waits for members",
             ONE_CORE,
             pending,
             "of a core",
-            f"{BEATS} a second, each looks for whom it waits",
+            f"{TICKS_PER_SECOND} a second, each looks for whom it waits",
         ),
     ]
 
 
 def table(found: Sequence[Verdict]) -> str:
-    """Return the table, as the page has it."""
+    """Return the Markdown table of the capacity page."""
     lines = ["| budget | limit | comes to | how | verdict |", "| --- | --- | --- | --- | --- |"]
     for one in found:
         limit, verdict = readable(one.limit, one.unit), "holds"
@@ -248,12 +255,12 @@
         elif not one.holds:
             verdict = "**doesn't hold**"
         value = readable(one.value, one.unit)
-        lines.append(f"| {one.name} | {limit} | {value} | {one.how} | {verdict} |")
+        lines.append(f"| {one.name} | {limit} | {value} | {one.calculation} | {verdict} |")
     return "\n".join(lines)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Print the table; 1 where the results lack something."""
+    """Print the table; return 1 for results that are invalid or incomplete."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale.budgets", description=__doc__)
     parser.add_argument("results", type=Path, metavar="RESULTS.jsonl")
     options = parser.parse_args(arguments)
--- a/benchmarks/scale/full_state.py
+++ b/benchmarks/scale/full_state.py
@@ -1,8 +1,8 @@
-"""Operator files and states of any fraction of the full size, always the same for one fraction.
+"""Generates operator files and states of any fraction of the full size, deterministically.
 
 The full size is that of issue 44: 16,000 hosts in 280 services (one pool each), 7,500 routes and
 150,000 tenants, in three regions with eight zones in all. Hosts have addresses in 127.0.0.0/8, so
-that a daemon that goes by such a file never leaves the machine.
+that a daemon with such a file sends nothing beyond the machine.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 ROUTES: Final = 7_500
 TENANTS: Final = 150_000
 REGIONS: Final = 3
-ZONES: Final = 8  # of all regions together
+ZONES: Final = 8  # in all regions together
 
-RATE: Final = 190_000.0  # requests a second of the whole tier
+RATE: Final = 190_000.0  # requests a second, over the whole tier
 HOST_PORT: Final = 9000
-HOSTS_PER_NETWORK: Final = 250  # last octets that are used, 1 to 250
-TENANT_ROUTE_EVERY: Final = 100  # one route in so many is for one tenant
-SPLIT_ROUTE_EVERY: Final = 50  # one route in so many sends a part to a second pool
+HOSTS_PER_NETWORK: Final = 250  # last octets 1 to 250
+TENANT_ROUTE_EVERY: Final = 100  # one route in 100 is for a single tenant
+SPLIT_ROUTE_EVERY: Final = 50  # one route in 50 splits its traffic over two pools
 
 _REGION_NAMES: Final = ("west", "central", "east", "north", "south")
 _SERVICE_NAMES: Final = (
@@ -80,7 +80,7 @@
     {"name": "payout", "effect": "unsafe", "aim": "2500ms", "deadline": "5s", "worth": 3.0},
     {"name": "report", "aim": "5s", "deadline": "30s", "worth": 0.5},
 )
-# The class and methods of each of a service's routes, in turns.
+# Classes and methods that a service's routes cycle through.
 _ROUTE_KINDS: Final[tuple[tuple[str, tuple[str, ...]], ...]] = (
     ("page", ("GET", "HEAD")),
     ("filing", ("POST", "PUT")),
@@ -92,7 +92,7 @@
 
 
 class FractionError(ValueError):
-    """A fraction that no state can be made of."""
+    """A fraction that is out of range."""
 
 
 def operator_file(
@@ -105,10 +105,10 @@
     regions: int = REGIONS,
     zones: int = ZONES,
 ) -> dict[str, Any]:
-    """Return the value of gateway `gateway`'s operator file, as `parse_value` takes it.
+    """Return the operator file of gateway `gateway`, as a value for `parse_value`.
 
-    `members` are the names and UDP addresses of the whole tier; with none there is no `[tier]`.
-    Raises FractionError, or ValueError for regions and zones that do not go together.
+    `members` are the names and UDP addresses of the whole tier; without any there is no `[tier]`.
+    Raises FractionError, or ValueError for an invalid number of regions or zones.
     """
     zone_names = _zone_names(regions, zones)
     names = [name for name, _ in members]
@@ -135,7 +135,7 @@
 
 
 def state(fraction: float) -> State:
-    """Return the state that the file of this fraction asks for."""
+    """Return the state that the operator file of this fraction describes."""
     return from_file(parse_value(operator_file(fraction, (), (), "g1", "state", "tier.key")))
 
 
@@ -145,14 +145,14 @@
 
 
 def scaled(full: int, fraction: float) -> int:
-    """So much of a full count, one at least. Raises FractionError."""
+    """Return a fraction of a full count, at least one. Raises FractionError."""
     if not 0 < fraction <= 1:
         raise FractionError(f"fraction: {fraction} is not above 0 and up to 1")
     return max(1, round(full * fraction))
 
 
 def _shared_parts(fraction: float, zone_names: Sequence[str]) -> dict[str, Any]:
-    """Return what is the same in all gateways' files."""
+    """Return the sections that are the same in all gateways' files."""
     services = [_service_name(i) for i in range(scaled(SERVICES, fraction))]
     tenants = _tenants(scaled(TENANTS, fraction))
     return {
@@ -165,7 +165,7 @@
 
 
 def _zone_names(regions: int, zones: int) -> list[str]:
-    """Names of all zones, by turns of the regions: west-1, central-1, east-1, west-2, ..."""
+    """Return all zone names, cycling through the regions: west-1, central-1, east-1, west-2, ..."""
     if not 1 <= regions <= len(_REGION_NAMES):
         raise ValueError(f"regions: {regions} is not from 1 to {len(_REGION_NAMES)}")
     if zones < regions:
@@ -178,7 +178,7 @@
 
 
 def _tenants(count: int) -> list[dict[str, Any]]:
-    """Tenants whose shares fall with their rank, as in Zipf's law, to a floor."""
+    """Return tenants whose shares fall with their rank by Zipf's law, down to a floor."""
     return [
         {
             "name": f"{_TENANT_NAMES[i % len(_TENANT_NAMES)]}-{i:06d}",
@@ -189,7 +189,7 @@
 
 
 def _pools(services: Sequence[str], hosts: int, zone_names: Sequence[str]) -> list[dict[str, Any]]:
-    """Pools with their hosts, which are in all zones by turns."""
+    """Return pools whose hosts are spread over all zones in turn."""
     pools: list[dict[str, Any]] = [{"name": name, "nodes": []} for name in services]
     for i in range(hosts):
         pool = pools[i % len(pools)]
@@ -214,7 +214,7 @@
 def _routes(
     services: Sequence[str], count: int, tenants: Sequence[Mapping[str, Any]]
 ) -> list[dict[str, Any]]:
-    """Routes by host, path and method, some for one tenant and some over two pools."""
+    """Return routes by host, path and method, some for one tenant and some over two pools."""
     routes = []
     for i in range(count):
         service = services[i % len(services)]
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -15,7 +15,7 @@
 
 
 def machine() -> dict[str, Any]:
-    """Return what a run was measured on."""
+    """Return the machine that a run was measured on."""
     return {
         "cores": os.cpu_count(),
         "memory_mb": machine_memory_kb() // 1024,
@@ -26,7 +26,7 @@
 
 
 def commit() -> dict[str, Any]:
-    """Return the commit that is measured, and whether the tree differs from it."""
+    """Return the commit that is measured, and whether the working tree differs from it."""
     try:
         head = _git("rev-parse", "HEAD").strip()
         return {"commit": head, "dirty": bool(_git("status", "--porcelain", "-uno").strip())}
@@ -42,7 +42,7 @@
 
 
 def read_lines(files: Sequence[str | Path]) -> list[dict[str, Any]]:
-    """Results of earlier runs; raises RigError."""
+    """Read results of earlier runs. Raises RigError."""
     found = []
     for file in files:
         try:
@@ -58,7 +58,7 @@
 
 
 def windows(value: Any, path: str = "") -> Iterator[tuple[str, dict[str, Any]]]:
-    """Each part of a result that has figures of a window, with where it is."""
+    """Yield each part of a result that has the figures of a window, with its path."""
     if isinstance(value, dict):
         if "window" in value:
             yield path, value
@@ -70,7 +70,7 @@
             yield from windows(part, f"{path}[{number}]")
 
 
-HEADS = (
+COLUMNS = (
     "part",
     "members",
     "state",
@@ -96,61 +96,61 @@
 
 
 def row(result: dict[str, Any], path: str, part: dict[str, Any]) -> list[str]:
-    """One line of the table."""
+    """Return one row of the table."""
     window = part["window"]
     hollow, daemons = window["hollow"], window["daemons"].values()
     sent, force = hollow["sent"], part.get("in_force", {})
-    both = [one["sent"]["all"]["bytes"] + one["heard"]["all"]["bytes"] for one in daemons]
+    total_bytes = [one["sent"]["all"]["bytes"] + one["heard"]["all"]["bytes"] for one in daemons]
     name = f"{result['experiment']}{'.' if path else ''}{path}"
     return [
         name,
         str(result["members"]),
-        said(result["fraction"]),
-        said(result["loss"]),
-        said(result["dead"]),
+        format_figure(result["fraction"]),
+        format_figure(result["loss"]),
+        format_figure(result["dead"]),
         (result["commit"] or "-")[:7] + "+" * bool(result["dirty"]),
-        said(window["seconds"]),
-        f"{said(force.get('median'))}/{said(force.get('worst'))}",
-        said(part.get("behind")),
-        said(part.get("all_in")),
-        said(part.get("at_rest_after")),
-        said(sent["all"]["bytes"]),
-        said(sent["all"]["datagrams"]),
-        said(sent.get("gossip", {}).get("bytes")),
-        said(fetched(sent)),
-        said(hollow["questions_at_a_voter_s"]),
-        said(max((one["core_share"] for one in daemons), default=None)),
-        said(max((one["rss_mb"] for one in daemons), default=None)),
-        said(max(both, default=None)),
-        said(max(window["hosts"]["core_share"], default=None)),
-        dropped(window["dropped_by_the_system"]),
+        format_figure(window["seconds"]),
+        f"{format_figure(force.get('median'))}/{format_figure(force.get('worst'))}",
+        format_figure(part.get("behind")),
+        format_figure(part.get("all_in")),
+        format_figure(part.get("at_rest_after")),
+        format_figure(sent["all"]["bytes"]),
+        format_figure(sent["all"]["datagrams"]),
+        format_figure(sent.get("gossip", {}).get("bytes")),
+        format_figure(content_bytes(sent)),
+        format_figure(hollow["questions_at_a_voter_s"]),
+        format_figure(max((one["core_share"] for one in daemons), default=None)),
+        format_figure(max((one["rss_mb"] for one in daemons), default=None)),
+        format_figure(max(total_bytes, default=None)),
+        format_figure(max(window["hosts"]["core_share"], default=None)),
+        format_drops(window["dropped_by_the_system"]),
     ]
 
 
-def fetched(sent: dict[str, dict[str, float]]) -> float | None:
-    """Bytes a second of contents: whole ones in pieces, and pages of trees."""
+def content_bytes(sent: dict[str, dict[str, float]]) -> float | None:
+    """Return the bytes a second spent on contents: pieces of whole ones, and pages of trees."""
     found = [sent[kind]["bytes"] for kind in ("content piece", "page reply") if kind in sent]
     return sum(found) if found else None
 
 
-def dropped(drops: int | dict[str, int]) -> str:
-    """At hollow gateways, and at daemons; a run before they were told apart has one figure."""
+def format_drops(drops: int | dict[str, int]) -> str:
+    """Format the drops at hollow gateways and at daemons; older results have only one count."""
     return str(drops) if isinstance(drops, int) else f"{drops['hollow']}/{drops['daemons']}"
 
 
-def said(value: float | None) -> str:
-    """A figure as the table has it."""
+def format_figure(value: float | None) -> str:
+    """Format a figure for the table."""
     if value is None:
         return "-"
     return f"{value:.0f}" if abs(value) >= 100 or value == int(value) else f"{value:.3g}"
 
 
 def table(results: Sequence[dict[str, Any]]) -> str:
-    """Return all windows of some results, as text."""
-    rows = [list(HEADS)]
+    """Return the text table of all windows of the results."""
+    rows = [list(COLUMNS)]
     for result in results:
         rows += [row(result, path, part) for path, part in windows(result["figures"])]
-    widths = [max(len(one[i]) for one in rows) for i in range(len(HEADS))]
+    widths = [max(len(one[i]) for one in rows) for i in range(len(COLUMNS))]
     lines = [
         "  ".join(
             text.ljust(width) if i == 0 else text.rjust(width)
@@ -162,7 +162,7 @@
 
 
 def _label(result: dict[str, Any], path: str) -> str:
-    """Return what a line of the chart is of: all that differs between runs but the members."""
+    """Return the label of a line of the chart: all that differs between runs except the members."""
     faults = f", loss {result['loss']}, dead {result['dead']}" * bool(
         result["loss"] or result["dead"]
     )
@@ -171,9 +171,9 @@
 
 
 def chart(results: Sequence[dict[str, Any]], file: str | Path) -> None:
-    """Bytes, processor time and seconds until rest over the members; raises RigError."""
+    """Draw bytes, processor time and durations over the number of members. Raises RigError."""
     try:
-        # Not on any path that a run without a chart takes: the extra `scale` brings it.
+        # Imported only for a chart: matplotlib comes with the optional extra `scale`.
         import matplotlib
 
         matplotlib.use("Agg")
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""What slopes come to against the budgets: arithmetic on figures that are given."""
+"""Tests of the arithmetic that compares figures with the budgets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def figures(**changes: float) -> dict[str, float]:
-    """All figures at nothing, but those given (`__` stands for the dot)."""
+    """Return all figures as zero except those given (`__` stands for the dot)."""
     found = {
         f"{name}.{figure.key}": 0.0
         for name, measurement in slopes.MEASUREMENTS.items()
@@ -25,7 +25,7 @@
     return {one.name: one for one in budgets.verdicts(figures(**changes))}[name]
 
 
-def test_a_change_of_a_second_takes_its_part_of_the_day() -> None:
+def test_change_cost_is_averaged_over_the_day() -> None:
     name = "gateway: processor for control, mean of a day"
     one = verdict(name, switch__switch_s=0.6, fetch__read_s=0.4)
     assert one.value == pytest.approx(1500 / 86400)
@@ -33,7 +33,7 @@
     assert not verdict(name, switch__switch_s=0.7, fetch__read_s=0.4).holds
 
 
-def test_gossip_that_outlasts_the_time_between_changes_never_rests() -> None:
+def test_gossip_is_busy_all_day_if_it_outlasts_the_time_between_changes() -> None:
     between = 86400 / (1500 + 2 * 4300)
     assert budgets.busy_share(figures(play__until_rest_s=between / 2)) == pytest.approx(0.5)
     assert budgets.busy_share(figures(play__until_rest_s=between * 9)) == 1.0
@@ -68,7 +68,7 @@
     assert budgets.load_figures(path)["table.table_bytes"] == pytest.approx(170.0)
 
 
-def test_a_line_that_is_no_result_is_named(
+def test_invalid_line_of_results_is_named(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "results.jsonl"
