--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,4 +1,4 @@
-"""Scale runs: real daemons beside hundreds of hollow gateways on one machine.
+"""Scale runs: real daemons and hundreds of hollow gateways on one machine.
 
-`python -m benchmarks.scale NAME` plays one experiment; `docs/scale.md` says how to read it.
+`python -m benchmarks.scale NAME` runs one experiment; `docs/scale.md` explains its results.
 """
--- a/benchmarks/scale/changes.py
+++ b/benchmarks/scale/changes.py
@@ -1,6 +1,6 @@
 """Changes of the state, as an operator makes them.
 
-They are prepared beforehand, so that a command's time is the tier's alone.
+They are prepared in advance, so that only the tier's work is timed.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from .fleet import Fleet
 from .processes import RealDaemon, RefusedError
 
-WEIGHT: Final = "weight"  # contradicts nothing: it holds as soon as it is decided
-BAN: Final = "ban"  # contradicts: all have to confirm it first
-DECIDED: Final = 90.0  # s for a change to be decided, and gone by where it was asked for
+WEIGHT: Final = "weight"  # contradicts nothing: active as soon as it is decided
+BAN: Final = "ban"  # a contradiction: pending until all members have confirmed it
+DECISION_TIMEOUT: Final = 90.0  # s until a change is decided and in force where it was requested
 
 
 @dataclass(frozen=True)
-class Prepared:
-    """A change, ready to be asked for: `ask` gives the serial that it has got."""
+class PreparedChange:
+    """A prepared change: `ask` requests it and returns the serial that it was given."""
 
     kind: str
     after: State
@@ -32,51 +32,53 @@
 
 
 def with_weight(state: State, number: int) -> State:
-    """Another weight of one node, the one of that number."""
+    """Return the state with another weight of the node at that index."""
     name = sorted(state["nodes"])[number % len(state["nodes"])]
     node = state["nodes"][name]
     return {**state, "nodes": {**state["nodes"], name: {**node, "weight": node["weight"] + 0.5}}}
 
 
 def with_ban(state: State) -> State:
-    """Return the first node banned, or not any more."""
+    """Return the state with the first node's ban toggled."""
     name = min(state["nodes"])
     ban = {"by": "scale", "when": 0, "why": "scale"}
     return banned(state, name, None if name in state["bans"] else ban)
 
 
-def altered(kind: str, state: State, number: int) -> State:
+def apply_change(kind: str, state: State, number: int) -> State:
     """Return the state after a change of this kind."""
     return with_weight(state, number) if kind == WEIGHT else with_ban(state)
 
 
-async def prepare(fleet: Fleet, kind: str, count: int = 1) -> list[Prepared]:
-    """Changes of one kind, each made from the one before."""
-    found = []
-    state, serial = await _held(fleet), fleet.serial
+async def prepare(fleet: Fleet, kind: str, count: int = 1) -> list[PreparedChange]:
+    """Prepare changes of one kind, each based on the one before."""
+    prepared = []
+    state, serial = await _active_state(fleet), fleet.serial
     for number in range(count):
-        after = await asyncio.to_thread(altered, kind, state, number)
-        found.append(Prepared(kind, after, await _how(fleet, kind, state, after, serial)))
+        after = await asyncio.to_thread(apply_change, kind, state, number)
+        prepared.append(
+            PreparedChange(kind, after, await _prepare_request(fleet, kind, state, after, serial))
+        )
         state, serial = after, serial + 1
-    return found
+    return prepared
 
 
-async def _held(fleet: Fleet) -> State:
-    """Return the state that holds: a daemon's, as it gives a ban a time and a name of its own."""
+async def _active_state(fleet: Fleet) -> State:
+    """Return the active state, from a daemon if there is one: it sets a ban's time and author."""
     if not fleet.daemons:
         return fleet.state
     daemon = next(iter(fleet.daemons.values()))
-    answer = await daemon.ask({"op": "state"}, DECIDED)
+    answer = await daemon.ask({"op": "state"}, DECISION_TIMEOUT)
     state: State = answer["state"]
     return state
 
 
-async def _how(
+async def _prepare_request(
     fleet: Fleet, kind: str, before: State, after: State, serial: int
 ) -> Callable[[], Awaitable[int]]:
-    """Asked of a daemon where there is one, else of a hollow gateway."""
+    """Prepare the request of a change: to a daemon if there is one, else to a hollow gateway."""
     if not fleet.daemons:
-        return await fleet.proposal(after, serial, waits=kind == BAN)
+        return await fleet.prepare_proposal(after, serial, waits=kind == BAN)
     daemon = next(iter(fleet.daemons.values()))
     bare, wanted = {**before, "listeners": {}}, {**after, "listeners": {}}
     if kind == BAN:
@@ -89,14 +91,14 @@
 
 
 async def _ask(daemon: RealDaemon, request: Mapping[str, Any]) -> int:
-    answer = await daemon.ask(request, DECIDED)
+    answer = await daemon.ask(request, DECISION_TIMEOUT)
     if not answer.get("ok"):
         raise RefusedError(f"{daemon.name}: {request['op']}: {answer.get('error')}")
     return int(answer["serial"])
 
 
-async def carry_out(fleet: Fleet, change: Prepared) -> int:
-    """Ask for a change, and go by it; the serial that it has got."""
+async def carry_out(fleet: Fleet, change: PreparedChange) -> int:
+    """Request a change and record it as the fleet's state; return its serial."""
     serial = await change.ask()
     fleet.state, fleet.serial = change.after, serial
     return serial
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -1,4 +1,4 @@
-"""A tier on this machine: processes of hollow gateways, and real daemons beside them."""
+"""Runs a tier on this machine: processes of hollow gateways, and real daemons."""
 
 from __future__ import annotations
 
@@ -25,28 +25,31 @@
 from . import figures, full_state
 from .processes import HostProcess, RealDaemon, RefusedError, RigError
 
-IN_A_PROCESS: Final = 170  # hollow gateways at most
-SPREAD: Final = 30  # of them for which a process is taken, up to `SPREAD_OVER` processes
-SPREAD_OVER: Final = 6
-MOST_PROCESSES: Final = 12  # in all, the rig's own among them
+MAX_HOLLOW_PER_PROCESS: Final = 170  # hollow gateways
+# Small runs use one process for this many hollow gateways, up to `MAX_SPREAD_PROCESSES` processes.
+HOLLOW_PER_SPREAD_PROCESS: Final = 30
+MAX_SPREAD_PROCESSES: Final = 6
+MAX_PROCESSES: Final = 12  # including the rig's own
 ZONES: Final = 8
 REGIONS: Final = 3
-STARTED: Final = 300.0  # s for all to be in; a daemon fetches the whole state at first
-DECIDED: Final = 90.0  # s for a change to be decided, and gone by where it was asked for
-AGREE_WITHIN: Final = "60s"  # a daemon that is slow to go by a change is measured, not given up
-MOST_SOCKET_PATH: Final = 107  # bytes of a Unix socket's path, unix(7)
-POLL: Final = 0.1  # s between two looks at something that is waited for
-# Bytes that the check of memory counts with, on the high side.
-ROW: Final = 700  # what a member keeps of another
-GATEWAY: Final = 500_000  # a hollow gateway with no tier and no state
-DAEMON: Final = 120_000_000
-DAEMON_STATE: Final = 40  # a daemon's memory by the canonical size of its state
-HOLLOW_STATE: Final = 4  # a hollow gateway's by the same: its pages, and what is known of each
+# s until all members are active; a daemon first fetches the whole state.
+START_TIMEOUT: Final = 300.0
+DECISION_TIMEOUT: Final = 90.0  # s until a change is decided and in force where it was requested
+# Long enough that a daemon which is slow to apply a change is measured, not timed out.
+AGREE_WITHIN: Final = "60s"
+MAX_SOCKET_PATH_BYTES: Final = 107  # limit of a Unix socket's path, unix(7)
+POLL_INTERVAL: Final = 0.1  # s between two checks of a condition that is waited for
+# Estimates for the memory check, rounded up. The factors multiply the state's canonical size.
+MEMBER_RECORD_BYTES: Final = 700  # what a member stores about another
+HOLLOW_BASE_BYTES: Final = 500_000  # a hollow gateway without a tier or a state
+DAEMON_BASE_BYTES: Final = 120_000_000
+DAEMON_STATE_FACTOR: Final = 40
+HOLLOW_STATE_FACTOR: Final = 4  # its pages, and the metadata of each page
 
 
 @dataclass(frozen=True)
 class Size:
-    """What a run consists of."""
+    """The size of a run: how many members of each kind, and how large their state is."""
 
     members: int  # hollow gateways and daemons together
     daemons: int = 1
@@ -54,65 +57,72 @@
     voters_are: str = "hollow"  # or "real"
     fraction: float = 0.01
     lease: float = 3.0  # s; 0: none
-    cold: bool = False  # hollow gateways begin with empty disks, not with the state
+    cold: bool = False  # hollow gateways start with empty disks instead of the state
 
     def check(self) -> None:
-        """Raises RigError for what can't be run."""
+        """Raises RigError for a size that can't be run."""
         if self.voters % 2 == 0 or not 1 <= self.voters <= 7:
             raise RigError(f"--voters: {self.voters} is not 1, 3, 5 or 7")
-        among = self.daemons if self.voters_are == "real" else self.members - self.daemons
-        if self.voters > among:
-            raise RigError(f"--voters: {self.voters} are more than the {among} {self.voters_are}")
+        candidates = self.daemons if self.voters_are == "real" else self.members - self.daemons
+        if self.voters > candidates:
+            raise RigError(
+                f"--voters: {self.voters} are more than the {candidates} {self.voters_are}"
+            )
         if self.daemons and self.members > MOST_MEMBERS:
             raise RigError(
                 f"--members: a daemon takes {MOST_MEMBERS} at most; more only with --daemons 0"
             )
-        if self.processes() > MOST_PROCESSES:
-            raise RigError(f"{self.processes()} processes; {MOST_PROCESSES} at most")
+        if self.processes() > MAX_PROCESSES:
+            raise RigError(f"{self.processes()} processes; {MAX_PROCESSES} at most")
 
     def hosts(self) -> int:
-        """Processes of hollow gateways."""
+        """Return the number of processes of hollow gateways."""
         hollow = self.members - self.daemons
-        return max(ceil(hollow / IN_A_PROCESS), min(SPREAD_OVER, ceil(hollow / SPREAD)))
+        return max(
+            ceil(hollow / MAX_HOLLOW_PER_PROCESS),
+            min(MAX_SPREAD_PROCESSES, ceil(hollow / HOLLOW_PER_SPREAD_PROCESS)),
+        )
 
     def processes(self) -> int:
-        """Processes in all, the rig's own among them."""
+        """Return the number of all processes, including the rig's own."""
         return self.hosts() + self.daemons + 1
 
 
 def check_memory(size: Size, state_bytes: int) -> int:
-    """Bytes that a run may come to; raises RigError where they are over half of the machine's."""
+    """Estimate the bytes that a run needs. Raises RigError above half of the machine's memory."""
     hollow = size.members - size.daemons
-    each = GATEWAY + size.members * ROW + state_bytes * HOLLOW_STATE
-    whole = hollow * each + size.daemons * (DAEMON + state_bytes * DAEMON_STATE)
+    each = (
+        HOLLOW_BASE_BYTES + size.members * MEMBER_RECORD_BYTES + state_bytes * HOLLOW_STATE_FACTOR
+    )
+    needed = hollow * each + size.daemons * (DAEMON_BASE_BYTES + state_bytes * DAEMON_STATE_FACTOR)
     total = figures.machine_memory_kb() * 1024
     free = figures.machine_memory_kb("MemAvailable") * 1024
-    if whole > total // 2 or whole > free:
+    if needed > total // 2 or needed > free:
         raise RigError(
-            f"would come to {whole >> 20} MB of memory; half of this machine's is {total >> 21} "
-            f"MB, and {free >> 20} MB are free: take fewer members or a smaller fraction"
+            f"needs about {needed >> 20} MB of memory; half of this machine's is {total >> 21} "
+            f"MB, and {free >> 20} MB are free: use fewer members or a smaller fraction"
         )
-    return whole
+    return needed
 
 
 def admin_socket(folder: Path) -> str:
-    """The path of a daemon's admin socket; raises RigError where the system's limit is passed."""
+    """Return the path of a daemon's admin socket. Raises RigError if it is too long."""
     path = str(folder / "admin.sock")
-    if len(os.fsencode(path)) > MOST_SOCKET_PATH:
+    if len(os.fsencode(path)) > MAX_SOCKET_PATH_BYTES:
         raise RigError(
-            f"TMPDIR: {path}: a Unix socket's path has {MOST_SOCKET_PATH} bytes at most; set a "
-            "shorter one"
+            f"TMPDIR: {path}: a Unix socket's path has {MAX_SOCKET_PATH_BYTES} bytes at most; "
+            "set a shorter TMPDIR"
         )
     return path
 
 
 class Fleet:
-    """All gateways of a run."""
+    """All gateways of a run, hollow and real."""
 
-    def __init__(self, size: Size, folder: Path, say: Callable[[str], None]) -> None:
+    def __init__(self, size: Size, folder: Path, log_progress: Callable[[str], None]) -> None:
         """Raises RigError."""
         size.check()
-        self.size, self.folder, self.say = size, folder, say
+        self.size, self.folder, self.log_progress = size, folder, log_progress
         self.real = [f"d{i + 1}" for i in range(size.daemons)]
         self.hollow = [f"h{i + 1:04d}" for i in range(size.members - size.daemons)]
         group = self.real if size.voters_are == "real" else self.hollow
@@ -127,10 +137,10 @@
         self.down: set[str] = set()
         self.serial = 1
         self.loss = 0.0
-        self._proposals = 0
+        self._proposal_count = 0
 
     def _addresses(self) -> dict[str, tuple[str, int]]:
-        """Each member has an address of 127.0.0.0/8 of its own, and all one port."""
+        """Give each member its own address in 127.0.0.0/8; all use the same port."""
         network = 128 + random.SystemRandom().randrange(100)
         names = [*self.real, *self.hollow]
         return {
@@ -138,29 +148,29 @@
             for i, name in enumerate(names)
         }
 
-    # --- Who is where
+    # --- Zones and regions
 
     def zone_of(self, name: str) -> int:
-        """A member's zone, by number. All daemons are in zone 0, so that nothing parts them."""
+        """Return a member's zone number. All daemons are in zone 0: no partition separates them."""
         return 0 if name in self.addresses and name[0] == "d" else int(name[1:]) % ZONES
 
     def region_of(self, name: str) -> int:
-        """Return a member's region, by number."""
+        """Return a member's region number."""
         return self.zone_of(name) % REGIONS
 
-    def others(self, names: Sequence[str] | None = None) -> list[str]:
-        """Hollow gateways that run and are no voters."""
-        among = self.hollow if names is None else names
-        return [one for one in among if one not in self.voters and one not in self.down]
+    def running_non_voters(self, names: Sequence[str] | None = None) -> list[str]:
+        """Return the running hollow gateways that are not voters."""
+        candidates = self.hollow if names is None else names
+        return [one for one in candidates if one not in self.voters and one not in self.down]
 
     def running(self) -> list[str]:
-        """Hollow gateways that run."""
+        """Return the running hollow gateways."""
         return [one for one in self.hollow if one not in self.down]
 
-    # --- Starting and ending
+    # --- Starting and stopping
 
     async def start(self) -> None:
-        """Start everything, and wait until all may act; raises RigError."""
+        """Start all members, and wait until all are active. Raises RigError."""
         keys = self.folder / "keys"
         keys.write_text(f"1 {secrets.token_hex(32)}\n")
         founding = self.folder / "founding.json"
@@ -169,27 +179,29 @@
             mine = self.hollow[number :: self.size.hosts()]
             self.hosts.append(self._host(number, mine, keys, founding))
         await asyncio.gather(*(host.start() for host in self.hosts))
-        await self.all_hosts("state")  # they have read their plans
+        await self.command_all_hosts("state")  # answered once each process has read its plan
         for number, name in enumerate(self.real):
             self.daemons[name] = await asyncio.to_thread(self._daemon, number, name, keys)
-        begun = figures.now()
+        started_at = figures.now()
         await self.start_all()
         self._check_daemons_run()
-        self.say(f"{self.size.members} members are in after {figures.now() - begun:.1f} s")
+        self.log_progress(
+            f"{self.size.members} members are active after {figures.now() - started_at:.1f} s"
+        )
 
     def _check_daemons_run(self) -> None:
-        """Raise RigError for a daemon that ended by itself, with the last line of its log."""
+        """Raise RigError, with the last line of its log, for a daemon that has exited."""
         for name, daemon in self.daemons.items():
             if not daemon.runs():
-                lines = daemon.log.read_text(errors="replace").splitlines() or ["it said nothing"]
+                lines = daemon.log.read_text(errors="replace").splitlines() or ["its log is empty"]
                 raise RigError(f"{name} ended at its start: {lines[-1]}")
 
-    async def start_all(self, within: float = STARTED) -> None:
-        """Start all that do not run, and wait until they may act."""
+    async def start_all(self, within: float = START_TIMEOUT) -> None:
+        """Start all members that are not running, and wait until they are active."""
         self.down.clear()
-        await self.all_hosts("start", who=self.hollow)
+        await self.command_all_hosts("start", who=self.hollow)
         await asyncio.gather(*(one.start() for one in self.daemons.values() if not one.runs()))
-        await self.until("all members are in", self.all_in, within)
+        await self.wait_until("all members are active", self.all_active, within)
 
     def _host(self, number: int, mine: list[str], keys: Path, founding: Path) -> HostProcess:
         lease = int(self.size.lease * 1e6) or None
@@ -225,7 +237,7 @@
         if self.size.lease:
             value["tier"]["lease"] = f"{int(self.size.lease * 1000)}ms"
         if number == 0:
-            parse_value(value)  # a wrong file is better found here than in a log
+            parse_value(value)  # reports an invalid file here instead of in the daemon's log
         full_state.write_toml(value, folder / "g.toml")
         return RealDaemon(name, folder, value, port)
 
@@ -236,70 +248,72 @@
 
     # --- Commands
 
-    async def all_hosts(self, name: str, **more: Any) -> list[Any]:
-        """Have all processes of hollow gateways carry out a command."""
-        return list(await asyncio.gather(*(host.do(name, **more) for host in self.hosts)))
+    async def command_all_hosts(self, name: str, **more: Any) -> list[Any]:
+        """Send a command to every process of hollow gateways; return their answers."""
+        return list(await asyncio.gather(*(host.send_command(name, **more) for host in self.hosts)))
 
     def host_of(self, name: str) -> HostProcess:
-        """Return the process that a hollow gateway is in."""
+        """Return the process that runs a hollow gateway."""
         return self.hosts[self.hollow.index(name) % len(self.hosts)]
 
     async def kill(self, names: Sequence[str]) -> None:
-        """Kill hollow gateways; nobody is told."""
-        await self.all_hosts("kill", who=list(names))
+        """Kill hollow gateways without notice to their peers."""
+        await self.command_all_hosts("kill", who=list(names))
         self.down.update(names)
 
     async def revive(self, names: Sequence[str], wiped: bool = False) -> None:
         """Start hollow gateways again."""
-        await self.all_hosts("start", who=list(names), wiped=wiped)
+        await self.command_all_hosts("start", who=list(names), wiped=wiped)
         self.down.difference_update(names)
 
     async def set_faults(self, loss: float, parted: tuple[int, int] | None = None) -> None:
-        """Lose a part of all datagrams, and have two regions not reach each other."""
+        """Drop a share of all datagrams, and partition two regions from each other."""
         sides = {
             name: self.region_of(name)
             for name in self.addresses
             if parted is not None and self.region_of(name) in parted
         }
         self.loss = loss
-        await self.all_hosts("faults", loss=loss, sides=sides)
+        await self.command_all_hosts("faults", loss=loss, sides=sides)
 
     async def reset_daemon(self, name: str) -> None:
-        """Kill a daemon and have it lose its disk; it is not started."""
+        """Kill a daemon and delete its state directory, without starting it again."""
         daemon = self.daemons[name]
         await daemon.end()
         await asyncio.to_thread(shutil.rmtree, daemon.folder / "state", ignore_errors=True)
 
     # --- Waiting
 
-    async def until(self, what: str, holds: Callable[[], Awaitable[bool]], within: float) -> float:
-        """Wait until something holds: for how long that was; raises RigError after `within` s."""
-        begun = figures.now()
-        while not await holds():
-            if figures.now() - begun > within:
-                raise RigError(f"not so within {within:g} s: {what}")
-            await asyncio.sleep(POLL)
-        return figures.now() - begun
-
-    async def who_is_out(self) -> list[str]:
-        """Members that run and may not act."""
-        said = await self.all_hosts("state")
-        out = [name for one in said for name in one["out"]]
+    async def wait_until(
+        self, what: str, condition: Callable[[], Awaitable[bool]], within: float
+    ) -> float:
+        """Wait for a condition; return the seconds waited. Raises RigError after `within` s."""
+        started_at = figures.now()
+        while not await condition():
+            if figures.now() - started_at > within:
+                raise RigError(f"timed out after {within:g} s: {what}")
+            await asyncio.sleep(POLL_INTERVAL)
+        return figures.now() - started_at
+
+    async def inactive_members(self) -> list[str]:
+        """Return the members that run but are not active."""
+        responses = await self.command_all_hosts("state")
+        out = [name for one in responses for name in one["out"]]
         for name, daemon in self.daemons.items():
-            if daemon.runs() and not await daemon.is_in():
+            if daemon.runs() and not await daemon.is_active():
                 out.append(name)
         return out
 
-    async def all_in(self) -> bool:
-        """Return whether all that run may act."""
-        return not await self.who_is_out()
+    async def all_active(self) -> bool:
+        """Return whether all running members are active."""
+        return not await self.inactive_members()
 
     async def in_force(self, serial: int) -> tuple[list[float], list[str]]:
-        """Return when those that run came to act by this serial, and who does not yet."""
-        said = await self.all_hosts("force", serial=serial)
-        found = {name: at for one in said for name, at in one.items()}
+        """Return when this serial came into force at each member, and where it has not yet."""
+        responses = await self.command_all_hosts("force", serial=serial)
+        found = {name: at for one in responses for name, at in one.items()}
         times = list(found.values())
-        # Counted by who should run: one that has ended by itself has not come to act by it.
+        # Over the members that should run, so that one that has failed counts as behind.
         behind = [name for name in self.running() if name not in found]
         for name, daemon in self.daemons.items():
             at = daemon.in_force_at(serial)
@@ -309,71 +323,91 @@
                 behind.append(name)
         return times, behind
 
-    async def everywhere(self, serial: int, within: float) -> tuple[list[float], list[str]]:
-        """Wait until this serial is in force everywhere, and no longer than `within` s."""
+    async def wait_in_force(self, serial: int, within: float) -> tuple[list[float], list[str]]:
+        """Wait at most `within` s until this serial is in force everywhere."""
 
-        async def holds() -> bool:
+        async def in_force_everywhere() -> bool:
             return not (await self.in_force(serial))[1]
 
         with contextlib.suppress(RigError):
-            await self.until(f"serial {serial} is in force everywhere", holds, within)
+            await self.wait_until(
+                f"serial {serial} is in force everywhere", in_force_everywhere, within
+            )
         return await self.in_force(serial)
 
     async def gossip_sent(self) -> int:
-        """Datagrams of gossip that hollow gateways have sent so far."""
-        return sum(await self.all_hosts("gossip"))
+        """Return how many gossip datagrams the hollow gateways have sent so far."""
+        return sum(await self.command_all_hosts("gossip"))
 
     # --- Changes
 
-    async def proposal(self, after: State, base: int, waits: bool) -> Callable[[], Awaitable[int]]:
-        """What to call to have a hollow gateway offer a state; all work is done beforehand."""
-        self._proposals += 1
-        file, name = self.folder / f"proposal-{self._proposals}.json", self.others()[-1]
+    async def prepare_proposal(
+        self, after: State, base: int, waits: bool
+    ) -> Callable[[], Awaitable[int]]:
+        """Prepare a hollow gateway to propose a state; return the call that proposes it."""
+        self._proposal_count += 1
+        file, name = (
+            self.folder / f"proposal-{self._proposal_count}.json",
+            self.running_non_voters()[-1],
+        )
         content = canonical({**after, "listeners": {}})
         await asyncio.to_thread(file.write_bytes, content)
-        await self.host_of(name).do("prepare", file=str(file))
+        await self.host_of(name).send_command("prepare", file=str(file))
         return functools.partial(self._propose, name, str(file), base, waits)
 
     async def _propose(self, name: str, file: str, base: int, waits: bool) -> int:
-        asked = {"who": [name], "file": file, "base": base, "waits": waits, "within": DECIDED}
-        done = await self.host_of(name).do("propose", **asked)
+        asked = {
+            "who": [name],
+            "file": file,
+            "base": base,
+            "waits": waits,
+            "within": DECISION_TIMEOUT,
+        }
+        done = await self.host_of(name).send_command("propose", **asked)
         if done["end"] not in ("active", "pending"):
-            raise RefusedError(f"a change made from serial {base} ended as {done['end']}")
+            raise RefusedError(f"a change based on serial {base} ended as {done['end']}")
         return int(done["serial"])
 
     # --- Figures
 
-    async def look(self, last: bool) -> figures.Look:
-        """All counts now. What asking costs a daemon is outside of two looks, the second `last`."""
-        daemons = {} if last else await self._costs()
+    async def take_snapshot(self, last: bool) -> figures.Snapshot:
+        """Take a snapshot of all counts.
+
+        Of the two snapshots of a window, the second is `last`: what the queries themselves cost a
+        daemon then falls outside the window.
+        """
+        daemons = {} if last else await self._daemon_usage()
         at, host_cpu = figures.now(), [figures.processor_seconds(h.pid) for h in self.hosts]
         if last:
-            daemons = await self._costs(last=True)
-        told = await self.all_hosts("figures")
-        datagrams: Counter[figures.Row] = Counter()
-        sizes: Counter[figures.Row] = Counter()
-        kept: Counter[str] = Counter()
-        for one in told:
-            kept.update(one["kept"])
+            daemons = await self._daemon_usage(last=True)
+        process_figures = await self.command_all_hosts("figures")
+        datagrams: Counter[figures.TrafficKey] = Counter()
+        sizes: Counter[figures.TrafficKey] = Counter()
+        disk_writes: Counter[str] = Counter()
+        for one in process_figures:
+            disk_writes.update(one["kept"])
             for *key, count, size in one["traffic"]:
                 datagrams[tuple(key)] += count
                 sizes[tuple(key)] += size
         drops, real = figures.system_drops(self.port), {self.addresses[n][0] for n in self.real}
-        return figures.Look(
+        return figures.Snapshot(
             at,
             daemons,
             host_cpu,
             sum(figures.memory_kb(host.pid) for host in self.hosts),
             datagrams,
             sizes,
-            kept,
-            {k: max(one[k] for one in told) for k in ("late_median", "late_p99", "late_worst")},
+            disk_writes,
+            {
+                k: max(one[k] for one in process_figures)
+                for k in ("late_median", "late_p99", "late_worst")
+            },
             {address: count for address, count in drops.items() if address not in real},
             {address: count for address, count in drops.items() if address in real},
         )
 
-    async def _costs(self, last: bool = False) -> dict[str, figures.Cost]:
-        """Return what daemons have used; what asking them costs falls outside of two looks."""
+    async def _daemon_usage(self, last: bool = False) -> dict[str, figures.ProcessUsage]:
+        """Return what each daemon has used; the cost of the query falls outside the window."""
         alive = [(name, one) for name, one in self.daemons.items() if one.runs()]
         processor = {name: figures.processor_seconds(one.pid) for name, one in alive}
         found = {}
@@ -381,10 +415,12 @@
             status = await daemon.status()
             used = processor[name] if last else figures.processor_seconds(daemon.pid)
             sent = int(status.get("datagrams", 0)), int(status.get("bytes", 0))
-            found[name] = figures.Cost(daemon.pid, used, figures.memory_kb(daemon.pid), sent)
+            found[name] = figures.ProcessUsage(
+                daemon.pid, used, figures.memory_kb(daemon.pid), sent
+            )
         return found
 
-    def window(self, before: figures.Look, after: figures.Look) -> dict[str, Any]:
-        """Figures of what happened between two looks."""
+    def window(self, before: figures.Snapshot, after: figures.Snapshot) -> dict[str, Any]:
+        """Return the figures of the interval between two snapshots."""
         voters = len([one for one in self.voters if one in self.hollow])
         return figures.window(before, after, len(self.running()), voters, self.real)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,7 +1,7 @@
-"""A hollow gateway: the tier's real core on a real UDP socket, with real seals and no proxying.
+"""A hollow gateway: the tier's real core and sealing on a real UDP socket, without a proxy.
 
-It acts at once by what it is asked to act by, and keeps its disk in memory. This is the only module
-of the rig that touches the tier's names, so that the rig can follow the tier's changes.
+It applies versions at once, and keeps its disk in memory. In a scale run, only this module
+uses the tier's core, so that changes of the tier's interface need changes only here.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from sailhitch.tier.messages import Message
 from sailhitch.tier.wire import Keys, Wire
 
-BEAT: Final = 0.1  # s, as the daemon's link
-LEAVE_WITHIN: Final = 1.0  # s that a restart gives to leaving, as the daemon's drain
-# What messages are called in the figures, by their tag on the wire, which outlasts renamings.
+TICK_INTERVAL: Final = 0.1  # s, as in the daemon's tier link
+LEAVE_TIMEOUT: Final = 1.0  # s for leaving the tier at a restart, as in the daemon's drain
+# Names of messages in the results, by tag on the wire, which stays when a class is renamed.
 KINDS: Final = {
     "l": "read",
     "L": "read answer",
@@ -54,23 +54,23 @@
 Address = tuple[str, int]
 
 
-def steady() -> int:
-    """Microseconds of the clock that the daemon's link goes by."""
+def boottime_us() -> int:
+    """Return the time in microseconds, on the clock that the daemon's tier link uses."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 def read_content(file: Path) -> Tree:
-    """Return what a member proposes or founds a tier with, of the canonical text of a state."""
+    """Read a state's canonical text as the tree that members propose or bootstrap a tier with."""
     return to_tree(json.loads(file.read_bytes()))
 
 
-def disk_of(content: Tree) -> dict[str, bytes]:
-    """Return what a member has on its disk of a state."""
+def disk_items_of(content: Tree) -> dict[str, bytes]:
+    """Return the items that a member with this content has on its disk."""
     return ContentStore({}).add(content)[1]
 
 
-def kind_of(message: Message) -> str:
-    """Return what a message is called in the figures."""
+def kind_of_message(message: Message) -> str:
+    """Return a message's name in the results."""
     tag = str(message.__struct_config__.tag)
     return KINDS.get(tag, tag)
 
@@ -87,87 +87,90 @@
         self.bytes: Counter[tuple[str, str, str, str]] = Counter()
 
     def count(self, role: str, direction: str, peer: str, kind: str, size: int) -> None:
-        """One datagram."""
+        """Count one datagram."""
         key = role, direction, peer, kind
         self.datagrams[key] += 1
         self.bytes[key] += size
 
     def rows(self) -> list[list[Any]]:
-        """As plain lists: role, direction, peer, kind, datagrams, bytes."""
+        """Return rows of role, direction, peer, kind, datagrams, bytes."""
         return [[*key, count, self.bytes[key]] for key, count in self.datagrams.items()]
 
 
 @dataclass
-class Kept:
-    """What was written to disks, in all."""
+class DiskWrites:
+    """Totals of what was written to disks."""
 
     writes: int = 0
     bytes: int = 0
-    pages: int = 0  # of trees
+    pages: int = 0  # pages of content trees
 
-    def __add__(self, other: Kept) -> Kept:
-        return Kept(self.writes + other.writes, self.bytes + other.bytes, self.pages + other.pages)
+    def __add__(self, other: DiskWrites) -> DiskWrites:
+        return DiskWrites(
+            self.writes + other.writes, self.bytes + other.bytes, self.pages + other.pages
+        )
 
 
 @dataclass
 class Faults:
-    """What the rig does to datagrams between a hollow gateway and whoever it speaks with."""
+    """Loss and partitions that the rig applies to datagrams of hollow gateways."""
 
     loss: float = 0.0
-    sides: dict[str, int] = field(default_factory=dict)  # members on different sides are parted
+    # Members with different numbers are partitioned; those without one reach everybody.
+    sides: dict[str, int] = field(default_factory=dict)
     rng: random.Random = field(default_factory=random.Random)
 
-    def is_cut(self, one: str, other: str) -> bool:
-        """Return whether nothing goes between these two."""
+    def is_partitioned(self, one: str, other: str) -> bool:
+        """Return whether two members are partitioned from each other."""
         if not self.sides:
             return False
         here, there = self.sides.get(one), self.sides.get(other)
         return here is not None and there is not None and here != there
 
-    def loses(self) -> bool:
-        """Draw whether a datagram is lost."""
+    def draws_loss(self) -> bool:
+        """Decide at random whether a datagram is lost."""
         return self.loss > 0 and self.rng.random() < self.loss
 
 
 @dataclass
 class TierPlan:
-    """What all hollow gateways of a process know of their tier."""
+    """The configuration that all hollow gateways of a process share, with their counters."""
 
     addresses: Mapping[str, Address]
     voters: tuple[str, ...]
     real: frozenset[str]  # members that are daemons
     keys: Keys
     lease: int | None  # us
-    founding: Tree  # the state that the tier begins with
-    seed: Mapping[str, bytes] = field(default_factory=dict)  # what is on all disks at first
+    founding: Tree  # the state that the tier is bootstrapped with
+    seed: Mapping[str, bytes] = field(default_factory=dict)  # initial items of all disks
     traffic: Traffic = field(default_factory=Traffic)
     faults: Faults = field(default_factory=Faults)
-    lateness: list[float] = field(default_factory=list)  # s by which beats came late
+    tick_delays: list[float] = field(default_factory=list)  # s that each tick was late
 
     def __post_init__(self) -> None:
-        self.peers = tuple(self.addresses)  # one tuple for all, as there are many
+        self.peers = tuple(self.addresses)  # one tuple, shared by all members to save memory
 
 
 class HollowGateway(asyncio.DatagramProtocol):
-    """One member. `disk` outlasts `kill`, as a disk does."""
+    """One member. `disk` survives `kill`, as a real disk does."""
 
     def __init__(self, name: str, plan: TierPlan) -> None:
         self.name, self.plan = name, plan
         self.role = "voter" if name in plan.voters else "member"
         self.disk = dict(plan.seed)
-        self.kept = Kept()
+        self.disk_writes = DiskWrites()
         self.member: Member | None = None
-        self.serials: list[tuple[float, int]] = []  # when it came to act by which active serial
+        self.serials: list[tuple[float, int]] = []  # when each active serial came into force
         self._wire: Wire | None = None
         self._transport: Any = None
-        self._beat: asyncio.TimerHandle | None = None
-        self._due = 0.0
+        self._tick_timer: asyncio.TimerHandle | None = None
+        self._next_tick_at = 0.0
         self._waiters: dict[int, asyncio.Future[JobCompleted]] = {}
 
-    # --- Its life
+    # --- Starting and stopping
 
     async def start(self) -> None:
-        """Start on the disk that is there."""
+        """Start with the present contents of its disk."""
         plan, boot = self.plan, secrets.randbits(48)
         loop = asyncio.get_running_loop()
         self._wire = Wire(plan.keys, self.name, boot)
@@ -175,70 +178,72 @@
         config = TierConfig(self.name, plan.voters, plan.peers, plan.lease)
         founding = None if CHOSEN_KEY in self.disk else BootstrapVersion(plan.founding, 1, "scale")
         rng = random.Random(secrets.randbits(64))
-        self.member = Member(config, boot, dict(self.disk), rng, steady(), founding)
+        self.member = Member(config, boot, dict(self.disk), rng, boottime_us(), founding)
         self.serials = []
-        self._due = loop.time() + rng.random() * BEAT  # beats of many are spread
-        self._beat = loop.call_at(self._due, self._tick)
+        # A random phase spreads the ticks of many gateways.
+        self._next_tick_at = loop.time() + rng.random() * TICK_INTERVAL
+        self._tick_timer = loop.call_at(self._next_tick_at, self._tick)
         self._pump()
 
     def kill(self) -> None:
-        """End at once, as a process that is killed."""
-        if self._beat is not None:
-            self._beat.cancel()
+        """Stop at once, like a killed process."""
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         if self._transport is not None:
             self._transport.close()
-        self.member = self._transport = self._beat = None
+        self.member = self._transport = self._tick_timer = None
 
     async def leave(self) -> None:
-        """Leave the tier as a drain does, and end."""
+        """Leave the tier as a drain does, and stop."""
         try:
-            async with asyncio.timeout(LEAVE_WITHIN):
-                await self._done(Member.leave)
+            async with asyncio.timeout(LEAVE_TIMEOUT):
+                await self._run_job(Member.leave)
         except TimeoutError:
-            pass  # as the daemon does: others wait until its lease has lapsed
+            pass  # stops anyway, as the daemon does: others wait until its lease expires
         self.kill()
 
     def wipe(self) -> None:
-        """Lose the disk."""
+        """Erase the disk."""
         self.disk.clear()
 
-    # --- What the rig asks
+    # --- Queries and commands of the rig
 
-    def is_in(self) -> bool:
-        """Return whether it may act."""
+    def is_active(self) -> bool:
+        """Return whether it is an active member."""
         return (
-            self.member is not None and self.member.member_status(steady()) is MemberStatus.ACTIVE
+            self.member is not None
+            and self.member.member_status(boottime_us()) is MemberStatus.ACTIVE
         )
 
-    def active(self) -> int:
-        """Return the serial that it acts by; 0: none."""
+    def active_serial(self) -> int:
+        """Return the serial in force; 0: none."""
         return self.serials[-1][1] if self.serials else 0
 
     def in_force_at(self, serial: int) -> float | None:
-        """When it came to act by this serial or a later one, on the machine's steady clock."""
+        """Return the monotonic time at which this serial or a later one came into force."""
         return next((at for at, one in self.serials if one >= serial), None)
 
-    def disk_held(self) -> int:
-        """Bytes that are on its disk."""
+    def disk_size(self) -> int:
+        """Return the bytes on its disk."""
         return sum(len(value) for value in self.disk.values())
 
     async def propose(self, content: Tree, base: int, waits: bool) -> tuple[str, int]:
-        """Offer a state: how that ended, and the serial that it was given."""
+        """Propose a state; return the result and the serial that it was given."""
 
         def ask(member: Member) -> int:
             return member.propose(content, base, waits, "scale", int(time.time() * 1e6))
 
-        done = await self._done(ask)
+        done = await self._run_job(ask)
         head = done.state
         version = head.active if done.result is ProposalResult.ACTIVE else head.pending
         return done.result.value, 0 if version is None else version.serial
 
-    async def _done(self, ask: Callable[[Member], int | None]) -> JobCompleted:
+    async def _run_job(self, ask: Callable[[Member], int | None]) -> JobCompleted:
         if self.member is None:
-            raise RuntimeError(f"{self.name} does not run")
+            raise RuntimeError(f"{self.name} is not running")
         job = ask(self.member)
         if job is None:
-            raise TimeoutError(f"{self.name} has not heard what holds")
+            raise TimeoutError(f"{self.name} does not know the chosen version yet")
         future: asyncio.Future[JobCompleted] = asyncio.get_running_loop().create_future()
         self._waiters[job] = future
         self._pump()
@@ -247,7 +252,7 @@
         finally:
             self._waiters.pop(job, None)
 
-    # --- Its socket and its beat
+    # --- Socket and timer
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
@@ -258,42 +263,42 @@
         envelope = self._wire.open(data)
         if envelope is None or envelope.sender not in self.plan.addresses:
             return
-        sender, kind = envelope.sender, kind_of(envelope.message)
-        if self._drops(sender, drawn=True):
+        sender, kind = envelope.sender, kind_of_message(envelope.message)
+        if self._drops(sender, random_loss=True):
             self._count("lost", sender, kind, len(data))
             return
         self._count("heard", sender, kind, len(data))
-        self.member.on_message(sender, envelope.message, steady())
+        self.member.on_message(sender, envelope.message, boottime_us())
         self._pump()
 
-    def _drops(self, peer: str, drawn: bool) -> bool:
+    def _drops(self, peer: str, random_loss: bool) -> bool:
         faults = self.plan.faults
-        return faults.is_cut(self.name, peer) or (drawn and faults.loses())
+        return faults.is_partitioned(self.name, peer) or (random_loss and faults.draws_loss())
 
     def _send(self, to: str, message: Message) -> None:
         address = self.plan.addresses.get(to)
         if address is None or self._transport is None or self._wire is None:
             return
-        data, kind = self._wire.seal(to, message), kind_of(message)
+        data, kind = self._wire.seal(to, message), kind_of_message(message)
         self._count("sent", to, kind, len(data))
-        # A hollow receiver draws for itself; for a daemon, which can't, the sender does.
-        if self._drops(to, drawn=to in self.plan.real):
+        # Random loss is applied by a hollow receiver; a daemon can't, so the sender applies it.
+        if self._drops(to, random_loss=to in self.plan.real):
             self._count("lost", to, kind, len(data))
             return
         self._transport.sendto(data, address)
 
     def _count(self, direction: str, peer: str, kind: str, size: int) -> None:
-        told = peer if peer in self.plan.real else ""
-        self.plan.traffic.count(self.role, direction, told, kind, size)
+        peer_label = peer if peer in self.plan.real else ""
+        self.plan.traffic.count(self.role, direction, peer_label, kind, size)
 
     def _tick(self) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
-        self.plan.lateness.append(now - self._due)
-        self._due = now + BEAT
-        self._beat = loop.call_at(self._due, self._tick)
+        self.plan.tick_delays.append(now - self._next_tick_at)
+        self._next_tick_at = now + TICK_INTERVAL
+        self._tick_timer = loop.call_at(self._next_tick_at, self._tick)
         if self.member is not None:
-            self.member.on_tick(steady())
+            self.member.on_tick(boottime_us())
             self._pump()
 
     def _pump(self) -> None:
@@ -302,27 +307,27 @@
             if not effects:
                 return
             for effect in effects:
-                self._happen(effect)
+                self._handle_effect(effect)
 
-    def _happen(self, effect: Any) -> None:
+    def _handle_effect(self, effect: Any) -> None:
         if isinstance(effect, Send):
             self._send(effect.to, effect.message)
         elif isinstance(effect, Persist):
-            self._keep(effect.items)
+            self._persist(effect.items)
         elif isinstance(effect, ApplyVersions) and self.member is not None:
             self.serials.append((time.monotonic(), effect.versions.active.serial))
-            self.member.confirm_applied(effect.versions.revision, steady())
+            self.member.confirm_applied(effect.versions.revision, boottime_us())
         elif isinstance(effect, JobCompleted):
             future = self._waiters.get(effect.job)
             if future is not None and not future.done():
                 future.set_result(effect)
 
-    def _keep(self, items: Mapping[str, bytes | None]) -> None:
-        self.kept.writes += 1
+    def _persist(self, items: Mapping[str, bytes | None]) -> None:
+        self.disk_writes.writes += 1
         for name, value in items.items():
             if value is None:
                 self.disk.pop(name, None)
                 continue
             self.disk[name] = value
-            self.kept.bytes += len(value)
-            self.kept.pages += name.startswith(PAGE_KEY_PREFIX)
+            self.disk_writes.bytes += len(value)
+            self.disk_writes.pages += name.startswith(PAGE_KEY_PREFIX)
--- a/benchmarks/scale/host.py
+++ b/benchmarks/scale/host.py
@@ -1,7 +1,7 @@
-"""A process of many hollow gateways.
+"""A process that runs many hollow gateways.
 
-The rig speaks with it in lines of JSON on its standard input and output; it ends when its input
-does, so that none outlives the rig.
+The rig sends commands as lines of JSON on its standard input and reads answers from its standard
+output. The process exits at the end of its input, so that it never outlives the rig.
 
     python -m benchmarks.scale.host PLAN.json
 """
@@ -24,19 +24,19 @@
 from sailhitch.pages import Tree
 from sailhitch.tier.wire import load_keys
 
-from .hollow import GOSSIP, HollowGateway, Kept, TierPlan, disk_of, read_content
+from .hollow import GOSSIP, DiskWrites, HollowGateway, TierPlan, disk_items_of, read_content
 
-LINE: Final = 1 << 24  # bytes of a command at most
-AT_ONCE: Final = 50  # gateways started in one turn of the loop
+MAX_LINE_BYTES: Final = 1 << 24  # of a command
+START_BATCH: Final = 50  # gateways started in one iteration of the event loop
 
 
 class Host:
-    """The hollow gateways of this process, and the commands about them."""
+    """The hollow gateways of this process, and the commands that control them."""
 
     def __init__(self, plan: TierPlan, names: list[str]) -> None:
         self.plan = plan
         self.gateways = {name: HollowGateway(name, plan) for name in names}
-        self.prepared: dict[str, Tree] = {}  # states to be proposed, by file
+        self.prepared: dict[str, Tree] = {}  # contents to propose, by file
         self.commands: dict[str, Callable[[dict[str, Any]], Awaitable[Any]]] = {
             "start": self.start,
             "kill": self.kill,
@@ -50,50 +50,50 @@
             "figures": self.figures,
         }
 
-    def mine(self, request: dict[str, Any]) -> list[HollowGateway]:
-        """Return those of a command's members that are of this process."""
+    def local_gateways(self, request: dict[str, Any]) -> list[HollowGateway]:
+        """Return the gateways of this process among a command's members."""
         return [self.gateways[name] for name in request["who"] if name in self.gateways]
 
     def running(self) -> list[HollowGateway]:
-        """Return those that are not killed."""
+        """Return the gateways that run."""
         return [one for one in self.gateways.values() if one.member is not None]
 
     async def start(self, request: dict[str, Any]) -> None:
-        """Start some; `wiped`: with a disk that was lost."""
-        for number, one in enumerate(self.mine(request)):
+        """Start gateways; `wiped`: with an empty disk."""
+        for number, one in enumerate(self.local_gateways(request)):
             if request.get("wiped"):
                 one.wipe()
             if one.member is None:
                 await one.start()
-            if number % AT_ONCE == AT_ONCE - 1:
+            if number % START_BATCH == START_BATCH - 1:
                 await asyncio.sleep(0)
 
     async def kill(self, request: dict[str, Any]) -> None:
-        """Kill some; nobody is told."""
-        for one in self.mine(request):
+        """Kill gateways without notice to their peers."""
+        for one in self.local_gateways(request):
             one.kill()
 
     async def restart(self, request: dict[str, Any]) -> None:
-        """Have some leave as a drain does, and start again `down` seconds later."""
+        """Let gateways leave as a drain does, and start them again `down` seconds later."""
 
         async def again(one: HollowGateway) -> None:
             await one.leave()
             await asyncio.sleep(request["down"])
             await one.start()
 
-        await asyncio.gather(*(again(one) for one in self.mine(request)))
+        await asyncio.gather(*(again(one) for one in self.local_gateways(request)))
 
     async def faults(self, request: dict[str, Any]) -> None:
-        """Have datagrams be lost, and members parted."""
+        """Set the loss of datagrams and the partitions between members."""
         self.plan.faults.loss = request["loss"]
         self.plan.faults.sides = request["sides"]
 
     async def prepare(self, request: dict[str, Any]) -> None:
-        """Read a state that is to be proposed, so that this is no part of how long that takes."""
+        """Read a state ahead of its proposal, so that reading it is not timed."""
         self.prepared[request["file"]] = read_content(Path(request["file"]))
 
     async def propose(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Have a member offer the state of a file."""
+        """Let a member propose the state of a file."""
         one = self.gateways[request["who"][0]]
         content = self.prepared.pop(request["file"])
         async with asyncio.timeout(request["within"]):
@@ -101,53 +101,53 @@
         return {"end": end, "serial": serial}
 
     async def force(self, request: dict[str, Any]) -> dict[str, float]:
-        """Return those that run and act by a serial, and when they came to."""
+        """Return when a serial came into force, for each running gateway where it has."""
         found = {one.name: one.in_force_at(request["serial"]) for one in self.running()}
         return {name: at for name, at in found.items() if at is not None}
 
     async def state(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Return how many run, how many may act, by what, and what they keep."""
+        """Return how many run, which are not active, the latest serial, and the disk sizes."""
         running = self.running()
         return {
             "running": len(running),
-            "out": [one.name for one in running if not one.is_in()],
-            "serial": max((one.active() for one in running), default=0),
-            "held": [one.disk_held() for one in running],
+            "out": [one.name for one in running if not one.is_active()],
+            "serial": max((one.active_serial() for one in running), default=0),
+            "held": [one.disk_size() for one in running],
         }
 
     async def gossip(self, request: dict[str, Any]) -> int:
-        """Datagrams of gossip sent so far."""
+        """Return how many gossip datagrams were sent so far."""
         counts = self.plan.traffic.datagrams
         return sum(n for (_, way, _, kind), n in counts.items() if (way, kind) == ("sent", GOSSIP))
 
     async def figures(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Return all counts so far, and how late beats came since the last time that was asked."""
-        late = sorted(self.plan.lateness)
-        self.plan.lateness.clear()
+        """Return all counts so far, and how late ticks were since the previous call."""
+        late = sorted(self.plan.tick_delays)
+        self.plan.tick_delays.clear()
         return {
             "traffic": self.plan.traffic.rows(),
-            "kept": self.kept(),
+            "kept": self.disk_writes(),
             "late_median": statistics.median(late) if late else 0.0,
             "late_worst": late[-1] if late else 0.0,
             "late_p99": late[len(late) * 99 // 100] if late else 0.0,
         }
 
-    def kept(self) -> dict[str, int]:
-        """Return what all have written to their disks so far."""
-        whole = sum((one.kept for one in self.gateways.values()), Kept())
-        return asdict(whole)
+    def disk_writes(self) -> dict[str, int]:
+        """Return the totals of what was written to disks so far."""
+        totals = sum((one.disk_writes for one in self.gateways.values()), DiskWrites())
+        return asdict(totals)
 
     async def answer(self, line: bytes) -> dict[str, Any]:
-        """Carry out one command."""
+        """Execute one command; return its answer."""
         request = json.loads(line)
         try:
             return {"ok": True, "value": await self.commands[request["do"]](request)}
-        except Exception as error:  # said to the rig, which ends the run
+        except Exception as error:  # reported to the rig, which ends the run
             return {"ok": False, "error": f"{request['do']}: {type(error).__name__}: {error}"}
 
 
 def read_plan(path: Path) -> tuple[TierPlan, list[str]]:
-    """A plan that the rig has written."""
+    """Read a plan written by the rig: the shared configuration, and this process's members."""
     value = json.loads(path.read_text())
     founding = read_content(Path(value["founding"]))
     plan = TierPlan(
@@ -157,16 +157,16 @@
         load_keys(value["key_file"]),
         value["lease"],
         founding,
-        disk_of(founding) if value["seeded"] else {},
+        disk_items_of(founding) if value["seeded"] else {},
     )
     return plan, value["mine"]
 
 
 async def serve(path: Path) -> None:
-    """Carry out commands until there are no more."""
+    """Execute commands until the end of input."""
     plan, names = read_plan(path)
     host = Host(plan, names)
-    reader = asyncio.StreamReader(limit=LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
@@ -178,10 +178,10 @@
 
 
 def main() -> None:
-    """Serve the plan that the command line names."""
+    """Serve the plan named on the command line."""
     with contextlib.suppress(KeyboardInterrupt, BrokenPipeError):
         uvloop.run(serve(Path(sys.argv[1])))
-    # Threads and sockets go with the process; nothing of it is kept.
+    # Exits without cleanup: nothing outlives the process, and the kernel closes its sockets.
     os._exit(0)
 
 
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_rig.py
@@ -1,4 +1,4 @@
-"""The rig of scale runs, at a small size. What it counts is asserted on, never how long it took."""
+"""Tests of the scale rig at a small size. They check its counts, never its durations."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 import pytest
 
 from benchmarks.scale import figures, fleet, full_state, report
-from benchmarks.scale.__main__ import main, play
+from benchmarks.scale.__main__ import main, run_experiment
 from benchmarks.scale.experiments import EXPERIMENTS, Options, change, idle, one_change, settle
 from benchmarks.scale.fleet import Fleet, Size, check_memory
 from benchmarks.scale.hollow import KINDS
-from benchmarks.scale.processes import ROOT, RigError, serial_said
+from benchmarks.scale.processes import ROOT, RigError, logged_serial
 from sailhitch.daemon.state_tree import to_tree
 from sailhitch.tier.messages import Message
 from tests.sockets import TEST_TIMEOUT
@@ -35,17 +35,17 @@
 
 @pytest.fixture
 def short_path() -> Iterator[Path]:
-    """A folder whose path leaves room for the name of a Unix socket, as pytest's own may not."""
+    """A folder whose path is short enough for a Unix socket, which pytest's may not be."""
     with tempfile.TemporaryDirectory(prefix="s") as folder:
         yield Path(folder)
 
 
-def say(text: str) -> None:
-    """Nobody reads it."""
+def log_progress(text: str) -> None:
+    """Discard the message."""
 
 
 def processes_of(folder: Path) -> list[str]:
-    """Command lines of processes that were told of a file in this folder."""
+    """Return the command lines of processes that were started with a path in this folder."""
     found = []
     for file in Path("/proc").glob("[0-9]*/cmdline"):
         with contextlib.suppress(OSError):
@@ -57,7 +57,7 @@
 
 @contextlib.asynccontextmanager
 async def running(size: Size, folder: Path) -> AsyncIterator[Fleet]:
-    made = Fleet(size, folder, say)
+    made = Fleet(size, folder, log_progress)
     try:
         await made.start()
         yield made
@@ -71,7 +71,7 @@
     return found
 
 
-def test_a_change_reaches_all_and_each_kind_is_counted(short_path: Path) -> None:
+def test_change_reaches_all_members_and_each_message_kind_is_counted(short_path: Path) -> None:
     async def go() -> dict[str, Any]:
         async with running(SMALL, short_path) as made:
             await settle(made, QUICK)
@@ -88,7 +88,7 @@
         sent, heard = counts(part, "sent"), counts(part, "heard")
         for message in ("promise", "accepted", "gossip", "lease question", "lease grant"):
             assert sent[message][0] > 0, message
-        # Each of them has fetched the state, in one datagram at least.
+        # Each hollow gateway has fetched the state, in at least one datagram.
         assert heard["page reply"][0] >= HOLLOW
         assert heard["page reply"][1] > heard["page reply"][0] * 100
         assert counts(part, "lost") == {}
@@ -98,7 +98,7 @@
         assert daemon["rss_mb"] > 10
 
 
-def test_loss_and_the_dead_are_in_the_figures(short_path: Path) -> None:
+def test_loss_and_killed_members_are_in_the_figures(short_path: Path) -> None:
     async def go() -> tuple[dict[str, Any], dict[str, Any]]:
         options = Options(seconds=2.0, patience=30.0, loss=0.2, dead=0.1)
         async with running(ONLY_HOLLOW, short_path) as made:
@@ -115,13 +115,15 @@
     assert 0.1 < lost / (lost + heard) < 0.3
 
 
-def test_a_member_that_fails_behind_the_rigs_back_is_behind(short_path: Path) -> None:
+def test_member_that_fails_unnoticed_by_the_rig_counts_as_behind(short_path: Path) -> None:
     async def go() -> tuple[dict[str, Any], str]:
         options = Options(seconds=1.0, patience=5.0, repeats=1)
         async with running(ONLY_HOLLOW, short_path) as made:
             await settle(made, options)
-            name = made.others()[0]
-            await made.all_hosts("kill", who=[name])  # not by `kill`, which the rig would know of
+            name = made.running_non_voters()[0]
+            await made.command_all_hosts(
+                "kill", who=[name]
+            )  # bypasses `Fleet.kill`, so the rig still expects it to run
             found = await one_change(made, options, "weight")
             return found, (await made.in_force(made.serial))[1][0]
 
@@ -131,11 +133,11 @@
     assert part["in_force"]["count"] == HOLLOW - 1
 
 
-def test_a_change_that_a_daemon_refuses_is_a_figure(short_path: Path) -> None:
+def test_change_refused_by_a_daemon_is_reported_in_the_figures(short_path: Path) -> None:
     async def go() -> dict[str, Any]:
         options = Options(seconds=1.0, patience=2.0, repeats=1)
         async with running(SMALL, short_path) as made:
-            made.serial += 5  # the plan is made against what does not hold
+            made.serial += 5  # the plan is based on a serial that is not active
             return await one_change(made, options, "weight")
 
     part = asyncio.run(go())
@@ -143,13 +145,13 @@
     assert part["behind"] == HOLLOW + 1
 
 
-def test_a_newcomer_fetches_what_there_is(short_path: Path) -> None:
+def test_new_member_fetches_the_whole_state(short_path: Path) -> None:
     size = Size(members=HOLLOW + 1, daemons=1, voters=3, fraction=0.01)
-    result = asyncio.run(play("newcomer", size, QUICK, say))
+    result = asyncio.run(run_experiment("newcomer", size, QUICK, log_progress))
     for kind in ("hollow", "daemon"):
         part = result["figures"][kind]
         assert part["all_in"] is not None
-    # Nobody but the newcomer fetches: what was sent in pieces is what it has got.
+    # Only the new member fetches: all page replies are replies to it.
     alone = result["figures"]["hollow"]
     assert counts(alone, "heard")["page reply"][0] > 0
     pages = to_tree({**full_state.state(size.fraction), "listeners": {}}).pages
@@ -161,8 +163,8 @@
 
 
 @pytest.mark.parametrize("name", ["burst", "restart", "rack", "regions", "start"])
-def test_each_event_ends_with_all_in(name: str, short_path: Path) -> None:
-    result = asyncio.run(play(name, ONLY_HOLLOW, QUICK, say))
+def test_each_event_ends_with_all_members_active(name: str, short_path: Path) -> None:
+    result = asyncio.run(run_experiment(name, ONLY_HOLLOW, QUICK, log_progress))
     parts = [part for _, part in report.windows(result["figures"])]
     assert parts
     for part in parts:
@@ -176,12 +178,12 @@
     assert name in report.table([result])
 
 
-async def until_lost(made: Fleet, before: Any) -> Any:
-    """The first look by which the rig has dropped something since another; bounded."""
+async def wait_for_drop(made: Fleet, before: Any) -> Any:
+    """Return the first snapshot in which the rig has dropped a datagram since `before`; bounded."""
     async with asyncio.timeout(TEST_TIMEOUT):
         while True:
-            now = await made.look(last=True)
-            if figures.total(figures.by_kind(before, now, "lost", None))[0]:
+            now = await made.take_snapshot(last=True)
+            if figures.total(figures.traffic_by_kind(before, now, "lost", None))[0]:
                 return now
             await asyncio.sleep(0.05)
 
@@ -189,28 +191,28 @@
 def test_parted_regions_do_not_reach_each_other(short_path: Path) -> None:
     async def go() -> tuple[int, int]:
         async with running(ONLY_HOLLOW, short_path) as made:
-            before = await made.look(last=False)
+            before = await made.take_snapshot(last=False)
             await made.set_faults(0.0, (1, 2))
-            parted = await until_lost(made, before)
+            parted = await wait_for_drop(made, before)
             await made.set_faults(0.0)
-            await made.until("all are in", made.all_in, TEST_TIMEOUT)
-            joined = await made.look(last=True)
+            await made.wait_until("all members are active", made.all_active, TEST_TIMEOUT)
+            joined = await made.take_snapshot(last=True)
             await asyncio.sleep(0.5)
-            later = await made.look(last=True)
-            lost = figures.total(figures.by_kind(before, parted, "lost", None))[0]
-            return lost, figures.total(figures.by_kind(joined, later, "lost", None))[0]
+            later = await made.take_snapshot(last=True)
+            lost = figures.total(figures.traffic_by_kind(before, parted, "lost", None))[0]
+            return lost, figures.total(figures.traffic_by_kind(joined, later, "lost", None))[0]
 
     lost, lost_later = asyncio.run(go())
     assert lost > 0
     assert lost_later == 0
 
 
-# --- It ends by itself, and leaves nothing
+# --- Exits and cleanup
 
 
 @contextlib.contextmanager
 def as_command(folder: Path, *more: str) -> Iterator[subprocess.Popen[str]]:
-    """The command as a process of its own, once its tier is up."""
+    """Run the command in its own process; yield it once its tier is up."""
     line = [sys.executable, "-m", "benchmarks.scale", "idle", "--members", "13", "--voters", "3"]
     program = subprocess.Popen(
         [*line, "--fraction", "0.001", "--seconds", "600", *more],
@@ -232,7 +234,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_interrupted_it_leaves_no_process(number: int, short_path: Path) -> None:
+def test_interrupt_leaves_no_process(number: int, short_path: Path) -> None:
     with as_command(short_path) as program:
         program.send_signal(number)
         assert program.wait(TEST_TIMEOUT) == 130
@@ -240,7 +242,7 @@
         assert list(short_path.iterdir()) == []
 
 
-def test_interrupted_it_ends_also_where_its_shell_has_it_ignore_interrupts(
+def test_interrupt_ends_a_command_started_with_sigint_ignored(
     short_path: Path,
 ) -> None:
     handler = signal.signal(signal.SIGINT, signal.SIG_IGN)
@@ -252,7 +254,7 @@
         signal.signal(signal.SIGINT, handler)
 
 
-def test_killed_it_leaves_no_process(short_path: Path) -> None:
+def test_kill_leaves_no_process(short_path: Path) -> None:
     with as_command(short_path) as program:
         program.kill()
         program.wait()
@@ -271,21 +273,21 @@
         fleet.admin_socket(long)
 
 
-def test_a_daemon_that_ends_at_its_start_ends_the_run(
+def test_daemon_that_exits_at_its_start_ends_the_run(
     short_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def wrong(*told: Any, **more: Any) -> dict[str, Any]:
-        value = right(*told, **more)
+    def file_with_missing_key(*positional: Any, **more: Any) -> dict[str, Any]:
+        value = original(*positional, **more)
         if "tier" in value:
             value["tier"]["key_file"] = str(short_path / "none")
         return value
 
-    right = full_state.operator_file
-    monkeypatch.setattr(full_state, "operator_file", wrong)
+    original = full_state.operator_file
+    monkeypatch.setattr(full_state, "operator_file", file_with_missing_key)
 
     async def go() -> None:
         async with running(SMALL, short_path):
-            raise AssertionError("it was not to start")
+            raise AssertionError("the fleet has started in spite of a missing key file")
 
     with pytest.raises(RigError, match=r"ended at its start: .*key_file"):
         asyncio.run(go())
@@ -295,23 +297,23 @@
     async def fails(made: Fleet, options: Options) -> dict[str, Any]:
         assert len(processes_of(made.folder)) == made.size.processes() - 1
         folders.append(made.folder)
-        await made.host_of("h0001").do("no such command")
-        raise AssertionError("it was to be refused")
+        await made.host_of("h0001").send_command("no such command")
+        raise AssertionError("an unknown command was accepted")
 
     folders: list[Path] = []
     monkeypatch.setitem(EXPERIMENTS, "idle", fails)
     with pytest.raises(RigError, match="no such command"):
-        asyncio.run(play("idle", ONLY_HOLLOW, QUICK, say))
+        asyncio.run(run_experiment("idle", ONLY_HOLLOW, QUICK, log_progress))
     assert len(folders) == 1
     assert not folders[0].exists()
     assert processes_of(folders[0]) == []
 
 
-# --- What it refuses, and how it reads
+# --- Refusals and output
 
 
 def test_more_than_half_of_the_memory_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert check_memory(SMALL, 1000) > HOLLOW * fleet.GATEWAY
+    assert check_memory(SMALL, 1000) > HOLLOW * fleet.HOLLOW_BASE_BYTES
     monkeypatch.setattr(figures, "machine_memory_kb", lambda name="MemTotal": 200_000)
     with pytest.raises(RigError, match="half of this machine's"):
         check_memory(SMALL, 1000)
@@ -346,7 +348,7 @@
     ],
 )
 def test_serials_are_read_from_a_daemons_log(line: str, serial: int | None) -> None:
-    assert serial_said(line) == serial
+    assert logged_serial(line) == serial
 
 
 def test_a_chart_without_its_library_says_what_to_install(
@@ -372,8 +374,10 @@
                 there.sendto(bytes(1000), ("127.77.0.1", port))
         after = figures.system_drops(port)
         assert 0 < after["127.77.0.1"] < 50
-        assert figures.lost_since(before, after) == after["127.77.0.1"]
-        assert figures.lost_since(after, {"127.77.0.1": 3}) == 3  # another socket by now
+        assert figures.drops_since(before, after) == after["127.77.0.1"]
+        assert (
+            figures.drops_since(after, {"127.77.0.1": 3}) == 3
+        )  # a lower count is that of a new socket
 
 
 def test_results_that_are_no_json_are_refused_by_line(
