--- a/sailhitch/daemon/page_file.py
+++ b/sailhitch/daemon/page_file.py
@@ -1,11 +1,12 @@
 """Pages of the applied states on disk: an SQLite file that has each page once, for all states.
 
-Pages in files of their own were considered: a state of full size has thousands, each to be synced,
-and removing several is not atomic. SQLite adds and removes them in transactions with one sync.
+One file per page was rejected: a large state has thousands of pages, each of which would need a
+sync, and removing several is not atomic. SQLite adds and removes them in transactions with one
+sync.
 
 A *root* is a row (serial, digest): a tree that is kept for the applied state of that serial. Each
-page has a reference count, of roots and of pages that refer to it, and is deleted at zero. So
-keeping a state and releasing one cost the pages in which it differs from the others.
+page has a count of the roots and pages that refer to it, and is deleted when it reaches zero. So
+storing or releasing a state costs only the pages in which it differs from the others.
 """
 
 from __future__ import annotations
@@ -42,16 +43,17 @@
 
 
 class PageFile:
-    """The pages of one state directory; a `PageSource`. Its owner has the directory's lock."""
+    """The pages of one state directory; a `PageSource`. Its owner holds the directory's lock."""
 
     def __init__(self, folder: Path) -> None:
         """Open or create the file; raises PageFileError."""
         self.path = folder / FILE
         try:
-            # There is one writer at a time (`StateApplier`), and SQLite serialises readers.
+            # `StateApplier` allows one writer at a time, and SQLite serializes readers.
             self._db = sqlite3.connect(self.path, timeout=0, check_same_thread=False)
             self._db.execute("PRAGMA journal_mode=DELETE")
-            # EXTRA syncs the directory too: a journal that reappears would undo a commit.
+            # EXTRA also syncs the directory: a rollback journal that reappears after a crash would
+            # undo a commit.
             self._db.execute("PRAGMA synchronous=EXTRA")
             with self._db:
                 for statement in _SCHEMA:
@@ -64,7 +66,7 @@
         self._db.close()
 
     def page(self, digest: str) -> bytes:
-        """Return the raw page of a digest, checked; raises KeyError, PageError or PageFileError."""
+        """Return the verified raw page; raises KeyError, PageError or PageFileError."""
         try:
             row = self._db.execute(
                 "SELECT packed FROM pages WHERE digest = ?", (bytes.fromhex(digest),)
@@ -78,7 +80,7 @@
         return raw
 
     def roots(self) -> set[Root]:
-        """Return all trees that are kept; raises PageFileError."""
+        """Return the roots of all trees that are kept; raises PageFileError."""
         try:
             rows = self._db.execute("SELECT serial, digest FROM roots").fetchall()
         except sqlite3.Error as error:
@@ -86,10 +88,10 @@
         return {Root(serial, digest.hex()) for serial, digest in rows}
 
     def keep(self, serial: int, trees: Collection[Tree], step: Callable[[str], None]) -> list[Root]:
-        """Keep trees for a serial, beside those kept already; return the roots that are new.
+        """Store trees for a serial, beside those already stored; return the roots that are new.
 
-        Pages that a tree does not contain must be in the file. All is on disk when this returns.
-        Raises PageFileError, and then nothing has changed.
+        Pages that a tree does not contain must be in the file. The pages are synced when this
+        returns. Raises PageFileError, with the file unchanged.
         """
         try:
             with self._db:
@@ -107,7 +109,7 @@
         return added
 
     def release(self, roots: Iterable[Root]) -> None:
-        """Remove trees, and the pages that no other tree has; raises PageFileError."""
+        """Remove trees, and the pages that no other tree contains; raises PageFileError."""
         try:
             with self._db:
                 for serial, digest in roots:
@@ -121,12 +123,12 @@
             raise self._to_page_file_error(error) from None
 
     def _add_pages(self, pages: Mapping[str, bytes]) -> None:
-        """Add pages, and count the references of those that are new."""
+        """Add pages, and count the references in those that are new."""
         added = []
         for digest, raw in pages.items():
             name = bytes.fromhex(digest)
             packed = compress(raw)
-            # A page that is in the file is written again, as it may be damaged.
+            # A page that is in the file already is rewritten, as its copy there may be damaged.
             cursor = self._db.execute(
                 "UPDATE pages SET packed = ? WHERE digest = ?", (packed, name)
             )
@@ -150,10 +152,10 @@
             "UPDATE pages SET uses = uses + 1 WHERE digest = ?", (bytes.fromhex(digest),)
         )
         if not cursor.rowcount:
-            raise sqlite3.DatabaseError(f"damaged: page {digest} is not there")
+            raise sqlite3.DatabaseError(f"damaged: page {digest} is missing")
 
     def _release_page(self, digest: str) -> None:
-        """Remove a reference to a page, and delete the pages that then have none."""
+        """Remove a reference to a page, and delete the pages that have none left."""
         unused = [digest]
         while unused:
             digest = unused.pop()
@@ -165,22 +167,22 @@
             if row is None:
                 continue
             self._db.execute("DELETE FROM pages WHERE digest = ?", (name,))
-            # A page that does not match its digest would release pages of other trees.
+            # The children of a page that does not match its digest may belong to other trees.
             try:
                 raw = decompress(row[0], MAX_PAGE_BYTES)
                 verify(raw, digest)
                 unused += child_digests(raw)
             except PageError:
-                continue  # damaged: what it referred to is unknown, and stays
+                continue  # damaged: its children are unknown, and are never released
 
     def _to_page_file_error(self, error: sqlite3.Error) -> PageFileError:
-        """Return the error with what an operator can do about it."""
+        """Return the error, with what an operator can do about it."""
         text = str(error)
         if "locked" in text:
-            return PageFileError(f"{self.path}: another process holds it; end that one")
+            return PageFileError(f"{self.path}: another process has it locked; stop that process")
         if "not a database" in text or "malformed" in text or "damaged" in text:
             return PageFileError(
                 f"{self.path}: damaged ({text}); move it and the state files away, and the "
-                "gateway starts by its operator file or its tier"
+                "gateway starts from its operator file or its tier"
             )
         return PageFileError(f"{self.path}: {text}")
--- a/sailhitch/daemon/state.py
+++ b/sailhitch/daemon/state.py
@@ -1,7 +1,7 @@
-"""The state that a gateway is to have, as plain values that can be compared, stored and digested.
+"""The desired state of a gateway, as plain values that can be compared, stored and digested.
 
-A state is a mapping of kinds ("pools", "nodes", ...) to objects by name, each a mapping of fields
-to plain values as JSON has them. Nodes are named `pool/id`. Order in the file has no meaning.
+A state maps kinds ("pools", "nodes", ...) to objects by name; each object maps fields to plain JSON
+values. Nodes are named `pool/id`. Order in the file has no meaning.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def from_file(operator_file: OperatorFile) -> State:
-    """Return the state that a checked file asks for, without what is fixed for the process."""
+    """Return the state that a validated file describes, without process-wide settings."""
     value = operator_file.model_dump(mode="json", by_alias=True)
     state: dict[str, dict[str, dict[str, Any]]] = {kind: {} for kind in KINDS}
     for kind in ("listeners", "classes", "tenants", "routes"):
@@ -39,9 +39,9 @@
 
 
 def to_file(state: State, gateway: Mapping[str, Any]) -> OperatorFile:
-    """Return the checked file that asks for a state, with this gateway part. Raises FileError.
+    """Return the validated file that describes a state, with this gateway part. Raises FileError.
 
-    This checks a plan that was edited, or a state from disk, by the same rules as a file.
+    An edited plan and a state from disk are validated by the same rules as a file.
     """
     value: dict[str, Any] = {"version": 1, "gateway": dict(gateway)}
     for kind in ("listeners", "classes", "tenants", "pools", "routes"):
@@ -58,12 +58,12 @@
 
 
 def with_bans(state: State, live: State) -> State:
-    """Return a state with the live one's bans, as a file neither sets nor lifts any."""
+    """Return a state with the live one's bans: a file neither sets nor lifts bans."""
     return {**state, "bans": live["bans"]}
 
 
 def banned(state: State, node: str, ban: dict[str, Any] | None) -> State:
-    """Return a state in which a node is banned, or (None) is not; an earlier ban is kept."""
+    """Return a state with a node banned, or (None) its ban lifted; an existing ban is kept."""
     bans = dict(state["bans"])
     if ban is None:
         bans.pop(node, None)
@@ -73,9 +73,9 @@
 
 
 def unshared(old: Mapping[str, Any], new: Mapping[str, Any]) -> Iterator[str]:
-    """Yield the names for which two mappings do not have the same object, or one has none."""
+    """Yield the names whose values are not the same object in both mappings, or are in one only."""
     if all(map(operator.eq, old, new)):
-        # One was copied from the other, perhaps with names added: saves a lookup of each name.
+        # One is a copy of the other, perhaps with names added: no lookup by name is needed.
         yield from compress(new, map(operator.is_not, old.values(), new.values()))
         yield from islice(new, len(old), None)
         yield from islice(old, len(new), None)
@@ -101,7 +101,7 @@
 
 
 def canonical(value: Any) -> bytes:
-    """Return the one JSON text of a value: sorted keys, no blanks, no NaN."""
+    """Return the canonical JSON text of a value: sorted keys, no whitespace, no NaN."""
     return _ENCODER.encode(value).encode()
 
 
--- a/sailhitch/daemon/state_tree.py
+++ b/sailhitch/daemon/state_tree.py
@@ -1,13 +1,14 @@
 """Convert a state to the entries of a page tree (`sailhitch.pages`), and back.
 
-Each object of a state is one entry: its canonical JSON under a key of its kind and name. Nodes of
-one pool are one group, so that they are next to each other in the tree and a change of one service
-changes few pages; so are its bans. Each other kind is one group: similar entries compress well.
-
-The same state gives the same root. A state derived from another costs what differs: objects
-that both share (the same object in memory) are neither compared nor encoded, and pages that both
-trees share are not read. A kind with any change is scanned by identity, and copied where it is
-read (`docs/design/state-by-difference.md` has the cost, and why plain dicts are used).
+Each object of a state is one entry: its canonical JSON, under a key made of its kind and name. The
+nodes of a pool form one group, so that they are adjacent in the tree and a change of one service
+changes few pages; so do its bans. Each other kind is one group: similar entries compress well.
+
+Equal states have equal roots. Converting a state that was derived from another costs only the
+difference: objects that both share (the same object in memory) are neither compared nor encoded,
+and pages that both trees share are not read. A kind with any change is scanned by identity, and
+copied when it is read (`docs/design/state-by-difference.md` has the cost, and why plain dicts are
+used).
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 from ..pages import Key, PageSource, Tree, build, difference, read_entries, update
 from .state import KINDS, canonical, unshared
 
-Tables = Mapping[str, Mapping[str, Any]]  # values by kind and name, as a state has them
-Kinds = Mapping[str, type]  # the kinds of a tree, and what JSON type the values of each are
+Tables = Mapping[str, Mapping[str, Any]]  # values by kind and name, as in a state
+Kinds = Mapping[str, type]  # the kinds of a tree, with the JSON type of each kind's values
 
 STATE_KINDS: Final[Kinds] = dict.fromkeys(KINDS, dict)
 BY_POOL: Final = frozenset(("nodes", "bans", "born"))  # kinds whose names are `pool/id`
 
 
 class StateTreeError(ValueError):
-    """A tree has an entry that no state has; the text names its key."""
+    """A tree has an entry that is not valid in a state; the text names its key."""
 
 
 def key_of(kind: str, name: str) -> Key:
@@ -36,7 +37,7 @@
         return Key(kind, name)
     pool, slash, node = name.partition("/")
     if not (pool and slash and node):
-        raise StateTreeError(f"{kind} {name!r}: not called `pool/id`")
+        raise StateTreeError(f"{kind} {name!r}: not named `pool/id`")
     return Key(f"{kind}/{pool}", node)
 
 
@@ -68,14 +69,14 @@
 def _changed_values(
     before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> Iterator[tuple[str, bytes | None]]:
-    """Yield names whose canonical JSON differs, with the new one; None for removed ones."""
+    """Yield the names whose canonical JSON differs, with the new JSON, or None if removed."""
     if before is after:
         return
     for name in unshared(before, after):
         if name not in after:
             yield name, None
             continue
-        # Compared by their text: 1 and 1.0 are equal in Python, and have different roots.
+        # Compared as text: 1 and 1.0 are equal in Python, but have different roots.
         encoded = canonical(after[name])
         if name not in before or canonical(before[name]) != encoded:
             yield name, encoded
@@ -84,7 +85,7 @@
 def state_from(source: PageSource, root: str, kinds: Kinds = STATE_KINDS) -> Tables:
     """Return the whole state of a root.
 
-    Raises StateTreeError for an entry that no state has, KeyError or PageError from the source.
+    Raises StateTreeError for an invalid entry, KeyError or PageError from the source.
     """
     state: dict[str, dict[str, Any]] = {kind: {} for kind in kinds}
     for key, value in read_entries(source, root):
@@ -96,9 +97,9 @@
 def changed_state(
     base: Tables, base_root: str, source: PageSource, root: str, kinds: Kinds = STATE_KINDS
 ) -> Tables:
-    """Return the state of a root, read by its difference from `base`; equal objects are shared.
+    """Return the state of a root, read as a difference from `base`; equal objects are shared.
 
-    Raises as `state_from`; `source` needs those pages of both that are not in the other.
+    Raises as `state_from` does. `source` needs the pages that only one of the two trees has.
     """
     changed: dict[str, dict[str, Any]] = {}
     for key, _, after in difference(source, base_root, root):
@@ -116,7 +117,7 @@
 def changed_names(source: PageSource, old_root: str, new_root: str) -> dict[str, set[str]]:
     """Return the names of the objects that differ between two roots, by kind.
 
-    Raises as `state_from`.
+    Raises as `state_from` does.
     """
     names: dict[str, set[str]] = {kind: set() for kind in KINDS}
     for key, _, _ in difference(source, old_root, new_root):
@@ -129,7 +130,7 @@
     """Return the kind and name of an entry; raises StateTreeError."""
     kind, _, rest = key.group.partition("/")
     if kind not in kinds:
-        raise StateTreeError(f"{_describe(key)}: {kind[:40]!r} is no kind of a state")
+        raise StateTreeError(f"{_describe(key)}: {kind[:40]!r} is not a kind of object")
     name = f"{rest}/{key.name}" if kind in BY_POOL else key.name
     try:
         is_valid = key_of(kind, name) == key
@@ -147,7 +148,7 @@
         raise StateTreeError(f"{_describe(key)}: not JSON") from None
     if type(value) is not expected_type:
         expected = "an object" if expected_type is dict else "a whole number"
-        raise StateTreeError(f"{_describe(key)}: not {expected}, as its kind has them")
+        raise StateTreeError(f"{_describe(key)}: not {expected}, as its kind requires")
     return value
 
 
--- a/sailhitch/daemon/store.py
+++ b/sailhitch/daemon/store.py
@@ -1,15 +1,15 @@
 """The applied states on disk: each complete or absent, and the last one is live after a restart.
 
-A state is a small file of its own, the manifest, that names two page trees by their roots: the
-state's, and the serials since which its nodes are new. Their pages are in one file for all
-(`page_file`), so fifty kept states cost what changed between them. Pages are on disk before the
-manifest; it is written under another name, synced and renamed, and the rename commits the state.
-Pages that no manifest needs are released after that, or at the next start.
+Each state has a small file of its own, the manifest, with the roots of two page trees: the state,
+and the time since which each node is new. The pages of all states are in one file (`page_file`),
+so fifty kept states cost what changed between them. Pages are on disk before the manifest, which is
+written under a temporary name, synced and renamed; the rename commits the state. Pages that no
+manifest needs are released after that, or at the next start.
 
-A manifest under its own name is complete, and its pages are in the file. Damage (a disk that lost
+A manifest under its final name is complete, and its pages are in the file. Damage (a disk that lost
 writes, a file edited by hand) is detected by its digest.
 
-Format 1, of the versions before, has the full state in the manifest. It is read, never rewritten.
+Format 1, of earlier versions, has the full state in the manifest. It is read, never rewritten.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 )
 
 FORMAT: Final = 2
-FULL_STATE_FORMAT: Final = 1  # of the versions before: the state is in the manifest
+FULL_STATE_FORMAT: Final = 1  # of earlier versions: the full state is in the manifest
 MAX_STATES: Final = 50  # states that `plan --to` can go back to
-NEW_SINCE: Final = "born"  # the kind of the tree, by node the serial that first had it
+NEW_SINCE: Final = "born"  # the kind in the second tree: by node, when it was added
 NEW_SINCE_KINDS: Final[Kinds] = {NEW_SINCE: int}
 _FILE = re.compile(r"state-(\d{8,12})\.json")
 Step = Callable[[str], None]
-"""Called with the name of each step of a write; tests end the process at one."""
+"""Called with the name of each step of a write; tests kill the process at one of them."""
 
 
 def ignore_step(step: str) -> None:
-    """Do nothing: the callback where no test observes the steps."""
+    """Do nothing: the default callback, where no test observes the steps."""
 
 
 class StoreError(Exception):
@@ -73,7 +73,7 @@
     applied_by: str
     state: State
     summary: str = ""
-    # By node, the serial that first had it; 0 if it was there at the first start.
+    # By node, when it was added, in microseconds; 0 if it was there at the first start.
     new_since: Mapping[str, int] = field(default_factory=dict)
 
     def record(self) -> HistoryRecord:
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StoredState:
-    """A state in memory whose pages are on disk: the next one is written by its difference."""
+    """A state in memory whose pages are on disk; the next state is written as a difference."""
 
     state: State
     new_since: Mapping[str, int]
@@ -91,7 +91,7 @@
     new_since_root: str
 
     def roots(self, serial: int) -> set[Root]:
-        """Return the roots of both trees, as kept for a serial."""
+        """Return the roots of both trees, as stored for a serial."""
         return {Root(serial, self.root), Root(serial, self.new_since_root)}
 
 
@@ -100,7 +100,7 @@
     """A state whose pages and manifest are on disk, not committed yet."""
 
     state: _StoredState
-    added: list[Root]  # kept for this state alone
+    added: list[Root]  # roots that were added to the page file for this state
 
 
 class Store:
@@ -141,19 +141,19 @@
         return sorted(int(match[1]) for match in matches if match)
 
     def root_of(self, state: State) -> str | None:
-        """Return the root of a state's tree if it is the state written or read last, else None."""
+        """Return the root of a state's tree if the state is the latest, else None."""
         latest = self._latest
         return latest.root if latest is not None and latest.state is state else None
 
     def last(self) -> AppliedState | None:
         """Return the live state, or None before the first; raises StoreError.
 
-        This never falls back to the state before a damaged one: that would bring back nodes that
-        were taken out for a reason, unnoticed. Operators who want that remove the file.
+        This never falls back to the state before a damaged one: that would silently bring back
+        nodes that were removed for a reason. An operator who wants that removes the file.
         """
         for name in os.listdir(self.path):
             if name.startswith(".state-"):
-                (self.path / name).unlink()  # of an apply that was not committed
+                (self.path / name).unlink()  # left by an apply that was not committed
         self._release_unneeded()
         serials = self.serials()
         if not serials:
@@ -167,12 +167,12 @@
         return self._load(serial)[0]
 
     def _load(self, serial: int) -> tuple[AppliedState, _StoredState | None]:
-        """Return a state, and its base for the next write (not of format 1); raises StoreError."""
+        """Return a state, and (unless of format 1) its stored trees; raises StoreError."""
         path = self._file(serial)
         manifest = self._manifest(serial)
         stored = None
         if manifest["format"] == FULL_STATE_FORMAT:
-            manifest["state"].setdefault("bans", {})  # written before there were any
+            manifest["state"].setdefault("bans", {})  # older manifests have no bans
             state = manifest["state"]
             new_since = manifest["born"]
         else:
@@ -181,7 +181,7 @@
             try:
                 state, new_since = self._read_trees(root, new_since_root)
             except KeyError as error:
-                problem = f"{path}: damaged, its page {error} is not in {self.pages.path}"
+                problem = f"{path}: damaged, its page {error} is missing from {self.pages.path}"
                 raise StoreError(f"{problem}; {self._next_step(serial)}") from None
             except (PageError, StateTreeError) as error:
                 problem = f"{path}: damaged, in {self.pages.path}: {error}"
@@ -195,7 +195,7 @@
         return applied, stored
 
     def _read_trees(self, root: str, new_since_root: str) -> tuple[State, Mapping[str, int]]:
-        """Return a state and its `new_since`, read by their difference from the latest state."""
+        """Return a state and its `new_since`, read as differences from the latest state."""
         pages = self.pages
         latest = self._latest
         if latest is None:
@@ -213,7 +213,7 @@
         return state, tables[NEW_SINCE]
 
     def _manifest(self, serial: int) -> dict[str, Any]:
-        """Return the contents of a state's manifest, checked; raises StoreError."""
+        """Return the validated contents of a state's manifest; raises StoreError."""
         path = self._file(serial)
         try:
             value = json.loads(path.read_bytes())
@@ -224,22 +224,24 @@
         if not isinstance(value, dict) or not isinstance(value.get("format"), int):
             raise StoreError(f"{path}: damaged, not a state; {self._next_step(serial)}")
         if value["format"] > FORMAT:
-            step = f"start that one, or {self._next_step(serial)}"
+            step = f"start that version, or {self._next_step(serial)}"
             raise StoreError(f"{path}: written by a newer version; {step}")
         stated_digest = value.pop("digest", None)
         if stated_digest != digest(value) or value["serial"] != serial:
             raise StoreError(f"{path}: damaged, its digest is wrong; {self._next_step(serial)}")
         if value["gateway"] != self.gateway:
-            raise StoreError(f"{path}: of gateway {value['gateway']!r}, not {self.gateway!r}")
+            raise StoreError(
+                f"{path}: belongs to gateway {value['gateway']!r}, not {self.gateway!r}"
+            )
         return value
 
     def _next_step(self, serial: int) -> str:
         """Return what an operator can do about a damaged manifest."""
         earlier = [kept for kept in self.serials() if kept < serial]
-        return f"remove it to go on from serial {earlier[-1]}" if earlier else "remove it"
+        return f"remove it to continue from serial {earlier[-1]}" if earlier else "remove it"
 
     def history(self) -> list[HistoryRecord]:
-        """Return all states whose manifests can be read, oldest first, without contents."""
+        """Return the records of all states whose manifests can be read, oldest first."""
         records = []
         for serial in self.serials():
             with contextlib.suppress(StoreError):
@@ -255,9 +257,9 @@
     # --- Writing
 
     def prepare(self, applied: AppliedState, step: Step) -> Path:
-        """Write a state's pages, and its manifest under another name, and sync them.
+        """Write and sync a state's pages, and its manifest under a temporary name.
 
-        Returns the manifest's path. Raises StoreError, and then nothing of the state is kept.
+        Returns the manifest's path. Raises StoreError, with nothing of the state left on disk.
         """
         try:
             trees = self._trees(applied)
@@ -265,9 +267,9 @@
         except (PageFileError, PageError) as error:
             raise StoreError(str(error)) from None
         except KeyError as error:
-            raise StoreError(f"{self.pages.path}: damaged: page {error} is not there") from None
+            raise StoreError(f"{self.pages.path}: damaged: page {error} is missing") from None
         except ValueError as error:
-            raise StoreError(f"the state can't be kept: {error}") from None
+            raise StoreError(f"the state can't be stored: {error}") from None
         try:
             path = self._write_manifest(applied, trees, step)
         except StoreError:
@@ -281,7 +283,7 @@
         return path
 
     def _trees(self, applied: AppliedState) -> tuple[Tree, Tree]:
-        """Return the trees of a state and its `new_since`, by difference from the latest state."""
+        """Return the trees of a state and its `new_since`, as updates of the latest state's."""
         tables = {NEW_SINCE: applied.new_since}
         latest = self._latest
         if latest is None:
@@ -324,7 +326,7 @@
         return path
 
     def commit(self, path: Path, serial: int, step: Step) -> None:
-        """Make the prepared state the live one; raises StoreError, with the old one still live."""
+        """Make the prepared state the live one; after a StoreError the old one is still live."""
         prepared = self._prepared
         self._prepared = None
         assert prepared is not None
@@ -337,8 +339,8 @@
             raise StoreError(f"{path}: {error.strerror}") from None
         self._latest = prepared.state
         step("renamed")
-        # No failure is reported after the rename, or the process would continue with the old
-        # state and restart with the new one.
+        # No failure is reported after the rename: the process would continue with the old state
+        # and restart with the new one.
         with contextlib.suppress(OSError):
             self._sync_folder()
         with contextlib.suppress(OSError):
@@ -350,7 +352,7 @@
         step("committed")
 
     def _release_replaced(self, live_roots: set[Root], serial: int) -> None:
-        """Release trees of states that are not kept, and any but the live ones of its serial."""
+        """Release the trees of states that are not kept, and old trees of the live serial."""
         kept_serials = set(self.serials())
         self.pages.release(
             root
@@ -359,19 +361,19 @@
         )
 
     def _discard(self, roots: list[Root]) -> None:
-        """Release trees of a state that is not committed; if this fails, the next start does."""
+        """Release trees of an uncommitted state; if this fails, the next start does it."""
         with contextlib.suppress(PageFileError):
             self.pages.release(roots)
 
     def _release_unneeded(self) -> None:
-        """Release pages that no manifest needs: those of applies that were interrupted."""
+        """Release pages that no manifest needs: interrupted applies leave them."""
         kept_serials = set(self.serials())
         try:
             roots = self.pages.roots()
             needed: dict[int, set[str]] = {}
-            # Only manifests that have pages: those of format 1 take long to read.
+            # Only manifests with pages are read: those of format 1 hold full states and are slow.
             for serial in kept_serials & {root.serial for root in roots}:
-                # One that can't be read may need any of its pages, once it is repaired.
+                # A manifest that can't be read keeps all its pages: once repaired it may need any.
                 with contextlib.suppress(StoreError):
                     manifest = self._manifest(serial)
                     needed[serial] = {manifest.get("root", ""), manifest.get("born_root", "")}
--- a/sailhitch/daemon/version_states.py
+++ b/sailhitch/daemon/version_states.py
@@ -1,7 +1,7 @@
 """The states of the tier's versions: decoded from the tier's contents, and encoded as contents.
 
-A version's content is a page tree, and is read by its difference from a state that was read before;
-that of an older release is the complete state as JSON. A member always proposes a tree.
+A version's content is a page tree, read as a difference from a state that was read before. Versions
+of an older release contain the complete state as JSON. A member always proposes a tree.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class VersionStates:
-    """States by the digests of their contents; those read lately are cached."""
+    """Reads versions' states by the digests of their contents, and caches recent ones."""
 
     def __init__(self) -> None:
         self._cached: dict[str, State] = {}
@@ -36,9 +36,9 @@
         self._applied_pages: PageSource | None = None
 
     def start_from(self, root: str, state: State, pages: PageSource) -> None:
-        """Read the first version by its difference from the state applied last.
+        """Have the first version read as a difference from the state that was applied last.
 
-        `pages` has the pages of `root`, which is that state's.
+        `root` is the root of that state, and `pages` has its pages.
         """
         self._cached = {tree_digest(root): state}
         self._applied_pages = pages
@@ -46,8 +46,8 @@
     def read(self, contents: Contents, digest: str) -> State:
         """Return a version's state, without listeners.
 
-        Raises KeyError or PageError from the contents, and StateTreeError or ValueError for a
-        content that is no state.
+        Raises KeyError or PageError from the contents, and StateTreeError or ValueError for
+        content that is not a state.
         """
         state = self._cached.get(digest)
         if state is None:
@@ -72,7 +72,7 @@
         return state_from(contents, root)
 
     def keep_only(self, digests: Collection[str]) -> None:
-        """Drop the states of all other digests, and the pages given to `start_from`."""
+        """Drop the cached states of all other digests, and the pages given to `start_from`."""
         self._applied_pages = None
         self._cached = {
             digest: state for digest, state in self._cached.items() if digest in digests
@@ -81,18 +81,18 @@
     def tree(self, contents: Contents, base: State, state: State) -> Tree:
         """Return the tree of a state that was derived from `base`.
 
-        Where `base` was read from a tree, only the new pages are in it.
+        If `base` was read from a tree, the result contains only the new pages.
         """
         root = self._root_of(base)
         if root is not None:
             try:
                 return update_tree(contents, root, base, state)
             except KeyError:
-                pass  # another version is active by now, and the register will reject the proposal
+                pass  # another version is active by now: the register will reject the proposal
         return to_tree(state)
 
     def identity(self, state: State) -> str:
-        """Return what a plan names a state by; hashes all of one that is not known as a tree."""
+        """Return a state's identity in plans; hashes the whole state if its root is unknown."""
         root = self._root_of(state)
         return self._identities.of(state) if root is None else tree_digest(root)
 
@@ -104,7 +104,7 @@
 
 
 class _FallbackPages:
-    """Pages of a source, or of a second one where the first lacks them."""
+    """Pages of a source, or of a second one for those that the first lacks."""
 
     def __init__(self, first: PageSource, second: PageSource | None) -> None:
         self._first = first
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -544,7 +544,7 @@
     for data in (whole[: len(whole) // 2], b"", other, b"[]"):
         last.write_bytes(data)
         store = Store(path, "g1")
-        with pytest.raises(StoreError, match=r"damaged.*remove it to go on from serial 1"):
+        with pytest.raises(StoreError, match=r"damaged.*remove it to continue from serial 1"):
             store.last()
         store.close()
     last.unlink()
@@ -566,7 +566,7 @@
     store.close()
     last.write_text(json.dumps(value))
     store = Store(path, "g2")
-    with pytest.raises(StoreError, match="of gateway 'g1', not 'g2'"):
+    with pytest.raises(StoreError, match="belongs to gateway 'g1', not 'g2'"):
         store.last()
     store.close()
 
--- a/tests/test_state_tree.py
+++ b/tests/test_state_tree.py
@@ -162,15 +162,15 @@
 
 def test_a_node_whose_name_is_of_no_pool_has_no_key() -> None:
     for name in ("n1", "/n1", "p/", ""):
-        with pytest.raises(StateTreeError, match=r"nodes .*not called `pool/id`"):
+        with pytest.raises(StateTreeError, match=r"nodes .*not named `pool/id`"):
             key_of("nodes", name)
 
 
 @pytest.mark.parametrize(
     ("key", "value", "said"),
     [
-        (Key("robots", "r1"), b"{}", r"'robots'.*'robots' is no kind"),
-        (Key("", "r1"), b"{}", "is no kind"),
+        (Key("robots", "r1"), b"{}", r"'robots'.*'robots' is not a kind"),
+        (Key("", "r1"), b"{}", "is not a kind"),
         (Key("routes", "r1"), b"{", r"entry 'routes' 'r1': not JSON"),
         (Key("routes", "r1"), b"\xff", "not JSON"),
         (Key("routes", "r1"), b'{"a":NaN}', "not JSON"),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -258,7 +258,7 @@
     [
         ("UPDATE pages SET packed = substr(packed, 1, length(packed) / 2)", "ends too early"),
         ("UPDATE pages SET packed = x'00'", "compressed page"),
-        ("DELETE FROM pages", "its page .* is not in"),
+        ("DELETE FROM pages", "its page .* is missing from"),
     ],
 )
 def test_a_damaged_page_is_found_and_the_next_step_is_told(
@@ -273,7 +273,7 @@
         original = (store.path / FILE).read_bytes()
         _damage(store, f"{statement} WHERE {where}", root.upper())
         damaged = Store(store.path, "g1")
-        with pytest.raises(StoreError, match=rf"{said}.*remove it to go on from serial 1"):
+        with pytest.raises(StoreError, match=rf"{said}.*remove it to continue from serial 1"):
             damaged.last()
         damaged.close()
         (store.path / FILE).write_bytes(original)
@@ -295,7 +295,7 @@
         roots[1].upper(),
     )
     damaged = Store(store.path, "g1")
-    with pytest.raises(StoreError, match=r"damaged, in .*remove it to go on from serial 1"):
+    with pytest.raises(StoreError, match=r"damaged, in .*remove it to continue from serial 1"):
         damaged.last()
     # As it is told: the one before is whole, and what is kept next is whole again.
     (store.path / "state-00000002.json").unlink()
@@ -354,7 +354,7 @@
     _keep(store, states[0])
     before = _pages_here(store)
     large = {**states[1].state, "tenants": {"t": {"share": "x" * MAX_PAGE_BYTES}}}
-    with pytest.raises(StoreError, match="the state can't be kept: "):
+    with pytest.raises(StoreError, match="the state can't be stored: "):
         store.prepare(AppliedState(2, 1, "t", large), ignore_step)
     assert _pages_here(store) == before
     assert store.serials() == [1]
@@ -388,7 +388,7 @@
     tree = to_tree(_state())
     part = {one: raw for one, raw in tree.pages.items() if one != min(tree.pages)}
     cut = type(tree)(tree.root, part)
-    with pytest.raises(PageFileError, match=f"page {min(tree.pages)} is not there"):
+    with pytest.raises(PageFileError, match=f"page {min(tree.pages)} is missing"):
         file.keep(1, [cut], ignore_step)
     assert file.roots() == set()
     with pytest.raises(KeyError):
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -139,7 +139,7 @@
 
 def test_a_tree_that_is_no_state_is_told_with_its_key() -> None:
     tree = build({Key("robots/r", "r"): b"{}"})
-    with pytest.raises(StateTreeError, match="'robots' is no kind"):
+    with pytest.raises(StateTreeError, match="'robots' is not a kind"):
         VersionStates().read(Contents(tree.pages), tree_digest(tree.root))
 
 
