--- a/sailhitch/daemon/catch_up.py
+++ b/sailhitch/daemon/catch_up.py
@@ -1,8 +1,9 @@
-"""After a long stall of the event loop, what the tier decided meanwhile comes before requests.
+"""After a long stall of the event loop, attempts wait until the tier's decisions are applied.
 
-A gateway that was stopped for seconds may have been declared dead, and others' orders about zones
-do not wait for the dead. Requests that lie in its sockets would go out by its old order when it
-goes on. So attempts wait until it has read the register and applied what it found.
+A gateway that was stopped for seconds may have been declared dead, and the other members' orders
+about zones do not wait for dead members. When it resumes, the requests buffered in its sockets
+would be sent under an outdated order. So attempts wait until it has read the register and applied
+what it found.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from .tier_link import TierLink
 
 MIN_STALL: Final = 1_000_000  # us; a member is probed once a second, and declared dead later
-MAX_WAIT: Final = 1.0  # s; a gateway that is cut off goes on by what it last knew
+MAX_WAIT: Final = 1.0  # s; then a gateway that is cut off continues with what it last knew
 CONFIRM_POLL: Final = 0.005  # s
 
 
 class CatchUp:
-    """Whether attempts have to wait for what the tier decided in a stall."""
+    """Decides whether attempts have to wait for what the tier decided during a stall."""
 
     def __init__(self, link: TierLink, core: GatewayCore, log: Log) -> None:
         self._link = link
@@ -30,7 +31,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def is_needed(self) -> bool:
-        """Return whether attempts have to wait now; a long stall that has just ended counts."""
+        """Return whether attempts have to wait now; also detects a long stall that just ended."""
         if self._task is None and self._link.overdue() >= MIN_STALL:
             self._begin()
         return self._task is not None
@@ -49,7 +50,7 @@
                 while not link.has_confirmed(completed.state.revision):
                     await asyncio.sleep(CONFIRM_POLL)
         except TimeoutError:
-            self._log.write("tier: goes on after a stall without having heard what holds now")
+            self._log.write("tier: resuming after a stall without having read the register")
         finally:
             self._task = None
             self._core.catching_up = False
--- a/sailhitch/daemon/endpoint_registry.py
+++ b/sailhitch/daemon/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Which instance of a node's id is at which address, and what drains once it has left the state.
+"""Tracks which instance of a node's id is at which address, and which removed ones still drain.
 
 Only the state applier changes it, during its switch.
 """
@@ -22,7 +22,7 @@
 from .store import AppliedState
 from .tables import Tables
 
-RELEASE_INTERVAL: Final = 0.25  # s between two checks of what drains
+RELEASE_INTERVAL: Final = 0.25  # s between two checks of the draining nodes
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
 
 
 class EndpointRegistry:
-    """The instances of the state's nodes, and of those that drain."""
+    """The instances of the state's nodes, and those that drain."""
 
     def __init__(self, core: GatewayCore) -> None:
         self.core = core
@@ -44,7 +44,7 @@
         # Instances that drain, by their name in the policy.
         self.draining: dict[Pool, dict[str, EndpointAddress]] = {}
         self.pools: Mapping[str, Pool] = {}  # as of the last switch
-        self._incarnations: dict[str, int] = {}  # instances so far, by a node's id
+        self._incarnations: dict[str, int] = {}  # number of instances so far, by node id
         self._release_handle: asyncio.TimerHandle | None = None
 
     def assign_names(
@@ -52,8 +52,8 @@
     ) -> None:
         """Give each new instance of a node a name and a cell of its own; the old one drains.
 
-        Otherwise a keyed request that was carried out by the old instance could be retried at the
-        new one under the same id, which does not know the key.
+        Otherwise a keyed request that was executed by the old instance could be retried at the new
+        one under the same id, which does not know the key.
         """
         instances: dict[str, NodeInstance] = {}
         for pool in file.pools:
@@ -87,7 +87,7 @@
     def list_nodes(
         self, file: OperatorFile, tables: Tables, old: Mapping[str, Pool], new: Mapping[str, Pool]
     ) -> None:
-        """Give each pool its nodes; a pool that has left the state, only those that drain."""
+        """Give each pool its nodes; a pool that was removed gets only those that drain."""
         for part in file.pools:
             pool = new[part.name]
             entries = [self._endpoint_address(part, node, tables) for node in part.nodes]
@@ -111,7 +111,8 @@
     def set_maintenance(self, key: str, pools: Mapping[str, Pool], out: bool) -> None:
         """Mark a node, by `pool/id`, as out for maintenance or not.
 
-        Call it before `list_nodes`: a policy that learns of a node before its ban sends to it.
+        Call this before `list_nodes`: a policy that learns of a node before its ban would send
+        requests to it.
         """
         node = self.nodes.get(key)
         pool = pools.get(key.partition("/")[0])
@@ -119,10 +120,10 @@
             pool.maintenance.add_names([node.name])
             pool.set_maintenance(node.name, out)
 
-    # --- Releasing what has drained
+    # --- Releasing drained nodes and pools
 
     def release_soon(self) -> None:
-        """Check what drains, repeatedly until nothing does."""
+        """Schedule a check of the draining nodes, repeated until there are none."""
         if self._release_handle is None and (
             self.draining or len(self.core.pools) > len(self.pools)
         ):
@@ -131,12 +132,12 @@
             )
 
     def _release_drained(self) -> None:
-        """Release nodes and pools that have no open attempts any more."""
+        """Release nodes and pools that have no open attempts."""
         self._release_handle = None
         try:
             self._release()
         except Exception as error:
-            self.core.fault("the end of what leaves", error)
+            self.core.fault("the release of drained nodes", error)
         self.release_soon()
 
     def _release(self) -> None:
@@ -160,7 +161,7 @@
 
 
 def _update_pool(pool: Pool, entries: list[EndpointAddress]) -> None:
-    """Give a pool its complete list, if that differs from the one it has."""
+    """Give a pool its complete list of endpoints, if that differs from the current one."""
     is_changed = any(pool.endpoints.get(entry.endpoint.name) != entry for entry in entries)
     if is_changed or len(entries) != len(pool.endpoints):
         pool.apply_update(
--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -1,4 +1,4 @@
-"""Reads ordinary HTTP requests: the route, and by it the class, deadline and pool."""
+"""Routes ordinary HTTP requests: finds the route, which gives the class, deadline and pool."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def come_back(reason: bytes) -> Response:
-    """Return a 503 for a condition that ends soon: a retry after a second is harmless."""
+    """Return a 503 for a condition that ends soon: retries after one second do no harm."""
     return Response(503, [*_TEXT, (b"retry-after", b"Retry-After", b"1")], reason)
 
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingView:
-    """All that reading a request depends on, as of one serial; replaced, never changed."""
+    """Everything that reading a request depends on, as of one serial; replaced, never mutated."""
 
     routes: Routes
     pools: Mapping[str, Pool]
@@ -51,33 +51,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassOverlap:
-    """Rules of a pending state: requests that are not idempotent have to satisfy these too."""
+    """Rules of a pending state, which requests that are not idempotent have to satisfy too."""
 
     routes: Routes
     stated_effects: Mapping[str, str | None]  # as the file states them, by class
 
 
-Gate = Callable[[str], Response | None]  # by effect: the response that rejects, None to admit
+Gate = Callable[[str], Response | None]  # takes an effect; the response that rejects, or None
 
 
 class RoutedIntake:
-    """Reads ordinary clients' requests by routes.
+    """Reads ordinary clients' requests and routes them.
 
-    A client may send the platform's fields: `Req-Id` and `Req-Deadline-Ms` are taken within the
-    limits of the class, `Req-Kind` and `Req-Owner` only count for the choice of a route. The route
-    alone decides the class, and the node gets that one.
+    A client may send the platform's fields: `Req-Id` and `Req-Deadline-Ms` are accepted within the
+    limits of the class, `Req-Kind` and `Req-Owner` are only used to choose a route. The route alone
+    decides the class, which is sent to the node.
     """
 
     own = OWN | {b"req-kind"}
 
     view: RoutingView  # set by the first switch, before clients are accepted
-    gate: Gate | None = None  # asked for each request, where there is one
-    held_back = 0  # requests that active and pending rules would route differently
+    gate: Gate | None = None  # called for each request, if set
+    held_back = 0  # requests rejected because active and pending rules would route them differently
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
         self.sticky: Sticky[Pool] = Sticky()
-        self._prefix = secrets.token_hex(6)  # so that no two processes generate the same id
+        self._prefix = secrets.token_hex(6)  # makes generated ids unique among processes
         self._count = itertools.count(1)
 
     def read(self, head: Head, found: dict[bytes, bytes], request: RequestContext) -> bool:
@@ -114,7 +114,7 @@
         else:
             pool = view.pools[choose_pool(route.pools, found.get(b"cookie") or request.name)]
         if view.pools.get(pool.name) is not pool:
-            # Another pool does not know of a first attempt that may have been made in this one.
+            # A first attempt may have been made in the removed pool; no other pool knows of it.
             request.fallback_response = Response(
                 503, _TEXT, b"the pool that this key went to was removed\n"
             )
@@ -126,7 +126,7 @@
     def _fill_in(
         self, head: Head, found: dict[bytes, bytes], request: RequestContext, part: ClassPart
     ) -> None:
-        """Set what does not depend on the pool: tenant, name, class and waiting time."""
+        """Set the fields that do not depend on the pool: tenant, name, class and waiting time."""
         request.head_only = head.method == b"HEAD"
         request.tenant = self.view.tables.tenant(found.get(b"req-owner", b"").decode("latin-1"))
         request.is_retry = found.get(b"req-retry") == b"1"
@@ -164,9 +164,9 @@
         )
 
     def _keyed_pool(self, pools: tuple[tuple[str, float], ...], key: bytes, keep: int) -> Pool:
-        """Return the pool that a key went to within `keep`, else the one that the split gives it.
+        """Return the pool that a key was sent to within the last `keep` us, else choose one.
 
-        The former may have been removed meanwhile, or another pool may have its name.
+        The former may have been removed meanwhile, or another pool may have its name now.
         """
         now = self.clock()
         pool = self.sticky.get(key, now) or self.view.pools[choose_pool(pools, key)]
@@ -182,11 +182,11 @@
     key: bytes | None,
     split_key: bytes,
 ) -> bool:
-    """Return whether a request may take `route` by the pending rules too.
+    """Return whether the pending rules allow a request to take `route` too.
 
-    One that is safe by both takes the active route. Any other has to get the same class by both
-    and, by its split key, the same pool. One without a key, id or cookie is split at random, so
-    both routes must have the same pools.
+    A request that is safe under both sets of rules takes the active route. Any other must get the
+    same class under both and, by its split key, the same pool. A request without a key, id or
+    cookie is assigned a pool at random, so both routes must have the same pools.
     """
     other = overlap.routes.find(query)
     if effect == Idempotency.SAFE:
--- a/sailhitch/daemon/state_applier.py
+++ b/sailhitch/daemon/state_applier.py
@@ -1,8 +1,8 @@
-"""Applies states: pools, listeners and routes as they are, and the switch to others.
+"""Applies states: holds the current pools, listeners and routes, and switches to new ones.
 
-All that can fail is prepared first: the state is checked, listeners are bound, policies built, and
-the state written and synced. Then come a rename on disk and a switch on the event loop, in which
-nothing is awaited, so that no request is handled by a mix of two states.
+Everything that can fail is done first: the state is validated, listeners are bound, policies built,
+and the state is written and synced. Then the file is renamed on disk, and the event loop switches
+without awaiting anything, so that no request is handled by a mix of two states.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 from .store import AppliedState, Step, Store, ignore_step
 from .tables import Tables
 
-BACKLOG: Final = 1024  # connections that wait to be accepted
-MAX_OPEN: Final = 20_000  # requests at a time
+BACKLOG: Final = 1024  # connections waiting to be accepted
+MAX_OPEN: Final = 20_000  # concurrent requests
 
 
 class ApplyError(Exception):
-    """A change was not applied, and the old state is in force. The text says why and what to do."""
+    """A change was not applied: the old state stays in force. The text says why and what to do."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,13 +44,13 @@
 
     state: State
     by: str
-    serial: int  # counted by the source
-    # Since when nodes are new; None: as the comparison with the old state says.
+    serial: int  # assigned by the source
+    # By node, the time since which it is new; None: determined by comparison with the old state.
     new_since: Mapping[str, int] | None = None
-    persistent: bool = True  # whether it is to hold after a restart
-    stamp: bytes = b""  # header fields that attempts carry under it
-    overlapping_state: State | None = None  # a pending state whose routes count too
-    # Counts up where requests read before must not be sent by the older ones.
+    persistent: bool = True  # whether it is written to disk, to be applied after a restart
+    stamp: bytes = b""  # header fields that are added to attempts under this state
+    overlapping_state: State | None = None  # a pending state whose routes must agree too
+    # Increased when requests that were read under older rules must not be sent any more.
     rules_revision: int = 0
     inactive_nodes: frozenset[str] = frozenset()  # nodes, as `pool/id`, that get no new requests
     retried_nodes: frozenset[str] = frozenset()  # nodes to retry as if they had just started
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedSwitch:
-    """All that a switch needs, built and not in use yet."""
+    """Everything that a switch needs, built but not in use yet."""
 
     file: OperatorFile
     applied: AppliedState
@@ -85,10 +85,10 @@
         self.pools: dict[str, Pool] = {}
         self.endpoints = EndpointRegistry(core)
         self.listeners: dict[str, Listener] = {}
-        self.stopping = False  # no client is accepted any more
+        self.stopping = False  # whether clients are no longer accepted
         self.applied = AppliedState(0, 0, "nobody", EMPTY)
         self.excluded_nodes: set[str] = set()  # nodes that are banned or inactive
-        self.history: list[AppliedState] = []  # all states so far, where there is no store
+        self.history: list[AppliedState] = []  # all states so far, if there is no store
         self.intake = RoutedIntake(core.clock)
         self._switching = asyncio.Lock()
 
@@ -113,7 +113,7 @@
             ApplyError: The old state is still in force.
         """
         async with self._switching:
-            # In threads: with thousands of nodes this takes longer than requests may be delayed.
+            # In threads: with thousands of nodes this would delay requests for too long.
             applied = await asyncio.to_thread(self._next_applied, change)
             self.step("checked")
             file, routes = await asyncio.to_thread(self._parse, applied.state)
@@ -148,7 +148,7 @@
         try:
             file = to_file(state, self.gateway.model_dump(mode="json"))
         except FileError as error:
-            raise ApplyError(f"the state would be out of form: {error}") from None
+            raise ApplyError(f"the state is invalid: {error}") from None
         return file, Routes([to_route(part) for part in file.routes])
 
     def _class_overlap(self, state: State) -> RequestClassOverlap:
@@ -163,7 +163,7 @@
         routes: Routes,
         class_overlap: RequestClassOverlap | None,
     ) -> PreparedSwitch:
-        """Build all that is new; raises ApplyError, with nothing left behind."""
+        """Build all new objects; raises ApplyError, with all of them discarded."""
         tables = Tables(self.tables, file)
         settings = tables.settings(self.gateway)
         pools = {part.name: self._pool(part, settings) for part in file.pools}
@@ -188,7 +188,7 @@
         self.store.commit(path, applied.serial, self.step)
 
     def _node_ages(self, state: State, now: int) -> dict[str, int]:
-        """Return since when each node is new: now, for one that is added, re-added or moved."""
+        """Return since when each node is new: now, if it is added, re-added or moved."""
         old = self.applied.state["nodes"]
         before = self.applied.new_since
         return {
@@ -197,7 +197,7 @@
         }
 
     def _bind(self, file: OperatorFile) -> dict[str, Listener]:
-        """Return the listeners that are not open yet, bound and not accepting."""
+        """Bind the listeners that are not open yet; they do not accept connections yet."""
         bound: dict[str, Listener] = {}
         open_listeners = self._by_address()
         for index, part in enumerate(file.listeners):
@@ -217,7 +217,7 @@
     # --- The switch
 
     def _switch(self, prepared: PreparedSwitch) -> None:
-        """Put the new state in force, in one callback of the event loop."""
+        """Put the new state into force, in one callback of the event loop."""
         file = prepared.file
         applied = prepared.applied
         pools = prepared.pools
@@ -250,7 +250,7 @@
         self.endpoints.release_soon()
 
     def _switch_maintenance(self, prepared: PreparedSwitch) -> None:
-        """Take banned and inactive nodes out; out and in again, those that are to be retried."""
+        """Take banned and inactive nodes out, and those to be retried out and in again."""
         pools = prepared.pools
         excluded = prepared.applied.state["bans"].keys() | prepared.change.inactive_nodes
         for key in sorted(prepared.change.retried_nodes - excluded):
@@ -285,13 +285,13 @@
         }
 
     def stop_listening(self) -> None:
-        """Accept no more clients, whatever is applied later; open connections are served on."""
+        """Accept no more clients, whatever is applied later; open connections stay served."""
         self.stopping = True
         for listener in self.listeners.values():
             listener.close()
 
 
-# --- The file's values as the core's
+# --- Conversion of the file's values to the core's
 
 
 def resource_limits(gateway: GatewayPart, longest_deadline: int) -> ResourceLimits:
@@ -308,8 +308,8 @@
 
 
 def _is_same_instance(old: Object, new: Object) -> bool:
-    """Return whether a node is the same instance: another weight or zone does not make it new.
+    """Return whether a node is the same instance: a changed weight or zone does not make it new.
 
-    Another cell does, as each cell remembers idempotency keys by itself.
+    A changed cell does, as each cell keeps its own idempotency keys.
     """
     return bool(old["address"] == new["address"] and old["cell"] == new["cell"])
--- a/sailhitch/daemon/version_applier.py
+++ b/sailhitch/daemon/version_applier.py
@@ -1,7 +1,7 @@
 """Applies the versions that the tier has chosen to this process, and confirms them to the member.
 
-A pending version is combined with the active one (`rules`): the process serves by the combination
-until all members have applied it.
+A pending version is combined with the active one (`rules`), and the combination is in force until
+all members have applied it.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 APPLY_RETRY: Final = 0.2  # s until a failed apply is retried; doubles with each failure...
 APPLY_RETRY_MAX: Final = 5.0  # ...up to this
-RULE_KINDS: Final = ("routes", "classes", "tenants")  # objects that decide how a request is handled
+RULE_KINDS: Final = ("routes", "classes", "tenants")  # kinds that decide how a request is handled
 
 
 class PoolGates(NamedTuple):
-    """What pools ask before they write."""
+    """Checks that pools make before they write a request to a node."""
 
     may_write: MayWrite
     is_behind: HasUnreadEvent
@@ -40,11 +40,11 @@
 
     active: State
     pending: State | None
-    effective: State  # the active state, combined with the pending one if there is any
+    effective: State  # the active state, combined with the pending one if there is one
 
 
 class VersionApplier:
-    """Applies the newest versions that the member has asked for, one switch at a time."""
+    """Applies the latest versions that the member has requested, one switch at a time."""
 
     def __init__(
         self,
@@ -57,10 +57,10 @@
     ) -> None:
         self.link = link
         self.state_applier = state_applier
-        self.listeners: Mapping[str, Any] = {}  # this process's own, which no version has
+        self.listeners: Mapping[str, Any] = {}  # of this process; versions have none
         self.base = AppliedState(0, 0, "nobody", state_applier.applied.state)
-        self.applied_event = asyncio.Event()  # set, and replaced, after each apply
-        # Counts switches after which requests read before must not be sent by the older rules.
+        self.applied_event = asyncio.Event()  # set and replaced after each apply
+        # Counts switches after which requests read under older rules must not be sent any more.
         self.rules_revision = 0
         self._states = states
         self._zones = zones
@@ -71,23 +71,23 @@
         self._applied_versions: AppliedVersions | None = None
 
     def on_apply(self, versions: AppliedVersions) -> None:
-        """Apply these versions, after the switch that is under way if there is one."""
+        """Apply these versions, after the current switch if one is running."""
         self._next_versions = versions
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._apply_pending())
 
     def install_gates(self) -> None:
-        """Have every pool ask before it writes a request to a node."""
+        """Have every pool make the checks before it writes a request to a node."""
         for pool in self.state_applier.core.pools:
             pool.may_write = self._gates.may_write
             pool.has_unread_event = self._gates.is_behind
 
     async def _apply_pending(self) -> None:
-        """Apply what was asked for last; retry where that fails, until there is something newer.
+        """Apply the latest requested versions; retry a failure until there are newer ones.
 
-        The member asks for each revision once. Without the retry, a process whose disk fails at
-        that moment would stay behind, and reject what is not idempotent, until the next change or
-        a restart.
+        The member requests each revision once. Without the retry, a process whose disk fails at
+        that moment would stay behind, and reject requests that are not idempotent, until the next
+        change or a restart.
         """
         pause = APPLY_RETRY
         try:
@@ -104,20 +104,20 @@
             self._task = None
 
     async def _apply(self, versions: AppliedVersions) -> bool:
-        """Apply these versions, and confirm them once nothing is served by older ones.
+        """Apply these versions, and confirm them once no older ones are in use.
 
         Returns:
-            Whether it could be done.
+            Whether they are applied.
         """
         last = self._applied_versions
         is_same = last is not None and last._replace(revision=versions.revision) == versions
         if not is_same:
             try:
                 await self._switch(versions)
-            except Exception as error:  # no fault of any kind may count as a confirmation
+            except Exception as error:  # no kind of failure may count as a confirmation
                 self.link.report_apply_failure(versions.revision, str(error))
                 self._log.write_limited(
-                    "switch", f"tier: turn {versions.revision} can't be acted by: {error}"
+                    "switch", f"tier: turn {versions.revision} can't be applied: {error}"
                 )
                 return False
         self._applied_versions = versions
@@ -155,7 +155,7 @@
         self._log.write(_describe(versions))
 
     async def _resolve(self, versions: AppliedVersions) -> ResolvedVersions:
-        """Read the versions' states, in threads as they may be large."""
+        """Read the versions' states, in threads because they may be large."""
         member = self.link.member
         assert member is not None
         contents = member.contents
@@ -167,12 +167,12 @@
         return ResolvedVersions(active, pending, effective)
 
     def _changes_rules(self, resolved: ResolvedVersions) -> bool:
-        """Return whether requests that were read by the rules until now are in doubt."""
+        """Return whether requests that were read under the current rules may be affected."""
         others = [self.state_applier.applied.state]
         if resolved.pending is not None:
             others.append(resolved.pending)
         effective = resolved.effective
-        # By identity first: a mapping that two states share is not compared item by item.
+        # Identity first: a mapping that two states share is not compared item by item.
         return any(
             other[kind] is not effective[kind] and other[kind] != effective[kind]
             for kind in RULE_KINDS
@@ -180,7 +180,7 @@
         )
 
     def _is_persistent(self, versions: AppliedVersions) -> bool:
-        """Return whether these versions are to hold after a restart: new ones, none pending."""
+        """Return whether to write these versions to disk: only new ones with none pending."""
         last = self._applied_versions
         if versions.pending is not None:
             return False
@@ -188,7 +188,7 @@
 
 
 def _version_stamp(versions: AppliedVersions) -> bytes:
-    """Return the field that attempts under these versions carry."""
+    """Return the header field that attempts carry under these versions."""
     stamp = f"Tier-Version: {versions.active.serial}"
     if versions.pending is not None:
         stamp += f", {versions.pending.serial}"
@@ -196,10 +196,10 @@
 
 
 def _describe(versions: AppliedVersions) -> str:
-    """Return the log line of applied versions; `benchmarks/scale/processes.py` reads it."""
+    """Return the log line of applied versions; `benchmarks/scale/processes.py` parses it."""
     line = f"tier: turn {versions.revision}: serial {versions.active.serial}"
     if versions.pending is not None:
-        line += f", met with pending {versions.pending.serial}"
+        line += f", combined with pending {versions.pending.serial}"
     if versions.traffic_policy is not None:
-        line += f", zones by {versions.traffic_policy.serial}"
+        line += f", traffic policy {versions.traffic_policy.serial}"
     return line
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_rig.py
@@ -340,8 +340,8 @@
     ("line", "serial"),
     [
         ("10:00:00.000 d1 tier: turn 7: serial 12", 12),
-        ("10:00:00.000 d1 tier: turn 7: serial 12, met with pending 13", 12),
-        ("10:00:00.000 d1 tier: turn 7 can't be acted by: serial 12", None),
+        ("10:00:00.000 d1 tier: turn 7: serial 12, combined with pending 13", 12),
+        ("10:00:00.000 d1 tier: turn 7 can't be applied: serial 12", None),
         ("10:00:00.000 d1 serial 3 (nobody), 4 nodes; ready", None),
     ],
 )
