--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -1,7 +1,7 @@
-"""Sources of states: who decides which state a daemon applies.
+"""Sources of states: they decide which state a daemon applies.
 
-A daemon has one. `LocalStateSource` decides alone, by requests on its admin socket and by SIGHUP;
-`TierStateSource` decides with the other members. The state applier knows neither.
+A daemon has one source. `LocalStateSource` decides alone, on requests to its admin socket and on
+SIGHUP; `TierStateSource` decides with the other members. The state applier depends on neither.
 """
 
 from __future__ import annotations
@@ -17,33 +17,33 @@
 
 
 class StillPendingError(Exception):
-    """A change was decided, and is not active within its time: it waits for members."""
+    """A change was decided but is not active in time: it waits for members."""
 
     def __init__(self, serial: int, waiting_for: list[str]) -> None:
-        names = ", ".join(waiting_for) or "nobody; it is about to be"
-        super().__init__(f"serial {serial} is decided and not active yet; it waits for {names}")
+        names = ", ".join(waiting_for) or "no member any more"
+        super().__init__(f"serial {serial} is decided but not active yet; it waits for {names}")
         self.serial = serial
         self.waiting_for = waiting_for
 
 
 class StateSource(Protocol):
-    """Where decided states come from."""
+    """Decides on states and has them applied."""
 
     @property
     def owner(self) -> str:
-        """Return the name that plans are made for."""
+        """Return the name of the owner that plans are made for."""
 
     def base(self) -> AppliedState:
         """Return the decided state that the next plan is made against."""
 
     def identity(self, state: State) -> str:
-        """Return what a plan names a state by; call it in a thread, it may hash the whole state."""
+        """Return a state's identity in plans; call in a thread, it may hash the whole state."""
 
     async def start(self, file: OperatorFile) -> AppliedState:
         """Apply the state that is in force; raises StoreError or ApplyError."""
 
     def history(self) -> list[HistoryRecord]:
-        """Return the states that were in force, oldest first; the present one is the last."""
+        """Return the states that were in force, oldest first; the current one is the last."""
 
     def at(self, serial: int) -> AppliedState:
         """Return a state that was in force; raises StoreError."""
@@ -55,11 +55,11 @@
         """Apply an operator file; raises ApplyError."""
 
     async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> AppliedState:
-        """Ban a node (`pool/id`), or (None) lift its ban; raises as `apply_plan`."""
+        """Ban a node (`pool/id`), or (None) lift its ban; raises as `apply_plan` does."""
 
 
 class Identities:
-    """Identities of states whose tree's root is not known; the last one is cached."""
+    """Computes identities of states whose tree root is unknown; the last one is cached."""
 
     def __init__(self) -> None:
         self._last: tuple[State, str] | None = None
@@ -91,13 +91,13 @@
         return self.state_applier.applied
 
     def identity(self, state: State) -> str:
-        """Return what a plan names a state by."""
+        """Return a state's identity in plans."""
         store = self.state_applier.store
         root = None if store is None else store.root_of(state)
         return self._identities.of(state) if root is None else ROOT_PREFIX + root
 
     async def start(self, file: OperatorFile) -> AppliedState:
-        """Apply the state that was in force last, or the file's at the very first start."""
+        """Apply the state that was in force last, or the file's at the first start."""
         applier = self.state_applier
         async with self._deciding:
             last = None if applier.store is None else applier.store.last()
@@ -133,7 +133,7 @@
         )
 
     async def apply_file(self, file: OperatorFile, by: str) -> AppliedState:
-        """Apply an operator file, with the bans as they are; raises ApplyError."""
+        """Apply an operator file, leaving the bans unchanged; raises ApplyError."""
         async with self._deciding:
             state = with_bans(from_file(file), self.state_applier.applied.state)
             return await self._apply(state, by)
@@ -160,4 +160,4 @@
     for applied in applier.history:
         if applied.serial == serial:
             return applied
-    raise StoreError(f"serial {serial}: not known; `sailhitch history` shows what is")
+    raise StoreError(f"serial {serial}: not known; `sailhitch history` shows the known ones")
--- a/sailhitch/daemon/tier_changes.py
+++ b/sailhitch/daemon/tier_changes.py
@@ -1,4 +1,4 @@
-"""Changes that operators ask for: proposes a state to the tier, and waits until it is active."""
+"""Operators' changes in a tier: proposes a state, and waits until it is active."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
         self._states = states
 
     async def propose(self, state: State, operator: str) -> AppliedState:
-        """Propose a state, and return it once it is active here.
+        """Propose a state, and return it once this process has applied it as active.
 
         Raises:
-            ApplyError: The state was not proposed, not decided or withdrawn.
+            ApplyError: The state was not proposed, was not decided, or was withdrawn.
             MovedError: Another version became active first, or is pending.
-            StillPendingError: The state is decided, and waits for members.
+            StillPendingError: The state is decided but waits for members.
         """
         base = self._applier.base
         state = {**state, "listeners": {}}
@@ -44,7 +44,8 @@
         if status is not MemberStatus.ACTIVE:
             raise ApplyError(f"this gateway {status.value}; ask another one")
         if state == base.state:
-            # The version applied here may be out of date, and "nothing to do" untrue.
+            # The version applied here may be outdated, so the register is read before reporting
+            # that there is nothing to do.
             _check_unmoved(base, (await wait_for_decision(self.link, Member.read)).state)
             return base
         completed = await self._propose_from(base, state, operator)
@@ -63,7 +64,7 @@
         def propose(member: Member) -> int:
             try:
                 return member.propose(tree, base.serial, must_wait, operator, proposed_at)
-            except ValueError:  # the base's pages were released: another version is active by now
+            except ValueError:  # the base's pages were released as another version became active
                 raise MovedError(base.serial, _known_serial(member)) from None
 
         return await wait_for_decision(self.link, propose)
@@ -78,7 +79,7 @@
             raise ApplyError(f"the state can't be proposed: {error}") from None
 
     async def _wait_until_active(self, version: Version) -> AppliedState:
-        """Wait until this process has applied a version as active, or it is given up."""
+        """Wait until this process has applied a version as active; raises why if it is not."""
         try:
             async with asyncio.timeout(self.part.agree_within / 1e6):
                 while self._applier.base.serial < version.serial:
@@ -86,14 +87,14 @@
         except TimeoutError:
             raise self._not_active_error(version.serial) from None
         if self._applier.base.serial != version.serial:
-            raise ApplyError(f"serial {version.serial} is not what holds; see `sailhitch history`")
+            raise ApplyError(f"serial {version.serial} is not active; see `sailhitch history`")
         return self._applier.base
 
     def _not_active_error(self, serial: int) -> ApplyError | StillPendingError:
-        """Return why a decided version is not active here in time.
+        """Return the error for a decided version that is not active here in time.
 
         A version that is active elsewhere must not be reported as withdrawn: the operator would
-        ask for it again.
+        request it again.
         """
         member = self.link.member
         assert member is not None
@@ -105,19 +106,19 @@
             return ApplyError(f"serial {serial} was withdrawn")
         active = "it" if register.active.serial == serial else f"serial {register.active.serial}"
         return ApplyError(
-            f"serial {serial} is not pending any more: {active} is active, and this gateway does "
-            "not go by that yet; do not ask again before `sailhitch tier status` and `sailhitch "
-            "history` show what holds"
+            f"serial {serial} is not pending any more: {active} is active, and this gateway has "
+            "not applied that yet; do not repeat the change before `sailhitch tier status` and "
+            "`sailhitch history` show what is active"
         )
 
 
 def _check_unmoved(base: AppliedState, register: RegisterState) -> None:
-    """Raise MovedError where another version than the base is active, or one is pending."""
+    """Raise MovedError if a version other than the base is active, or one is pending."""
     if register.active.serial != base.serial or register.pending is not None:
         pending = None if register.pending is None else register.pending.serial
         raise MovedError(base.serial, register.active.serial, pending)
 
 
 def _known_serial(member: Member) -> int:
-    """Return the serial of the active version that a member knows of, 0 if none."""
+    """Return the serial of the active version that a member knows of, or 0."""
     return 0 if member.chosen is None else member.chosen.state.active.serial
--- a/sailhitch/daemon/tier_commands.py
+++ b/sailhitch/daemon/tier_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands of `sailhitch tier`: status, withdraw, evict and join."""
+"""Operators' `sailhitch tier` commands: status, withdraw, evict and join."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from .tier_decisions import wait_for_decision
 from .tier_link import TierLink, steady
 
-_REGISTER_UNKNOWN = "this gateway has not heard what holds yet; try again"
-_CONFIGURATION_CHANGED = "the roster has changed meanwhile; look again"
+_REGISTER_UNKNOWN = "this gateway has not read the tier's register yet; try again"
+_CONFIGURATION_CHANGED = "the tier's configuration has changed meanwhile; check it and try again"
 
 
 class TierCommands:
-    """Carries out operators' commands on the tier's register and configuration."""
+    """Executes operators' commands on the tier's register and configuration."""
 
     def __init__(self, part: TierPart, link: TierLink, intake: RoutedIntake) -> None:
         self.part = part
@@ -28,7 +28,7 @@
         self._intake = intake
 
     async def withdraw(self) -> dict[str, Any]:
-        """Withdraw the pending version; raises ApplyError where there is none."""
+        """Withdraw the pending version; raises ApplyError if there is none."""
         member = self.link.member
         pending = None if member is None or member.chosen is None else member.chosen.state.pending
         if pending is None:
@@ -39,7 +39,7 @@
         return {"ok": True, "withdrawn": pending.serial}
 
     async def evict(self, name: str) -> dict[str, Any]:
-        """Have changes wait for a member no more; raises ApplyError where it was alive lately."""
+        """Stop changes from waiting for a member; raises ApplyError if it was alive recently."""
         member = self.link.member
         if member is None:
             raise ApplyError(_REGISTER_UNKNOWN)
@@ -54,7 +54,8 @@
     async def join(self, name: str, address: str) -> dict[str, Any]:
         """Add a member, or its new address, to the configuration; raises ApplyError.
 
-        A member that is alive is rejected: of two processes under one name neither would serve.
+        A member that is alive is rejected: two processes with the same name would both stop
+        serving.
         """
         _check_member(name, address)
         member = self.link.member
@@ -72,12 +73,12 @@
         if reason:
             raise ApplyError(f"{name!r}: {reason}")
         if name not in known and len(known) >= MOST_MEMBERS:
-            raise ApplyError(f"a tier has {MOST_MEMBERS} members at most")
+            raise ApplyError(f"a tier has at most {MOST_MEMBERS} members")
         owners = {taken: owner for owner, taken in member.configuration.addresses.items()}
         for owner, (host, port) in self.link.addresses.items():
             owners[f"{host}:{port}"] = owner
         if owners.get(address, name) != name:
-            raise ApplyError(f"{address}: is where {owners[address]!r} is")
+            raise ApplyError(f"{address}: is the address of {owners[address]!r}")
 
     def status(self) -> dict[str, Any]:
         """Return the reply to `tier status`."""
@@ -100,7 +101,7 @@
 
 
 def _fetch_record(member: Member, now: int) -> FetchRecord | None:
-    """Return what has been fetched for longest, None for nothing."""
+    """Return the oldest fetch in progress, or None."""
     fetch = member.contents.oldest_fetch()
     if fetch is None:
         return None
@@ -113,7 +114,7 @@
 
 
 def _check_member(name: str, address: str) -> None:
-    """Raise ApplyError for a name or an address that the operator file would not take either."""
+    """Raise ApplyError for a name or an address that is not valid in the operator file."""
     try:
         TierMemberPart(name=name, address=address)
     except ValidationError as error:
--- a/sailhitch/daemon/tier_decisions.py
+++ b/sailhitch/daemon/tier_decisions.py
@@ -1,4 +1,4 @@
-"""Jobs that the tier decides, and the time that an operator waits for a decision."""
+"""Runs jobs that the tier decides, with a time limit for operators' requests."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     except TimeoutError:
         raise ApplyError(
             f"not decided within {DECISION_TIMEOUT:g} s, as no majority of the voters answers; "
-            "it may still be: `sailhitch tier status` shows it"
+            "it may still be decided: `sailhitch tier status` shows it"
         ) from None
     if completed is None:
-        raise ApplyError("this gateway has not heard what holds yet; try again")
+        raise ApplyError("this gateway has not read the tier's register yet; try again")
     return completed
--- a/sailhitch/daemon/tier_link.py
+++ b/sailhitch/daemon/tier_link.py
@@ -1,9 +1,9 @@
 """A member's link to the others: socket, disk and heartbeat timer around the sans-IO member.
 
-Effects are carried out in the order in which the member asks for them, each after all writes that
+Effects are executed in the order in which the member requests them, each after all writes that
 precede it are on disk. The disk is written in a thread, one transaction at a time. While a write
-fails, the member neither sends nor applies anything in the tier, and the gateway serves on as it
-did. The write is retried until it succeeds, and then the effects behind it are carried out.
+fails, the member neither sends nor applies anything in the tier, and the gateway continues to serve
+as before. The write is retried until it succeeds, and then the effects behind it are executed.
 """
 
 from __future__ import annotations
@@ -45,14 +45,14 @@
 from .endpoint_registry import address_of
 
 HEARTBEAT_INTERVAL: Final = 0.1  # s
-# us by which a heartbeat may be late before waiting datagrams are read ahead of it
+# us by which a heartbeat may be late; after that, waiting datagrams are read before it runs
 STALLED_AFTER: Final = 40_000
 READ_FIRST: Final = 0.001  # s that the event loop gets to read them
 REJECTED_LOG_INTERVAL: Final = 5.0  # s between two log lines about rejected datagrams
-WRITE_RETRY: Final = 0.1  # s until a write that failed is tried again; doubles with each failure...
+WRITE_RETRY: Final = 0.1  # s until a failed write is retried; doubles with each failure...
 WRITE_RETRY_MAX: Final = 2.0  # ...up to this
 
-MemberJob = Callable[[Member], int | None]  # starts a job; its number, None where it can't start
+MemberJob = Callable[[Member], int | None]  # starts a job; returns its number, None if it can't
 ApplyCallback = Callable[[AppliedVersions], None]
 HeartbeatCallback = Callable[[], None]
 StallCallback = Callable[[], object]  # its result is ignored
@@ -60,7 +60,7 @@
 
 
 def steady() -> int:
-    """Return microseconds of the monotonic clock that includes suspended time."""
+    """Return the microseconds of the monotonic clock that includes time in suspend."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
@@ -84,13 +84,13 @@
         """Open the member's disk.
 
         Args:
-            config: The member's place in the tier.
-            addresses: Where members are, as the operator file has it.
+            config: The member's settings in the tier.
+            addresses: The members' addresses in the operator file.
             keys: Keys of the tier's datagrams.
-            folder: Where the member's disk is.
-            on_apply: Is given the versions that this process is to apply.
+            folder: The directory of the member's disk.
+            on_apply: Called with the versions that this process is to apply.
             log: Writes a line to the log.
-            on_heartbeat: Is called after each heartbeat.
+            on_heartbeat: Called after each heartbeat.
 
         Raises:
             DiskError: The disk can't be opened or read.
@@ -100,13 +100,13 @@
         self.on_apply = on_apply
         self.log = log
         self.on_heartbeat = on_heartbeat
-        self.on_stall: StallCallback | None = None  # called before the heartbeat after a stall
+        self.on_stall: StallCallback | None = None  # called after a stall, before the heartbeat
         self.boot = secrets.randbits(48)
         self.wire = Wire(keys, config.name, self.boot)
         self.disk = Disk(folder)
         self.kept = self.disk.load()
         self.member: Member | None = None
-        self.disk_is_failing = ""  # why it sends nothing in the tier: the last failure of its disk
+        self.disk_is_failing = ""  # the last failure of the disk, while nothing is sent for it
         self.sent = 0  # datagrams
         self.sent_bytes = 0
         self._addresses: dict[str, Address] = {}  # addresses by their text in the configuration
@@ -116,17 +116,17 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._heartbeat_handle: asyncio.TimerHandle | None = None
         self._heartbeat_due = 0  # by `steady`
-        self.unsent: dict[str, int] = {}  # datagrams that the system refused to send, by error
+        self.unsent: dict[str, int] = {}  # datagrams that the system failed to send, by error
         self._logged_rejected: dict[str, int] = {}
         self._rejected_logged_at = 0.0
 
     @property
     def has_persisted_state(self) -> bool:
-        """Whether the register's state is on this disk."""
+        """Whether a state of the register was on this disk at the start."""
         return CHOSEN_KEY in self.kept
 
     def persisted_traffic_policy(self) -> bytes | None:
-        """Return the encoded traffic policy that was in force last, by this disk."""
+        """Return the encoded traffic policy that was in force last, if this disk has it."""
         if not self.has_persisted_state:
             return None
         version = msgspec.msgpack.decode(
@@ -159,7 +159,7 @@
         self._tick()
 
     def close(self) -> None:
-        """Stop at once, without leaving the tier."""
+        """Stop immediately, without leaving the tier."""
         self._heartbeat_due = 0
         if self._heartbeat_handle is not None:
             self._heartbeat_handle.cancel()
@@ -169,24 +169,24 @@
             self.disk.close()
 
     def overdue(self) -> int:
-        """Return by how many microseconds the heartbeat is late: the event loop stalled so long.
+        """Return by how many microseconds the heartbeat is late: how long the event loop stalled.
 
-        It is 0 before the start and once the link is closed.
+        This is 0 before the start and after the link is closed.
         """
         return max(0, steady() - self._heartbeat_due) if self._heartbeat_due else 0
 
     def has_confirmed(self, revision: int) -> bool:
-        """Return whether this process applies the versions of a revision, or later ones."""
+        """Return whether this process has applied the versions of a revision, or later ones."""
         return self.member is not None and self.member.confirmed_revision >= revision
 
     def member_status(self) -> MemberStatus:
-        """Return the member's status at this moment."""
+        """Return the member's current status."""
         if self.member is None:
             return MemberStatus.READING_REGISTER
         return self.member.member_status(steady())
 
     async def run_job(self, start: MemberJob) -> JobCompleted | None:
-        """Start a job on the member, and wait for its end; None where it can't start now."""
+        """Start a job on the member, and wait until it completes; None if it can't start now."""
         assert self.member is not None
         job = start(self.member)
         if job is None:
@@ -213,20 +213,20 @@
     # --- The socket
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport: asyncio calls this once the socket is bound."""
+        """Store the transport; asyncio calls this once the socket is bound."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Give the member an authentic message of a member that it knows."""
+        """Pass an authentic message from a known member to this member."""
         envelope = self.wire.open(data)
-        # A sender is known by its key, from any address; replies go to its configured address.
+        # The key identifies a sender, at any address; replies go to its configured address.
         if envelope is None or self.member is None or self._address(envelope.sender) is None:
             return
         self.member.on_message(envelope.sender, envelope.message, steady())
         self._pump()
 
     def error_received(self, exc: Exception) -> None:
-        """Count a datagram that the system did not send; to the member it is lost."""
+        """Count a datagram that the system did not send; the member treats it as lost."""
         reason = errno.errorcode.get(getattr(exc, "errno", None) or 0, "unknown")
         self.unsent[reason] = self.unsent.get(reason, 0) + 1
 
@@ -253,9 +253,10 @@
     # --- The heartbeat
 
     def _on_heartbeat_timer(self) -> None:
-        """Run a heartbeat, or first have datagrams read if the event loop was stalled.
+        """Run a heartbeat; after a stall of the event loop, have datagrams read before it.
 
-        The loop runs timers before sockets: members whose replies lie unread would be suspected.
+        The loop runs timers before sockets: members whose replies are not read yet would be
+        suspected.
         """
         if self.overdue() <= STALLED_AFTER:
             self._tick()
@@ -286,12 +287,12 @@
             self._rejected_logged_at = now
             self._logged_rejected = counts
             text = " ".join(f"{reason}={count}" for reason, count in sorted(counts.items()))
-            self.log(f"tier: datagrams refused, by this member or (E...) by the system: {text}")
+            self.log(f"tier: datagrams rejected by this member or (E...) by the system: {text}")
 
     # --- Effects
 
     def _pump(self) -> None:
-        """Carry out what the member has asked for, up to the next write to disk."""
+        """Execute the member's pending effects, up to the next write to disk."""
         assert self.member is not None
         self._effects.extend(self.member.take_effects())
         if self.disk_is_failing:
@@ -310,10 +311,10 @@
                 self._execute(effect)
 
     async def _write(self, items: dict[str, bytes | None]) -> None:
-        """Write items to disk, retrying while that fails; then carry out the effects behind them.
+        """Write items to disk, retrying while that fails; then execute the effects behind them.
 
-        The member counts its own vote before it is synced. All that it then sends, applies or
-        replies to an operator relies on that vote, and is valid only after the sync.
+        The member counts its own vote before the vote is synced. Everything that it then sends,
+        applies or replies to an operator relies on that vote, and is valid only after the sync.
         """
         pause = WRITE_RETRY
         while not await self._try_write(items):
@@ -333,11 +334,11 @@
             await asyncio.to_thread(self.disk.write, items)
         except DiskError as error:
             if not self.disk_is_failing:
-                self.log(f"tier: silent while its disk can't be written: {error}")
+                self.log(f"tier: sending nothing while the disk can't be written: {error}")
             self.disk_is_failing = str(error)
             return False
         if self.disk_is_failing:
-            self.log("tier: its disk is written again")
+            self.log("tier: the disk can be written again")
         self.disk_is_failing = ""
         return True
 
--- a/sailhitch/daemon/tier_source.py
+++ b/sailhitch/daemon/tier_source.py
@@ -1,8 +1,8 @@
-"""The tier as a source of states: what the gateways have agreed on.
+"""The tier as a source of states: the states that the gateways have agreed on.
 
-The tier's state is a gateway's without its listeners, which each process has for itself. The
-versions that the tier chooses are applied by `VersionApplier`. Two gates reject what this process
-may not do in its present status: one when a request is read, one when it is written to its node.
+The tier's state has no listeners: each process has its own. The versions that the tier chooses are
+applied by `VersionApplier`. Two checks reject what this process may not do in its current status:
+one when a request is read, one when it is written to its node.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 NOT_IN_FORCE: Final = come_back(
     b"this gateway is not sure of the rules that hold; another one may be\n"
 )
-LEAVE_TIMEOUT: Final = 1.0  # s that a drain gives to leaving
+LEAVE_TIMEOUT: Final = 1.0  # s that a drain waits for leaving the tier
 
 
 class TierStateSource:
@@ -64,8 +64,8 @@
             state_applier: Applies states to this process.
             part: The file's `[tier]`.
             keys: Keys of the tier's datagrams.
-            folder: Where the member's disk is.
-            own_store: What this daemon decided alone, before it had a tier.
+            folder: The directory of the member's disk.
+            own_store: The states that this daemon decided alone, before it had a tier.
             log: The process's log.
             zones: The file's `[zones]`.
 
@@ -99,7 +99,7 @@
 
     @property
     def owner(self) -> str:
-        """The tier's name, as plans have it."""
+        """The tier's name, as it appears in plans."""
         return f"tier {self.part.name}"
 
     def base(self) -> AppliedState:
@@ -107,13 +107,13 @@
         return self.version_applier.base
 
     def identity(self, state: State) -> str:
-        """Return the identity that plans name a state by."""
+        """Return a state's identity in plans."""
         return self._states.identity(state)
 
     # --- Starting and leaving
 
     async def start(self, file: OperatorFile) -> AppliedState:
-        """Serve by the last known state, as far as that is allowed, and join the tier."""
+        """Apply the last known state, restricted to what is allowed, and join the tier."""
         file_state = from_file(file)
         listeners = file_state["listeners"]
         self.version_applier.listeners = listeners
@@ -136,7 +136,7 @@
     def _first_start(self, file_state: State) -> tuple[BootstrapVersion, StateChange]:
         """Return the version to bootstrap a new tier with, and the change to its state.
 
-        It is what this daemon decided alone last, else what its file says.
+        The state is the last one that this daemon decided alone, or else the file's.
         """
         state = file_state
         serial = 1
@@ -174,18 +174,18 @@
             async with asyncio.timeout(LEAVE_TIMEOUT):
                 await self.link.run_job(Member.leave)
         except TimeoutError:
-            self.log.write("tier: could not say that it leaves; changes wait for it")
+            self.log.write("tier: leaving was not confirmed in time; changes wait for this member")
 
-    # --- What this process may do
+    # --- Checks of requests
 
     def _gate(self, effect: str) -> Response | None:
-        """Return the response that rejects a request when it is read, None to admit it."""
+        """Return the response that rejects a request when it is read, or None to admit it."""
         if effect == Idempotency.SAFE or self.link.member_status() is MemberStatus.ACTIVE:
             return None
         return NOT_IN_FORCE
 
     def _may_write(self, attempt: Attempt) -> bool:
-        """Return whether the rules at this moment allow what was chosen under earlier ones."""
+        """Return whether the current rules allow an attempt that was chosen under earlier ones."""
         request = attempt.request
         pool = request.pool
         if pool is None or pool.maintenance.is_out(attempt.server):
@@ -212,7 +212,7 @@
             self._member_status = status
             self.log.write(f"tier: {status.value}: {status.reason}")
 
-    # --- What operators ask for
+    # --- Operators' requests
 
     def history(self) -> list[HistoryRecord]:
         """Return the versions that were active, oldest first."""
@@ -240,10 +240,12 @@
 
     async def apply_file(self, file: OperatorFile, by: str) -> AppliedState:
         """Raise ApplyError: a tier's state does not come from one gateway's file."""
-        raise ApplyError("in a tier a file is not applied by SIGHUP: `sailhitch plan`, and `apply`")
+        raise ApplyError(
+            "in a tier SIGHUP does not apply the file: use `sailhitch plan` and `sailhitch apply`"
+        )
 
     async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> AppliedState:
-        """Propose that a node is banned, or (None) not any more; raises as `apply_plan`."""
+        """Propose to ban a node, or (None) to lift its ban; raises as `apply_plan` does."""
         return await self.changes.propose(banned(self.base().state, node, ban), by)
 
     async def withdraw(self) -> dict[str, Any]:
@@ -251,7 +253,7 @@
         return await self.commands.withdraw()
 
     async def evict(self, name: str) -> dict[str, Any]:
-        """Have changes wait for a member no more; raises ApplyError."""
+        """Stop changes from waiting for a member; raises ApplyError."""
         return await self.commands.evict(name)
 
     async def join(self, name: str, address: str) -> dict[str, Any]:
--- a/sailhitch/daemon/zone_coordinator.py
+++ b/sailhitch/daemon/zone_coordinator.py
@@ -1,7 +1,7 @@
-"""Zones in the daemon: operators' commands, recoveries step by step, and the nodes they mean.
+"""Zones in the daemon: operators' commands, stepwise recoveries, and the nodes that they affect.
 
-The traffic policy is a record of the tier beside its versions. `VersionApplier` applies it with its
-switch; `zones/controller.py` decides what to report and to propose.
+The traffic policy is a record of the tier beside its versions. `VersionApplier` applies it as part
+of its switch; `zones/controller.py` decides what to report and to propose.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from .tier_decisions import wait_for_decision
 from .tier_link import TierLink, steady
 
-MAX_NAMED: Final = 8  # members that are named in a reply as not having applied an order
+MAX_NAMED: Final = 8  # members listed in a reply as not having applied an order
 
 _UNREMARKABLE: Final = {ZoneCondition.HEALTHY, ZoneCondition.UNKNOWN}
 
@@ -49,7 +49,7 @@
 
 
 class ZoneCoordinator:
-    """A daemon's part in zones. Without `[zones]` it applies orders, and does no more."""
+    """Manages zones for a daemon. Without `[zones]` in the file it only applies orders."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         gateway: GatewayPart,
         agree_within: int,
     ) -> None:
-        """Create the coordinator; an operator's order is waited for up to `agree_within` us."""
+        """Create the coordinator; an operator waits up to `agree_within` us for an order."""
         self.link = link
         self.state_applier = state_applier
         self.agree_within = agree_within
@@ -78,7 +78,7 @@
     # --- With the switch
 
     def read(self, version: Version | None) -> TrafficPolicy:
-        """Return the traffic policy of a version; raises ApplyError where it is invalid."""
+        """Return the traffic policy of a version; raises ApplyError if it is invalid."""
         if version is None:
             return EMPTY_POLICY
         member = self.link.member
@@ -89,7 +89,7 @@
             raise ApplyError(str(error)) from None
 
     def inactive_nodes_at_start(self, state: State) -> frozenset[str]:
-        """Return the nodes that are inactive by the last known policy: until the tier is read."""
+        """Return the nodes that the last known policy makes inactive, until the tier is read."""
         content = self.link.persisted_traffic_policy()
         try:
             if content is None:
@@ -97,12 +97,12 @@
             return self.node_orders(decode(content), state).inactive
         except TrafficPolicyError as error:
             self.state_applier.core.logger.write(
-                f"zones: not gone by until the tier is heard: {error}"
+                f"zones: last known traffic policy ignored until the tier is read: {error}"
             )
             return frozenset()
 
     def node_orders(self, traffic_policy: TrafficPolicy, state: State) -> NodeOrders:
-        """Return what a policy means for the nodes of a state."""
+        """Return the nodes of a state that a policy makes inactive or has retried."""
         if not traffic_policy.zones:
             return NodeOrders(frozenset(), frozenset())
         nodes = _by_pool(state)
@@ -112,7 +112,7 @@
         )
 
     def apply(self, version: Version | None, traffic_policy: TrafficPolicy) -> None:
-        """Follow a switch: apply the traffic policy to the controller, and watch the pools."""
+        """After a switch, apply the traffic policy to the controller and observe the pools."""
         state = self.state_applier.applied.state
         instances = self.state_applier.endpoints.nodes
         serial = 0 if version is None else version.serial
@@ -144,7 +144,7 @@
     # --- Reports and proposals
 
     def on_heartbeat(self) -> None:
-        """Send a report and propose what is due; the controller says when (some times a second)."""
+        """Report, and propose what is due, when the controller says so (a few times a second)."""
         member = self.link.member
         if member is None:
             return
@@ -161,7 +161,7 @@
         proposal = self.controller.next_proposal(now, received)
         if proposal is not None:
             self.state_applier.core.logger.write(
-                f"zones: {proposal.reason}; proposes the next step"
+                f"zones: {proposal.reason}; proposing the next step"
             )
             self._proposal = asyncio.get_running_loop().create_task(
                 self._propose(proposal.traffic_policy, proposal.reason)
@@ -177,7 +177,7 @@
             self._conditions[zone] = condition
             self.state_applier.core.logger.write_limited(
                 f"zone {zone} {condition.value}",
-                f"zones: {zone} is taken for: {condition.value} "
+                f"zones: {zone} is diagnosed as: {condition.value} "
                 f"({finding.confidence:.0%} agree): {finding.description}",
             )
 
@@ -198,13 +198,13 @@
             lambda m: m.propose_traffic_policy(traffic_policy.encode(), base, by, proposed_at),
         )
         if completed.result is not ProposalResult.ACTIVE or completed.state.traffic_policy is None:
-            raise ApplyError("another order about zones came first; look again")
+            raise ApplyError("another order about zones was decided first; check and try again")
         return completed.state.traffic_policy
 
-    # --- What operators ask for
+    # --- Operators' requests
 
     async def admin_request(self, request: Mapping[str, Any], by: str) -> dict[str, Any]:
-        """Carry out `zones status|leave|return|hold|release`; raises ApplyError."""
+        """Execute `zones status|leave|return|hold|release`; raises ApplyError."""
         act = str(request.get("act"))
         zone = str(request.get("zone", ""))
         why = str(request.get("why") or "")
@@ -232,7 +232,7 @@
         return reply
 
     def _load_by_pool(self, wanted: TrafficPolicy) -> dict[str, dict[str, Any]]:
-        """Return, for a dry run, how much more each pool's active nodes would have to serve."""
+        """Return, for a dry run, the load factor of each pool's remaining active nodes."""
         bans = self.state_applier.applied.state["bans"].keys()
         pools = self.controller.nodes
         excluded = inactive_nodes_by_pool(wanted, pools) | bans
