--- a/sailhitch/zones/controller.py
+++ b/sailhitch/zones/controller.py
@@ -1,8 +1,8 @@
 """One gateway's part in draining and recovering zones: what it applies, reports and proposes.
 
-The same controller runs in the daemon and in the fleet model. The tier's decisions come in by
-`apply`, outcomes of this gateway's own requests by `record`, other gateways' reports by `look`.
-Proposals go out as traffic policies, for the tier to decide.
+The same controller runs in the daemon and in the fleet model. `apply` receives the tier's
+decisions, `record` the outcomes of this gateway's own requests, `on_reports` all gateways' reports.
+Proposals are returned as traffic policies, for the tier to decide.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     validate,
 )
 
-REPORT_INTERVAL: Final = 200_000  # us between two reports, and two looks at all reports
+REPORT_INTERVAL: Final = 200_000  # us between two reports, and two evaluations of all reports
 PROPOSAL_SPREAD: Final = 1_000_000  # us over which members' proposals of a step are spread
 MAX_REASON_LENGTH: Final = 200  # characters of an operator's reason
 # us for which a zone must be diagnosed as failed before a gateway proposes to leave it
@@ -34,7 +34,7 @@
 HOUR: Final = 3_600_000_000  # us
 
 ZonesByPool = Mapping[str, Mapping[str, str]]  # the zone of each node, by pool
-EncodedReports = Mapping[str, bytes]  # by the gateway that has sent it
+EncodedReports = Mapping[str, bytes]  # by the gateway that sent it
 
 
 class ReceivedReports(NamedTuple):
@@ -50,7 +50,7 @@
 
     max_out: int  # zones that may be out at a time
     step_duration: int  # minimum duration of a step of a recovery
-    zone: str = ""  # where the gateway is
+    zone: str = ""  # the gateway's own zone
     automatic: bool = False  # whether to propose leaving a failed zone without an operator
     max_leaves_per_hour: int = 4  # without an operator
 
@@ -63,7 +63,7 @@
 
 
 class _StepStart(NamedTuple):
-    """Since when this gateway has applied a step of a zone's recovery."""
+    """When this gateway applied a step of a zone's recovery."""
 
     step: int
     attempt: int
@@ -122,7 +122,7 @@
         return old if old is not None and old[:2] == start[:2] else start
 
     def record(self, node: str, failed: bool, full: bool, now: int) -> None:
-        """Record a request's end at a node; an overloaded node does not count as failed."""
+        """Record a request's outcome at a node; an overloaded node does not count as failed."""
         zone = self.zone_of.get(node)
         if zone is not None:
             self.zone_health.record(node, failed, full, now)
@@ -130,7 +130,7 @@
                 self.outcome_counts.record(zone, failed)
 
     def report(self, now: int) -> tuple[bytes, bool]:
-        """Return the report to send, and whether it is urgent: other nodes fail than before."""
+        """Return the report to send, and whether it is urgent: the failure counts have changed."""
         observations = self.zone_health.observations(self.zone_of, now)
         failures = {zone: each.failed for zone, each in observations.items() if each.failed}
         is_urgent = failures != self._reported_failures
@@ -140,17 +140,17 @@
         )
         return evidence.encode(report), is_urgent
 
-    # --- What the fleet sees
+    # --- Reports and proposals
 
     def is_due(self, now: int) -> bool:
-        """Return whether the next report and look are due; if so, schedule the ones after."""
+        """Return whether the next report and evaluation are due; if so, schedule the following."""
         if now < self._next_report_at:
             return False
         self._next_report_at = now + REPORT_INTERVAL
         return True
 
     def on_reports(self, encoded: EncodedReports) -> ReceivedReports:
-        """Decode all gateways' reports, this one's included, and diagnose the zones by them."""
+        """Decode all gateways' reports, including this one's, and diagnose the zones by them."""
         decoded = {name: evidence.decode(each) for name, each in encoded.items()}
         reports = {name: report for name, report in decoded.items() if report is not None}
         gateways = [GatewayReport(name, r.zone, r.observations) for name, r in reports.items()]
@@ -158,7 +158,7 @@
         return ReceivedReports(list(reports.values()), findings)
 
     def propose_leave(self, now: int, received: ReceivedReports) -> PolicyProposal | None:
-        """Return the policy to propose where a zone has failed.
+        """Return the policy that leaves a failed zone, or None.
 
         It is proposed once the finding has lasted for `MIN_FAILED_TIME` and a random delay.
         """
@@ -181,7 +181,7 @@
                 self._check(wanted, zone)
             except TrafficPolicyError:
                 continue  # the zone stays in use; `status` shows the finding
-            return PolicyProposal(wanted, f"{zone} is gone: {description}")
+            return PolicyProposal(wanted, f"{zone} has failed: {description}")
         return None
 
     def _update_failed_zones(self, now: int, findings: Mapping[str, Finding]) -> None:
@@ -194,7 +194,7 @@
         self._failed_since = {zone: self._failed_since.get(zone, now) for zone in failed}
 
     def next_proposal(self, now: int, received: ReceivedReports) -> PolicyProposal | None:
-        """Return the policy to propose now, None if there is none."""
+        """Return the policy to propose now, or None."""
         leave = self.propose_leave(now, received)
         if leave is not None or self.traffic_policy.hold_reason:
             return leave
@@ -207,20 +207,20 @@
         return None
 
     def age(self, zone: str, now: int) -> int:
-        """Return for how long a zone's step has been applied, less this gateway's random delay."""
+        """Return how long a zone's step has been applied, minus this gateway's random delay."""
         return max(0, now - self._step_starts[zone].at) if zone in self._step_starts else 0
 
-    # --- What operators ask for
+    # --- Operators' requests
 
     def operator_request(
         self, act: str, zone: str, why: str, by: str, step: int | None
     ) -> TrafficPolicy:
-        """Return the policy that an operator's command asks for; raises TrafficPolicyError."""
+        """Return the policy that an operator's command requests; raises TrafficPolicyError."""
         wanted = self._wanted(act, zone, why[:MAX_REASON_LENGTH], by, step)
         self._check(wanted, zone)
         if wanted == self.traffic_policy:
             raise TrafficPolicyError(
-                "nothing to do: that is what holds; see `sailhitch zones status`"
+                "nothing to do: this is already in force; see `sailhitch zones status`"
             )
         return wanted
 
@@ -228,7 +228,7 @@
         validate(wanted, self.zone_of.values(), self.terms.max_out)
         for pool, nodes in self.nodes.items():
             if nodes and len(inactive_nodes(wanted, nodes)) == len(nodes):
-                raise TrafficPolicyError(f"pool {pool!r} has no nodes outside of zone {zone!r}")
+                raise TrafficPolicyError(f"pool {pool!r} has no nodes outside zone {zone!r}")
 
     def _wanted(self, act: str, zone: str, why: str, by: str, step: int | None) -> TrafficPolicy:
         order = self.traffic_policy.zones.get(zone)
@@ -285,7 +285,7 @@
 
 
 def all_retried_nodes(old: TrafficPolicy, new: TrafficPolicy, nodes: ZonesByPool) -> frozenset[str]:
-    """Return the nodes in use that are to be retried as if they had just started."""
+    """Return the active nodes that are to be retried as if they had just started."""
     zones = set(retried_zones(old, new))
     if not zones:
         return frozenset()
@@ -294,7 +294,7 @@
 
 
 def inactive_nodes_by_pool(traffic_policy: TrafficPolicy, nodes: ZonesByPool) -> frozenset[str]:
-    """Return the nodes that get no new requests; a zone's share holds in each pool by itself."""
+    """Return the nodes that get no new requests; a zone's share applies to each pool separately."""
     if not traffic_policy.zones:
         return frozenset()
     return frozenset().union(*(inactive_nodes(traffic_policy, pool) for pool in nodes.values()))
--- a/sailhitch/zones/diagnosis.py
+++ b/sailhitch/zones/diagnosis.py
@@ -1,9 +1,10 @@
 """The condition of a zone, by the reports of all gateways: pure functions.
 
 Each gateway reports the ratio of failed nodes that it observes in a zone. A report's weight is the
-number of nodes that the gateway knows of there, at most `MAX_WEIGHT_SHARE` of all weights. What
-counts in a place is the weighted median, so that a faulty or lying minority changes nothing. A
-gateway that observes all zones failing where others see them well is faulty, and not counted.
+number of nodes that the gateway has outcomes of there, at most `MAX_WEIGHT_SHARE` of all weights.
+The reports of the gateways in one zone are reduced to their weighted median, so that a faulty or
+lying minority changes nothing. A gateway that observes all zones failing while others observe them
+as healthy is faulty, and not counted.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 
 from .health_tracker import ZoneObservation
 
-# Ratios of a zone's nodes that failed last, from which on it is...
-FAILED_RATIO: Final = 0.8  # ...failed: a few nodes that still answer do not save it
-DEGRADED_RATIO: Final = 0.2  # ...degraded
-HEALTHY_RATIO: Final = 0.1  # up to which it is healthy
-OVERLOADED_RATIO: Final = 0.5  # of its nodes that rejected the last request as overloaded
+# Thresholds for the ratio of a zone's nodes whose last outcome is a failure.
+FAILED_RATIO: Final = 0.8  # from here on it is failed, though a few nodes still answer
+DEGRADED_RATIO: Final = 0.2  # from here on it is degraded
+HEALTHY_RATIO: Final = 0.1  # up to here it is healthy
+OVERLOADED_RATIO: Final = 0.5  # of its nodes, that rejected the last request as overloaded
 MIN_KNOWN_NODES: Final = 2  # nodes that a report must cover, or all of a smaller zone
 MAX_WEIGHT_SHARE: Final = 1 / 3
 RECENT: Final = 2  # s
-MIN_REPORTERS: Final = 2  # gateways that must report on a zone, where there are so many
+MIN_REPORTERS: Final = 2  # gateways that must report on a zone, if there are that many
 
 
 class ZoneCondition(Enum):
-    """What a zone is diagnosed as; the values are shown to operators."""
+    """The condition that a zone is diagnosed with; the values are shown to operators."""
 
     HEALTHY = "well"
     FAILED = "gone"
@@ -41,15 +42,15 @@
 
 
 class GatewayReport(NamedTuple):
-    """What one gateway has observed."""
+    """The observations of one gateway."""
 
     name: str
-    zone: str  # where the gateway is
+    zone: str  # the gateway's own zone
     observations: Mapping[str, ZoneObservation]
 
 
 class Finding(NamedTuple):
-    """A zone's diagnosis, with the ratio of the reports that agree, and the figures behind it."""
+    """A zone's diagnosis, with the ratio of reports that agree, and the figures behind it."""
 
     condition: ZoneCondition
     confidence: float
@@ -57,7 +58,7 @@
 
 
 def faulty_gateways(reports: Sequence[GatewayReport], sizes: Mapping[str, int]) -> list[str]:
-    """Return the gateways that observe all zones failing where no other gateway does."""
+    """Return the gateways that alone observe all zones failing."""
     if len(reports) < 3:
         return []
     return [report.name for report in reports if _is_faulty(report, reports, sizes)]
@@ -100,12 +101,16 @@
     witnesses = _witnesses([r for r in reports if _has_evidence(r, zone, sizes)], zone)
     if len(witnesses) < min_reporters:
         return Finding(
-            ZoneCondition.UNKNOWN, 0.0, f"{len(witnesses)} of {min_reporters} gateways can tell"
+            ZoneCondition.UNKNOWN,
+            0.0,
+            f"{len(witnesses)} of {min_reporters} required gateways have evidence",
         )
     overloaded = _weighted_median([(_overload_ratio(report, zone), 1) for report in witnesses])
     if overloaded >= OVERLOADED_RATIO:
         return Finding(
-            ZoneCondition.OVERLOADED, 1.0, f"{overloaded:.0%} of its nodes turned away last"
+            ZoneCondition.OVERLOADED,
+            1.0,
+            f"{overloaded:.0%} of its nodes rejected their last request",
         )
     by_place: dict[str, list[GatewayReport]] = {}
     for report in witnesses:
@@ -128,11 +133,11 @@
 
 
 def _witnesses(reports: list[GatewayReport], zone: str) -> list[GatewayReport]:
-    """Return the reports without outdated ones that contradict a majority that sees a failed zone.
+    """Return the reports, without outdated contradictions of a majority that sees a failed zone.
 
-    An outdated success may be older than the zone's failure, as policies keep requests away from
-    it. Without such a majority all reports count: at low load most are outdated, and the few
-    gateways that happened to meet a zone's bad nodes would decide for all.
+    An outdated success may be older than the zone's failure, as policies send few requests to a
+    failing zone. Without such a majority all reports count: at low load most are outdated, and the
+    few gateways that happened to reach a zone's bad nodes would decide for all.
     """
     if 2 * sum(_failure_ratio(r, zone) >= FAILED_RATIO for r in reports) <= len(reports):
         return reports
@@ -163,7 +168,7 @@
 def _median_failure_ratio(
     reports: Iterable[GatewayReport], zone: str, sizes: Mapping[str, int]
 ) -> float:
-    """Return the weighted median of the reports on a zone; 0 where none has evidence."""
+    """Return the weighted median of the reports on a zone; 0 if none has evidence."""
     size = sizes.get(zone, 1)  # a report that claims to know more nodes gets no more weight
     return _weighted_median(
         [
@@ -175,7 +180,7 @@
 
 
 def _weighted_median(weighted_ratios: list[tuple[float, int]]) -> float:
-    """Return the median, each weight limited to its maximum share of all; 0 of nothing."""
+    """Return the median, with each weight limited to `MAX_WEIGHT_SHARE` of all; 0 if empty."""
     max_weight = max(1.0, MAX_WEIGHT_SHARE * sum(weight for _, weight in weighted_ratios))
     capped = [(ratio, min(weight, max_weight)) for ratio, weight in sorted(weighted_ratios)]
     half = sum(weight for _, weight in capped) / 2
@@ -188,5 +193,5 @@
 
 
 def _agreement(reports: Sequence[GatewayReport], zone: str, min_ratio: float) -> float:
-    """Return the part of the reports that see at least so many of a zone's nodes fail."""
+    """Return the ratio of the reports that see at least `min_ratio` of a zone's nodes fail."""
     return sum(_failure_ratio(report, zone) >= min_ratio for report in reports) / len(reports)
--- a/sailhitch/zones/evidence.py
+++ b/sailhitch/zones/evidence.py
@@ -1,7 +1,7 @@
-"""Outcomes of requests in a zone since a step of its recovery began, and their sum over gateways.
+"""Outcomes of requests in a zone since a step of its recovery began, summed over all gateways.
 
-Each gateway counts its own attempts, and sends the counts with its gossip (`ZoneHealthReport`).
-Where three or more report, the one whose attempts failed most is left out of the sum, so that a
+Each gateway counts its own attempts, and sends the counts with its gossip (`ZoneHealthReport`). If
+three or more report, the one with the highest failure ratio is left out of the sum, so that a
 single gateway that is faulty, partitioned or lying changes nothing.
 """
 
@@ -21,21 +21,21 @@
 
 
 class ZoneHealthReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one gateway reports of the zones."""
+    """One gateway's report on the zones."""
 
-    counts: dict[str, tuple[int, int, int]]  # by zone: the step, attempts ended, failed
-    zone: str = ""  # where the gateway is
+    counts: dict[str, tuple[int, int, int]]  # by zone: the step, attempts ended, attempts failed
+    zone: str = ""  # the gateway's own zone
     observations: dict[str, ZoneObservation] = {}
 
 
 class OutcomeCounts:
-    """One gateway's own counts."""
+    """One gateway's counts of its own attempts."""
 
     def __init__(self) -> None:
         self._zones: dict[str, list[int]] = {}
 
     def apply(self, traffic_policy: TrafficPolicy) -> None:
-        """Apply a traffic policy; the counts of a new step begin at 0."""
+        """Apply a traffic policy; the counts of a new step start at 0."""
         self._zones = {
             name: self._zones[name]
             if name in self._zones and self._zones[name][0] == order.step
@@ -60,10 +60,10 @@
 
 
 def encode(report: ZoneHealthReport) -> bytes:
-    """Return an encoded report; empty where there is nothing to report.
+    """Return an encoded report; empty if there is nothing to report.
 
-    Observations that do not fit are left out, those with the fewest failures first: one datagram
-    of gossip carries twelve reports.
+    A gossip datagram carries twelve reports, which limits their size. Observations that do not fit
+    are left out, those with the fewest failures first.
     """
     if not report.counts and not report.observations:
         return b""
@@ -77,7 +77,7 @@
 
 
 def decode(encoded: bytes) -> ZoneHealthReport | None:
-    """Return a gateway's report; None where it is empty or invalid."""
+    """Return a gateway's report; None if it is empty or invalid."""
     if not 0 < len(encoded) <= MAX_REPORT_BYTES:
         return None
     try:
--- a/sailhitch/zones/health_tracker.py
+++ b/sailhitch/zones/health_tracker.py
@@ -1,8 +1,8 @@
-"""What a gateway observes of each zone, by the last outcome at each of its nodes.
+"""What a gateway observes of each zone: the last outcome at each of the zone's nodes.
 
-Counts of requests alone would fade where they matter: the nodes of a failed zone are ejected within
-a second, and hardly any request ends there any more. The last outcome at a node is kept until there
-is another, and the policy retries an ejected node from time to time.
+Request counts alone would be lost when they matter most: the nodes of a failed zone are ejected
+within a second, and hardly any request ends there any more. So the last outcome at a node is kept
+until there is a newer one, and the policy retries an ejected node from time to time.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from collections.abc import Mapping
 from typing import Final, NamedTuple
 
-# Nodes of a zone that fail in a row, after which older successes there do not count.
+# Consecutive failures at nodes of a zone after which older successes there do not count.
 MIN_FAILURE_RUN: Final = 2
 OUTCOME_TTL: Final = 60_000_000  # us for which an outcome counts
 
 
 class ZoneObservation(NamedTuple):
-    """A zone's nodes with a known last outcome, and of these the failed and the full ones."""
+    """A zone's nodes with a known last outcome, and how many of them failed or were overloaded."""
 
     known: int
     failed: int
-    full: int
+    full: int  # rejected the request as overloaded
     age: int = 0  # s since the last outcome there
 
 
@@ -33,7 +33,7 @@
 
 
 class ZoneHealth:
-    """The last outcomes by node, bounded by the nodes of the applied state."""
+    """The last outcome at each node of the applied state."""
 
     def __init__(self) -> None:
         self._last: dict[str, Outcome] = {}
@@ -43,7 +43,7 @@
         self._last[node] = Outcome(now, failed, full)
 
     def retain(self, nodes: Mapping[str, str]) -> None:
-        """Drop the outcomes of all but these nodes, given with the zone of each."""
+        """Drop the outcomes of all but these nodes, given with their zones."""
         if not self._last.keys() <= nodes.keys():
             self._last = {name: outcome for name, outcome in self._last.items() if name in nodes}
 
@@ -55,9 +55,8 @@
     def observations(self, nodes: Mapping[str, str], now: int) -> dict[str, ZoneObservation]:
         """Return the observation of each zone.
 
-        Where several nodes of a zone have failed in a row with no success since, older successes
-        do not count: the policy avoids a failing zone, and would take long to find out that its
-        other nodes fail too.
+        If several nodes of a zone have failed with no success since, older successes do not count:
+        the policy avoids a failing zone, and would be slow to detect that its other nodes fail too.
         """
         by_zone: dict[str, list[Outcome]] = {}
         for name, outcome in self._last.items():
--- a/sailhitch/zones/rollout.py
+++ b/sailhitch/zones/rollout.py
@@ -1,9 +1,10 @@
-"""The recovery of a zone: growing steps, each taken on the evidence of the one before.
+"""The recovery of a zone, in growing steps; each is based on the evidence of the one before.
 
-A step doubles the share in use, as a slow start does, from a minimum share on. It lasts as long as
-its nodes need to warm up, and until enough requests have ended there since it began. If too many of
-them failed, the recovery goes back one step at once, and every step lasts twice as long from then
-on. Each member may propose the next step by these rules; the tier's register accepts one proposal.
+Starting from a minimum share, each step doubles the share in use, as a slow start does. A step
+lasts as long as its nodes need to warm up, and until enough requests have ended there since it
+began. If too many of them failed, the recovery immediately goes back one step, and every step from
+then on lasts twice as long. Each member may propose the next step by these rules; the tier's
+register accepts one proposal.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 AUTOMATION: Final = "automation"  # the author of orders that no operator has given
 FIRST_SHARE: Final = 0.1  # share of the first step
 MIN_REQUESTS: Final = 20  # requests that must end in a zone before its step may succeed
-# Of a step's requests: the least ratio that so few requests distinguish from chance.
+# Of a step's requests; a lower ratio could not be told from chance with so few requests.
 MAX_FAILURE_RATIO: Final = 0.1
-MIN_FAILURES: Final = 8  # before a step fails early, so that two failures of three are no relapse
+MIN_FAILURES: Final = 8  # for a step to fail early, so that two failures of three are no relapse
 MAX_FAILED_RECOVERIES: Final = 6  # after which the zone is left to an operator
 
 
@@ -33,12 +34,12 @@
 
 
 def leave(by: str, why: str) -> ZoneOrder:
-    """Return the order to leave a zone completely, until an operator ends it."""
+    """Return the order to leave a zone completely, until an operator starts its recovery."""
     return ZoneOrder(0.0, "out", 0, 0, by, why)
 
 
 def leave_automatically(step_duration: int, why: str) -> ZoneOrder:
-    """Return the automation's order to leave a zone; its recovery begins after one step's time."""
+    """Return the automatic order to leave a zone; its recovery starts after one step duration."""
     return ZoneOrder(0.0, "returning", step_duration, 0, AUTOMATION, why)
 
 
@@ -55,23 +56,23 @@
 
 
 def previous_share(share: float) -> float:
-    """Return the share of the step before; 0: nothing of the zone is in use for one step's time."""
+    """Return the share of the previous step; 0: the zone is not in use for one step duration."""
     return 0.0 if share <= FIRST_SHARE else share / 2
 
 
 class OrderChange(NamedTuple):
-    """The next order for a zone, None to end its recovery, and the reason."""
+    """The next order for a zone, or None to end its recovery, and the reason."""
 
     order: ZoneOrder | None
     reason: str
 
 
 def next_order(order: ZoneOrder, age: int, outcomes: StepOutcomes) -> OrderChange | None:
-    """Return the change that is due for a zone in recovery, None if there is none yet.
+    """Return the change that is due for a zone in recovery, or None if none is due yet.
 
     Args:
         order: The order in force.
-        age: For how long this member has applied the order's step and attempt, in microseconds.
+        age: How long this member has applied the order's step and attempt, in microseconds.
         outcomes: The fleet's outcomes since the step began.
     """
     if order.phase != "returning":
@@ -82,12 +83,12 @@
     if age < _required_age(order):
         return None
     if not order.share:
-        reason = "once more" if order.failed_recoveries else "the first step"
+        reason = "another recovery" if order.failed_recoveries else "the first step"
         return _start_step(order, FIRST_SHARE, reason)
     if outcomes.ended < MIN_REQUESTS:
         # Failed nodes are ejected: without a retry, waiting would bring no more evidence.
         ended = f"{outcomes.ended} of {MIN_REQUESTS} requests have ended"
-        reason = f"tried anew at {order.share:.0%}: {ended}"
+        reason = f"retried at {order.share:.0%}: {ended}"
         return OrderChange(replace(order, attempt=order.attempt + 1, reason=reason), reason)
     if too_many_failed:
         return _step_back(order, outcomes)
@@ -97,7 +98,7 @@
 
 
 def _required_age(order: ZoneOrder) -> int:
-    """Return for how long an order's step has to last, in microseconds."""
+    """Return how long an order's step has to last, in microseconds."""
     return order.step_duration << order.failed_recoveries
 
 
@@ -117,7 +118,7 @@
 
 
 def waits_for(order: ZoneOrder, age: int) -> str:
-    """Return what the next step waits for, as a text for operators."""
+    """Return what the next step waits for, as text for operators."""
     if order.phase != "returning":
         return "an operator's `return`"
     remaining = _required_age(order) - age
--- a/sailhitch/zones/traffic_policy.py
+++ b/sailhitch/zones/traffic_policy.py
@@ -1,10 +1,9 @@
 """Which part of each zone is in use: values, and pure functions of them.
 
-A zone's share is a part of its *nodes*, not of its requests. Nodes in use are selected as any
-others, and the rest get no new requests, as banned nodes do. So a step of a recovery brings in
-nodes that are in slow start, within the shares that all gateways fill together. Which nodes a share
-covers follows from their names alone: all gateways use the same ones, and a larger share includes
-those of a smaller one.
+A zone's share is a part of its *nodes*, not of its requests. Active nodes are selected as any
+others; the rest get no new requests, like banned nodes. So a step of a recovery adds nodes that are
+in slow start, whose limits all gateways share. Which nodes a share covers depends on their names
+alone: all gateways use the same ones, and a larger share includes those of a smaller one.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 
 class ZoneOrder(msgspec.Struct, frozen=True):
-    """What all gateways do about a zone; one that is completely in use has no order."""
+    """What all gateways do about a zone; a zone that is completely in use has no order."""
 
     share: float  # of its nodes, 0 to below 1
     phase: Phase
@@ -29,7 +28,7 @@
     failed_recoveries: int = msgspec.field(name="relapses")
     ordered_by: str = msgspec.field(name="by")  # for operators
     reason: str = msgspec.field(name="why")
-    step: int = 0  # counts the changes of the share; evidence belongs to one step
+    step: int = 0  # number of changes of the share; evidence belongs to one step
     # How often the nodes of this step have been retried.
     attempt: int = msgspec.field(default=0, name="round")
 
@@ -38,7 +37,7 @@
     """What all gateways do about zones."""
 
     zones: dict[str, ZoneOrder] = {}
-    # Why only operators change it; empty if automation may.
+    # Why only operators may change the policy; empty if automation may too.
     hold_reason: str = msgspec.field(default="", name="held")
 
     def encode(self) -> bytes:
@@ -67,7 +66,7 @@
     try:
         policy = msgspec.json.decode(content, type=TrafficPolicy)
     except msgspec.DecodeError as error:
-        raise TrafficPolicyError(f"a posture that can't be read: {error}") from None
+        raise TrafficPolicyError(f"the traffic policy can't be read: {error}") from None
     for name, order in policy.zones.items():
         if not 0 <= order.share < 1:
             raise TrafficPolicyError(f"zone {name!r}: share {order.share} is not from 0 to below 1")
@@ -75,12 +74,12 @@
 
 
 def active_node_count(share: float, nodes: int) -> int:
-    """Return how many of a zone's nodes a share covers: one at least for any share above 0."""
+    """Return how many of a zone's nodes a share covers: at least one for any share above 0."""
     return min(nodes, math.ceil(share * nodes - 1e-9))
 
 
 def retried_zones(old: TrafficPolicy, new: TrafficPolicy) -> list[str]:
-    """Return the zones whose nodes in use are to be retried, with all that was learned dropped."""
+    """Return the zones whose active nodes are to be retried, with what was learned dropped."""
     return [
         name
         for name, order in new.zones.items()
@@ -91,7 +90,7 @@
 
 
 def inactive_nodes(traffic_policy: TrafficPolicy, nodes: Mapping[str, str]) -> set[str]:
-    """Return the nodes that get no new requests, of `nodes`, given with the zone of each."""
+    """Return those of `nodes` that get no new requests; `nodes` has the zone of each."""
     inactive: set[str] = set()
     for zone, order in traffic_policy.zones.items():
         ranked = sorted((name for name, of_zone in nodes.items() if of_zone == zone), key=_rank)
@@ -104,7 +103,7 @@
 
 
 def validate(traffic_policy: TrafficPolicy, zones: Iterable[str], max_out: int) -> None:
-    """Raise TrafficPolicyError where too many zones would be out, or all of them."""
+    """Raise TrafficPolicyError if too many zones would be out, or none completely in use."""
     known = set(zones)
     for name in traffic_policy.zones:
         if name not in known:
@@ -114,8 +113,8 @@
     )
     if known and set(traffic_policy.zones) >= known:
         raise TrafficPolicyError(
-            f"no zone would be in use as a whole: {', '.join(sorted(traffic_policy.zones))} are "
-            "left or on the way back; end one's return first"
+            f"no zone would be completely in use: {', '.join(sorted(traffic_policy.zones))} are "
+            "left or returning; complete the return of one first"
         )
     if len(out) > max_out:
         raise TrafficPolicyError(
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -115,13 +115,13 @@
         ({}, STEP - 1, (500, 0), None, ""),  # its time is not over
         ({}, STEP, (500, 0), 0.2, "0 of 500 failed"),
         ({"share": 0.8}, STEP, (500, 0), 1.0, "0 of 500 failed"),
-        ({}, STEP, (MIN_REQUESTS - 1, 0), FIRST_SHARE, "tried anew"),  # nobody knows yet
+        ({}, STEP, (MIN_REQUESTS - 1, 0), FIRST_SHARE, "retried at"),  # too few requests
         ({}, 0, (MIN_FAILURES, MIN_FAILURES), 0.0, "relapse"),  # at once
         ({}, 0, (MIN_FAILURES - 1, MIN_FAILURES - 1), None, ""),  # too few to tell
         ({}, STEP, (MIN_FAILURES * 10, MIN_FAILURES), 0.2, "failed at"),  # a tenth may
         ({"share": 0.4}, 0, (50, 20), 0.2, "relapse"),
         ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP - 1, (0, 0), None, ""),  # twice as long
-        ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP, (0, 0), FIRST_SHARE, "once more"),
+        ({"share": 0.0, "failed_recoveries": 1}, 2 * STEP, (0, 0), FIRST_SHARE, "another recovery"),
         ({"failed_recoveries": MAX_FAILED_RECOVERIES}, 0, (50, 50), 0.0, "left to an operator"),
         ({"phase": "out", "share": 0.0}, 1 << 60, (0, 0), None, ""),  # operators return
     ],
@@ -234,7 +234,7 @@
             TrafficPolicy({"z1": BACK, "z0": BACK}),
             "leave",
             "z2",
-            "no zone would be in use as a whole",
+            "no zone would be completely in use",
         ),
     ],
 )
@@ -247,7 +247,7 @@
 
 def test_no_pool_is_left_without_nodes() -> None:
     pools = {"p": NODES, "small": {"small/a": "z1"}}
-    with pytest.raises(TrafficPolicyError, match="pool 'small' has no nodes outside of zone 'z1'"):
+    with pytest.raises(TrafficPolicyError, match="pool 'small' has no nodes outside zone 'z1'"):
         _controller(nodes=pools).operator_request("leave", "z1", "", "ada", None)
 
 
