--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -30,12 +30,12 @@
 MAX_KEY_LENGTH: Final = 256  # bytes of an Idempotency-Key
 
 
-def come_back(reason: bytes) -> Response:
+def retry_soon_response(reason: bytes) -> Response:
     """Return a 503 for a condition that ends soon: retries after one second do no harm."""
     return Response(503, [*_TEXT, (b"retry-after", b"Retry-After", b"1")], reason)
 
 
-HELD_BACK: Final = come_back(b"a change of its route is under way\n")
+ROUTE_CHANGE_PENDING: Final = retry_soon_response(b"a change of its route is under way\n")
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,8 +101,8 @@
         if refusal is None and view.class_overlap is not None:
             split_key = key if effect == Idempotency.KEYED and key is not None else None
             split_key = split_key or found.get(b"cookie") or found.get(b"req-id") or b""
-            if not _agree(view.class_overlap, route, query, effect, key, split_key):
-                refusal = HELD_BACK
+            if not _pending_rules_agree(view.class_overlap, route, query, effect, key, split_key):
+                refusal = ROUTE_CHANGE_PENDING
                 self.held_back += 1
         if refusal is not None:
             request.fallback_response = refusal
@@ -174,7 +174,7 @@
         return pool
 
 
-def _agree(
+def _pending_rules_agree(
     overlap: RequestClassOverlap,
     route: Route,
     query: RouteQuery,
--- a/sailhitch/daemon/page_file.py
+++ b/sailhitch/daemon/page_file.py
@@ -18,7 +18,7 @@
 
 from ..pages import MAX_PAGE_BYTES, PageError, Tree, child_digests, compress, decompress, verify
 
-FILE: Final = "pages.sqlite3"
+FILE_NAME: Final = "pages.sqlite3"
 _SCHEMA: Final = (
     (
         "CREATE TABLE IF NOT EXISTS pages "
@@ -47,7 +47,7 @@
 
     def __init__(self, folder: Path) -> None:
         """Open or create the file; raises PageFileError."""
-        self.path = folder / FILE
+        self.path = folder / FILE_NAME
         try:
             # `StateApplier` allows one writer at a time, and SQLite serializes readers.
             self._db = sqlite3.connect(self.path, timeout=0, check_same_thread=False)
--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -117,7 +117,7 @@
 
     def at(self, serial: int) -> AppliedState:
         """Return the state of a serial; raises StoreError."""
-        return find(self.state_applier, serial)
+        return find_applied(self.state_applier, serial)
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
         """Apply exactly what a plan says; raises PlanError, MovedError or ApplyError."""
@@ -151,7 +151,7 @@
         )
 
 
-def find(applier: StateApplier, serial: int) -> AppliedState:
+def find_applied(applier: StateApplier, serial: int) -> AppliedState:
     """Return a state that was in force, by its serial; raises StoreError."""
     if serial == applier.applied.serial:
         return applier.applied
--- a/sailhitch/daemon/state.py
+++ b/sailhitch/daemon/state.py
@@ -72,7 +72,7 @@
     return {**state, "bans": bans}
 
 
-def unshared(old: Mapping[str, Any], new: Mapping[str, Any]) -> Iterator[str]:
+def unshared_names(old: Mapping[str, Any], new: Mapping[str, Any]) -> Iterator[str]:
     """Yield the names whose values are not the same object in both mappings, or are in one only."""
     if all(map(operator.eq, old, new)):
         # One is a copy of the other, perhaps with names added: no lookup by name is needed.
@@ -80,7 +80,7 @@
         yield from islice(new, len(old), None)
         yield from islice(old, len(new), None)
         return
-    yield from (name for name, value in new.items() if old.get(name, _MISSING) is not value)
+    yield from (name for name, value in new.items() if old.get(name, _ABSENT) is not value)
     yield from old.keys() - new.keys()
 
 
@@ -92,11 +92,13 @@
     if old is new:
         return []
     return sorted(
-        name for name in unshared(old, new) if old.get(name, _MISSING) != new.get(name, _MISSING)
+        name
+        for name in unshared_names(old, new)
+        if old.get(name, _ABSENT) != new.get(name, _ABSENT)
     )
 
 
-_MISSING: Final = object()
+_ABSENT: Final = object()
 _ENCODER: Final = json.JSONEncoder(sort_keys=True, separators=(",", ":"), allow_nan=False)
 
 
--- a/sailhitch/daemon/state_tree.py
+++ b/sailhitch/daemon/state_tree.py
@@ -18,7 +18,7 @@
 from typing import Any, Final, NoReturn
 
 from ..pages import Key, PageSource, Tree, build, difference, read_entries, update
-from .state import KINDS, canonical, unshared
+from .state import KINDS, canonical, unshared_names
 
 Tables = Mapping[str, Mapping[str, Any]]  # values by kind and name, as in a state
 Kinds = Mapping[str, type]  # the kinds of a tree, with the JSON type of each kind's values
@@ -72,7 +72,7 @@
     """Yield the names whose canonical JSON differs, with the new JSON, or None if removed."""
     if before is after:
         return
-    for name in unshared(before, after):
+    for name in unshared_names(before, after):
         if name not in after:
             yield name, None
             continue
@@ -89,7 +89,7 @@
     """
     state: dict[str, dict[str, Any]] = {kind: {} for kind in kinds}
     for key, value in read_entries(source, root):
-        kind, name = _identify(key, kinds)
+        kind, name = _kind_and_name(key, kinds)
         state[kind][name] = _decode(key, value, kinds[kind])
     return state
 
@@ -103,7 +103,7 @@
     """
     changed: dict[str, dict[str, Any]] = {}
     for key, _, after in difference(source, base_root, root):
-        kind, name = _identify(key, kinds)
+        kind, name = _kind_and_name(key, kinds)
         objects = changed.get(kind)
         if objects is None:
             objects = changed[kind] = dict(base[kind])
@@ -121,12 +121,12 @@
     """
     names: dict[str, set[str]] = {kind: set() for kind in KINDS}
     for key, _, _ in difference(source, old_root, new_root):
-        kind, name = _identify(key, STATE_KINDS)
+        kind, name = _kind_and_name(key, STATE_KINDS)
         names[kind].add(name)
     return names
 
 
-def _identify(key: Key, kinds: Kinds) -> tuple[str, str]:
+def _kind_and_name(key: Key, kinds: Kinds) -> tuple[str, str]:
     """Return the kind and name of an entry; raises StateTreeError."""
     kind, _, rest = key.group.partition("/")
     if kind not in kinds:
--- a/sailhitch/daemon/store.py
+++ b/sailhitch/daemon/store.py
@@ -182,10 +182,10 @@
                 state, new_since = self._read_trees(root, new_since_root)
             except KeyError as error:
                 problem = f"{path}: damaged, its page {error} is missing from {self.pages.path}"
-                raise StoreError(f"{problem}; {self._next_step(serial)}") from None
+                raise StoreError(f"{problem}; {self._remedy(serial)}") from None
             except (PageError, StateTreeError) as error:
                 problem = f"{path}: damaged, in {self.pages.path}: {error}"
-                raise StoreError(f"{problem}; {self._next_step(serial)}") from None
+                raise StoreError(f"{problem}; {self._remedy(serial)}") from None
             except PageFileError as error:
                 raise StoreError(str(error)) from None
             stored = _StoredState(state, new_since, root, new_since_root)
@@ -220,22 +220,22 @@
         except OSError as error:
             raise StoreError(f"{path}: {error.strerror}") from None
         except (ValueError, RecursionError):
-            raise StoreError(f"{path}: damaged, not JSON; {self._next_step(serial)}") from None
+            raise StoreError(f"{path}: damaged, not JSON; {self._remedy(serial)}") from None
         if not isinstance(value, dict) or not isinstance(value.get("format"), int):
-            raise StoreError(f"{path}: damaged, not a state; {self._next_step(serial)}")
+            raise StoreError(f"{path}: damaged, not a state; {self._remedy(serial)}")
         if value["format"] > FORMAT:
-            step = f"start that version, or {self._next_step(serial)}"
+            step = f"start that version, or {self._remedy(serial)}"
             raise StoreError(f"{path}: written by a newer version; {step}")
         stated_digest = value.pop("digest", None)
         if stated_digest != digest(value) or value["serial"] != serial:
-            raise StoreError(f"{path}: damaged, its digest is wrong; {self._next_step(serial)}")
+            raise StoreError(f"{path}: damaged, its digest is wrong; {self._remedy(serial)}")
         if value["gateway"] != self.gateway:
             raise StoreError(
                 f"{path}: belongs to gateway {value['gateway']!r}, not {self.gateway!r}"
             )
         return value
 
-    def _next_step(self, serial: int) -> str:
+    def _remedy(self, serial: int) -> str:
         """Return what an operator can do about a damaged manifest."""
         earlier = [kept for kept in self.serials() if kept < serial]
         return f"remove it to continue from serial {earlier[-1]}" if earlier else "remove it"
--- a/sailhitch/daemon/tier_commands.py
+++ b/sailhitch/daemon/tier_commands.py
@@ -90,7 +90,7 @@
             "ok": True,
             "tier": self.part.name,
             **member.status(now),
-            "fetching": _fetch_record(member, now),
+            "fetching": _oldest_fetch_record(member, now),
             "jobs": len(member.proposer.jobs),
             "silent": self.link.disk_is_failing,
             "datagrams": self.link.sent,
@@ -100,7 +100,7 @@
         }
 
 
-def _fetch_record(member: Member, now: int) -> FetchRecord | None:
+def _oldest_fetch_record(member: Member, now: int) -> FetchRecord | None:
     """Return the oldest fetch in progress, or None."""
     fetch = member.contents.oldest_fetch()
     if fetch is None:
--- a/sailhitch/daemon/tier_link.py
+++ b/sailhitch/daemon/tier_link.py
@@ -47,7 +47,7 @@
 HEARTBEAT_INTERVAL: Final = 0.1  # s
 # us by which a heartbeat may be late; after that, waiting datagrams are read before it runs
 STALLED_AFTER: Final = 40_000
-READ_FIRST: Final = 0.001  # s that the event loop gets to read them
+READ_DELAY: Final = 0.001  # s that the event loop gets to read them
 REJECTED_LOG_INTERVAL: Final = 5.0  # s between two log lines about rejected datagrams
 WRITE_RETRY: Final = 0.1  # s until a failed write is retried; doubles with each failure...
 WRITE_RETRY_MAX: Final = 2.0  # ...up to this
@@ -261,7 +261,7 @@
         if self.overdue() <= STALLED_AFTER:
             self._tick()
             return
-        self._heartbeat_handle = asyncio.get_running_loop().call_later(READ_FIRST, self._tick)
+        self._heartbeat_handle = asyncio.get_running_loop().call_later(READ_DELAY, self._tick)
         if self.on_stall is not None:
             self.on_stall()
 
--- a/sailhitch/daemon/tier_source.py
+++ b/sailhitch/daemon/tier_source.py
@@ -21,10 +21,10 @@
 from ..tier.wire import Keys
 from .catch_up import CatchUp
 from .endpoint_registry import address_of
-from .intake import come_back
+from .intake import retry_soon_response
 from .plan import PlanError, check_base, load_plan
 from .schema import OperatorFile, TierPart, ZonesPart
-from .source import find
+from .source import find_applied
 from .state import State, banned, from_file
 from .state_applier import ApplyError, StateApplier, StateChange
 from .state_tree import to_tree
@@ -37,9 +37,9 @@
 from .version_states import VersionStates
 from .zone_coordinator import ZoneCoordinator
 
-__all__ = ["DECISION_TIMEOUT", "LEAVE_TIMEOUT", "NOT_IN_FORCE", "TierStateSource"]
+__all__ = ["DECISION_TIMEOUT", "LEAVE_TIMEOUT", "RULES_UNCERTAIN", "TierStateSource"]
 
-NOT_IN_FORCE: Final = come_back(
+RULES_UNCERTAIN: Final = retry_soon_response(
     b"this gateway is not sure of the rules that hold; another one may be\n"
 )
 LEAVE_TIMEOUT: Final = 1.0  # s that a drain waits for leaving the tier
@@ -149,22 +149,22 @@
             operator = before.applied_by
             new_since = dict(before.new_since)
         bootstrap = BootstrapVersion(to_tree({**state, "listeners": {}}), serial, operator)
-        shown = {**state, "listeners": file_state["listeners"]}
-        return bootstrap, StateChange(shown, operator, 0, new_since, persistent=False)
+        start_state = {**state, "listeners": file_state["listeners"]}
+        return bootstrap, StateChange(start_state, operator, 0, new_since, persistent=False)
 
-    def _restart(self, last: AppliedState, shown: State) -> StateChange:
+    def _restart(self, last: AppliedState, start_state: State) -> StateChange:
         """Return the change to the state that was applied last."""
         store = self.state_applier.store
         root = None if store is None else store.root_of(last.state)
         if store is not None and root is not None:
             self._states.start_from(root, last.state, store.pages)
         return StateChange(
-            shown,
+            start_state,
             last.applied_by,
             0,
             last.new_since,
             persistent=False,
-            inactive_nodes=self.zone_coordinator.inactive_nodes_at_start(shown),
+            inactive_nodes=self.zone_coordinator.inactive_nodes_at_start(start_state),
         )
 
     async def leave(self) -> None:
@@ -182,7 +182,7 @@
         """Return the response that rejects a request when it is read, or None to admit it."""
         if effect == Idempotency.SAFE or self.link.member_status() is MemberStatus.ACTIVE:
             return None
-        return NOT_IN_FORCE
+        return RULES_UNCERTAIN
 
     def _may_write(self, attempt: Attempt) -> bool:
         """Return whether the current rules allow an attempt that was chosen under earlier ones."""
@@ -222,7 +222,7 @@
     def at(self, serial: int) -> AppliedState:
         """Return the version of a serial, without listeners; raises StoreError."""
         base = self.base()
-        applied = base if serial == base.serial else find(self.state_applier, serial)
+        applied = base if serial == base.serial else find_applied(self.state_applier, serial)
         return replace(applied, state={**applied.state, "listeners": {}})
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
--- a/sailhitch/daemon/zone_coordinator.py
+++ b/sailhitch/daemon/zone_coordinator.py
@@ -36,7 +36,7 @@
 
 MAX_NAMED: Final = 8  # members listed in a reply as not having applied an order
 
-_UNREMARKABLE: Final = {ZoneCondition.HEALTHY, ZoneCondition.UNKNOWN}
+_NORMAL_CONDITIONS: Final = {ZoneCondition.HEALTHY, ZoneCondition.UNKNOWN}
 
 OutcomeCallback = Callable[[str, str], None]  # by server and outcome
 
@@ -67,10 +67,10 @@
         part = part or ZonesPart(mode="off")
         self.mode = part.mode
         step = 2 * gateway.cold_time if part.step is None else part.step
-        terms = ZoneSettings(
+        settings = ZoneSettings(
             part.max_out, step, gateway.zone, part.mode == "act", part.leaves_an_hour
         )
-        self.controller = ZoneController(terms, random.Random(secrets.randbits(64)))
+        self.controller = ZoneController(settings, random.Random(secrets.randbits(64)))
         self._conditions: dict[str, ZoneCondition] = {}  # as last logged
         self._proposal: asyncio.Task[None] | None = None
         self._keys: dict[tuple[str, str], str] = {}  # `pool/id`, by pool and name in the policy
@@ -125,9 +125,9 @@
             if key in instances
         }
         for pool in self.state_applier.core.pools:
-            pool.on_outcome = self._watch(pool)
+            pool.on_outcome = self._outcome_callback(pool)
 
-    def _watch(self, pool: Pool) -> OutcomeCallback:
+    def _outcome_callback(self, pool: Pool) -> OutcomeCallback:
         keys = self._keys
         record = self.controller.record
         pool_name = pool.name
@@ -172,7 +172,7 @@
         for zone, finding in received.findings.items():
             condition = finding.condition
             before = self._conditions.get(zone, ZoneCondition.UNKNOWN)
-            if condition is before or {condition, before} <= _UNREMARKABLE:
+            if condition is before or {condition, before} <= _NORMAL_CONDITIONS:
                 continue
             self._conditions[zone] = condition
             self.state_applier.core.logger.write_limited(
--- a/sailhitch/zones/controller.py
+++ b/sailhitch/zones/controller.py
@@ -73,8 +73,8 @@
 class ZoneController:
     """A gateway's traffic policy, counts and next proposal."""
 
-    def __init__(self, terms: ZoneSettings, rng: random.Random) -> None:
-        self.terms = terms
+    def __init__(self, settings: ZoneSettings, rng: random.Random) -> None:
+        self.settings = settings
         self.rng = rng
         self.serial = 0
         self.traffic_policy = EMPTY_POLICY
@@ -136,7 +136,7 @@
         is_urgent = failures != self._reported_failures
         self._reported_failures = failures
         report = evidence.ZoneHealthReport(
-            self.outcome_counts.counts(), self.terms.zone, observations
+            self.outcome_counts.counts(), self.settings.zone, observations
         )
         return evidence.encode(report), is_urgent
 
@@ -163,18 +163,18 @@
         It is proposed once the finding has lasted for `MIN_FAILED_TIME` and a random delay.
         """
         self._update_failed_zones(now, received.findings)
-        if not self.terms.automatic or self.traffic_policy.hold_reason:
+        if not self.settings.automatic or self.traffic_policy.hold_reason:
             return None
         while self._automatic_leaves and now - self._automatic_leaves[0] > HOUR:
             self._automatic_leaves.popleft()
-        if len(self._automatic_leaves) >= self.terms.max_leaves_per_hour:
+        if len(self._automatic_leaves) >= self.settings.max_leaves_per_hour:
             return None
         for zone, since in sorted(self._failed_since.items()):
             if now - since < self._failure_delay:
                 continue
             description = received.findings[zone].description
             order = rollout.leave_automatically(
-                self.terms.step_duration, description[:MAX_REASON_LENGTH]
+                self.settings.step_duration, description[:MAX_REASON_LENGTH]
             )
             wanted = self.traffic_policy.with_zone(zone, order)
             try:
@@ -216,7 +216,7 @@
         self, act: str, zone: str, why: str, by: str, step: int | None
     ) -> TrafficPolicy:
         """Return the policy that an operator's command requests; raises TrafficPolicyError."""
-        wanted = self._wanted(act, zone, why[:MAX_REASON_LENGTH], by, step)
+        wanted = self._requested_policy(act, zone, why[:MAX_REASON_LENGTH], by, step)
         self._check(wanted, zone)
         if wanted == self.traffic_policy:
             raise TrafficPolicyError(
@@ -225,12 +225,14 @@
         return wanted
 
     def _check(self, wanted: TrafficPolicy, zone: str) -> None:
-        validate(wanted, self.zone_of.values(), self.terms.max_out)
+        validate(wanted, self.zone_of.values(), self.settings.max_out)
         for pool, nodes in self.nodes.items():
             if nodes and len(inactive_nodes(wanted, nodes)) == len(nodes):
                 raise TrafficPolicyError(f"pool {pool!r} has no nodes outside zone {zone!r}")
 
-    def _wanted(self, act: str, zone: str, why: str, by: str, step: int | None) -> TrafficPolicy:
+    def _requested_policy(
+        self, act: str, zone: str, why: str, by: str, step: int | None
+    ) -> TrafficPolicy:
         order = self.traffic_policy.zones.get(zone)
         if act == "hold":
             return TrafficPolicy(self.traffic_policy.zones, why or f"by {by}")
@@ -242,7 +244,7 @@
             raise TrafficPolicyError(f"act: not known: {act[:40]!r}")
         if order is None:
             raise TrafficPolicyError(f"zone {zone!r} was not left; see `sailhitch zones status`")
-        step_duration = max(self.terms.step_duration, step or 0)
+        step_duration = max(self.settings.step_duration, step or 0)
         return self.traffic_policy.with_zone(
             zone, rollout.start_recovery(order, step_duration, by, why)
         )
--- a/tests/test_state_tree.py
+++ b/tests/test_state_tree.py
@@ -18,7 +18,7 @@
     differing,
     digest,
     from_file,
-    unshared,
+    unshared_names,
 )
 from sailhitch.daemon.state_tree import (
     StateTreeError,
@@ -146,7 +146,7 @@
     for one, other in ((a, b), (b, a)):
         names = {*one, *other}
         wanted = {n for n in names if one.get(n, nothing) is not other.get(n, nothing)}
-        found = list(unshared(one, other))
+        found = list(unshared_names(one, other))
         assert sorted(found) == sorted(wanted)
         differ = sorted(n for n in names if one.get(n) != other.get(n))
         assert differing(one, other) == differ
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from sailhitch.daemon.page_file import FILE, PageFile, PageFileError, Root
+from sailhitch.daemon.page_file import FILE_NAME, PageFile, PageFileError, Root
 from sailhitch.daemon.state import EMPTY, State, digest
 from sailhitch.daemon.store import MAX_STATES, AppliedState, Store, StoreError, ignore_step
 from sailhitch.pages import MAX_PAGE_BYTES, child_digests, compress
@@ -90,7 +90,7 @@
 
 def _damage(store: Store, statement: str, *values: Any) -> None:
     """Change the closed store's pages behind its back."""
-    db = sqlite3.connect(store.path / FILE)
+    db = sqlite3.connect(store.path / FILE_NAME)
     with db:
         assert db.execute(statement, values).rowcount > 0
     db.close()
@@ -270,13 +270,13 @@
     for where in ("hex(digest) = ?", "hex(digest) != ?"):
         fresh = _again(store)
         fresh.close()
-        original = (store.path / FILE).read_bytes()
+        original = (store.path / FILE_NAME).read_bytes()
         _damage(store, f"{statement} WHERE {where}", root.upper())
         damaged = Store(store.path, "g1")
         with pytest.raises(StoreError, match=rf"{said}.*remove it to continue from serial 1"):
             damaged.last()
         damaged.close()
-        (store.path / FILE).write_bytes(original)
+        (store.path / FILE_NAME).write_bytes(original)
 
 
 def test_a_page_is_never_taken_for_another(store: Store) -> None:
@@ -321,10 +321,10 @@
 def test_a_page_file_that_is_none_is_told(tmp_path: Path) -> None:
     path = tmp_path / "state"
     path.mkdir()
-    (path / FILE).write_bytes(b"no database at all" * 100)
+    (path / FILE_NAME).write_bytes(b"no database at all" * 100)
     with pytest.raises(StoreError, match=r"pages.sqlite3: damaged \(.*move it and the state files"):
         Store(path, "g1")
-    (path / FILE).unlink()
+    (path / FILE_NAME).unlink()
     store = Store(path, "g1")  # the lock was let go of
     store.close()
 
