--- a/sailhitch/daemon/process.py
+++ b/sailhitch/daemon/process.py
@@ -23,7 +23,7 @@
 from .source import LocalStateSource, StateSource
 from .state import from_file, with_bans
 from .state_applier import ApplyError, StateApplier, resource_limits
-from .store import AppliedState, Step, Store, StoreError, ignore_step
+from .store import AppliedState, StepCallback, Store, StoreError, ignore_step
 from .tier_link import LinkError
 from .tier_source import TierStateSource
 
@@ -65,7 +65,7 @@
         self,
         path: str,
         file: OperatorFile,
-        step: Step = ignore_step,
+        step: StepCallback = ignore_step,
         admin: str | None = None,
     ) -> None:
         self.path = path
@@ -180,7 +180,7 @@
 
 
 def run_daemon(
-    path: str, step: Step = ignore_step, admin: str | None = None, as_json: bool = False
+    path: str, step: StepCallback = ignore_step, admin: str | None = None, as_json: bool = False
 ) -> int:
     """Run a gateway by an operator file.
 
--- a/sailhitch/daemon/state_applier.py
+++ b/sailhitch/daemon/state_applier.py
@@ -27,7 +27,7 @@
 from .routes import Routes
 from .schema import FileError, GatewayPart, OperatorFile, PoolPart, to_route
 from .state import EMPTY, Object, State, to_file
-from .store import AppliedState, Step, Store, ignore_step
+from .store import AppliedState, StepCallback, Store, ignore_step
 from .tables import Tables
 
 BACKLOG: Final = 1024  # connections waiting to be accepted
@@ -75,7 +75,7 @@
     """Holds the applied state, and applies changes to it one at a time."""
 
     def __init__(
-        self, core: GatewayCore, gateway: GatewayPart, store: Store | None, step: Step = ignore_step
+        self, core: GatewayCore, gateway: GatewayPart, store: Store | None, step: StepCallback = ignore_step
     ) -> None:
         self.core = core
         self.gateway = gateway
--- a/sailhitch/daemon/store.py
+++ b/sailhitch/daemon/store.py
@@ -42,7 +42,7 @@
 NEW_SINCE: Final = "born"  # the kind in the second tree: by node, when it was added
 NEW_SINCE_KINDS: Final[Kinds] = {NEW_SINCE: int}
 _FILE = re.compile(r"state-(\d{8,12})\.json")
-Step = Callable[[str], None]
+StepCallback = Callable[[str], None]
 """Called with the name of each step of a write; tests kill the process at one of them."""
 
 
@@ -256,7 +256,7 @@
 
     # --- Writing
 
-    def prepare(self, applied: AppliedState, step: Step) -> Path:
+    def prepare(self, applied: AppliedState, step: StepCallback) -> Path:
         """Write and sync a state's pages, and its manifest under a temporary name.
 
         Returns the manifest's path. Raises StoreError, with nothing of the state left on disk.
@@ -294,7 +294,7 @@
             update_tree(self.pages, latest.new_since_root, latest_tables, tables, NEW_SINCE_KINDS),
         )
 
-    def _write_manifest(self, applied: AppliedState, trees: tuple[Tree, Tree], step: Step) -> Path:
+    def _write_manifest(self, applied: AppliedState, trees: tuple[Tree, Tree], step: StepCallback) -> Path:
         state_tree, new_since_tree = trees
         manifest = {
             "format": FORMAT,
@@ -325,7 +325,7 @@
             raise StoreError(f"{path}: {error.strerror}") from None
         return path
 
-    def commit(self, path: Path, serial: int, step: Step) -> None:
+    def commit(self, path: Path, serial: int, step: StepCallback) -> None:
         """Make the prepared state the live one; after a StoreError the old one is still live."""
         prepared = self._prepared
         self._prepared = None
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -19,7 +19,7 @@
 from sailhitch.daemon.source import LocalStateSource
 from sailhitch.daemon.state import from_file
 from sailhitch.daemon.state_applier import StateApplier, resource_limits
-from sailhitch.daemon.store import Step, Store
+from sailhitch.daemon.store import StepCallback, Store
 from sailhitch.lab.files import toml_text
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
@@ -105,7 +105,7 @@
 
 @contextlib.asynccontextmanager
 async def inside(
-    tmp_path: Path, value: Mapping[str, Any], step: Step = lambda step: None, stored: bool = False
+    tmp_path: Path, value: Mapping[str, Any], step: StepCallback = lambda step: None, stored: bool = False
 ) -> AsyncIterator[Inside]:
     """A daemon that goes by this file's value."""
     whole = made(value)
