--- a/sailhitch/daemon/plan.py
+++ b/sailhitch/daemon/plan.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any, Final, Literal
 
-from .state import KINDS, Object, State, differing, digest
+from .state import KINDS, Object, State, differing_names, digest
 from .state_tree import to_tree
 
 FORMAT: Final = 2
@@ -97,7 +97,7 @@
     for kind in KINDS:
         before = old[kind]
         after = new[kind]
-        for name in differing(before, after):
+        for name in differing_names(before, after):
             change = _change(kind, name, before.get(name), after.get(name))
             if change is not None:
                 changes.append(change)
--- a/sailhitch/daemon/rules.py
+++ b/sailhitch/daemon/rules.py
@@ -23,7 +23,7 @@
 from collections.abc import Collection, Iterator, Mapping
 from typing import Any, Final
 
-from .state import KINDS, Object, State, differing
+from .state import KINDS, Object, State, differing_names
 
 PENDING_BAN: Final[Object] = {"by": "tier", "when": 0, "why": "a change is pending"}
 _EFFECTS: Final = ("unsafe", "keyed", None, "safe")  # by what may be retried: least first
@@ -51,7 +51,7 @@
 
 def differences(old: State, new: State) -> dict[str, list[str]]:
     """Return the names of the objects that differ between two states, by kind."""
-    return {kind: differing(old[kind], new[kind]) for kind in KINDS}
+    return {kind: differing_names(old[kind], new[kind]) for kind in KINDS}
 
 
 def _node_contradictions(
--- a/sailhitch/daemon/state.py
+++ b/sailhitch/daemon/state.py
@@ -84,7 +84,7 @@
     yield from old.keys() - new.keys()
 
 
-def differing(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[str]:
+def differing_names(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[str]:
     """Return the names whose values differ between two mappings, sorted.
 
     Values that both share (the same object) are not compared.
--- a/tests/test_state_tree.py
+++ b/tests/test_state_tree.py
@@ -15,7 +15,7 @@
     EMPTY,
     KINDS,
     State,
-    differing,
+    differing_names,
     digest,
     from_file,
     unshared_names,
@@ -149,7 +149,7 @@
         found = list(unshared_names(one, other))
         assert sorted(found) == sorted(wanted)
         differ = sorted(n for n in names if one.get(n) != other.get(n))
-        assert differing(one, other) == differ
+        assert differing_names(one, other) == differ
 
 
 def test_one_and_one_point_nothing_are_two_states() -> None:
