--- a/sailhitch/daemon/state_applier.py
+++ b/sailhitch/daemon/state_applier.py
@@ -75,7 +75,11 @@
     """Holds the applied state, and applies changes to it one at a time."""
 
     def __init__(
-        self, core: GatewayCore, gateway: GatewayPart, store: Store | None, step: StepCallback = ignore_step
+        self,
+        core: GatewayCore,
+        gateway: GatewayPart,
+        store: Store | None,
+        step: StepCallback = ignore_step,
     ) -> None:
         self.core = core
         self.gateway = gateway
--- a/sailhitch/daemon/store.py
+++ b/sailhitch/daemon/store.py
@@ -294,7 +294,9 @@
             update_tree(self.pages, latest.new_since_root, latest_tables, tables, NEW_SINCE_KINDS),
         )
 
-    def _write_manifest(self, applied: AppliedState, trees: tuple[Tree, Tree], step: StepCallback) -> Path:
+    def _write_manifest(
+        self, applied: AppliedState, trees: tuple[Tree, Tree], step: StepCallback
+    ) -> Path:
         state_tree, new_since_tree = trees
         manifest = {
             "format": FORMAT,
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -105,7 +105,10 @@
 
 @contextlib.asynccontextmanager
 async def inside(
-    tmp_path: Path, value: Mapping[str, Any], step: StepCallback = lambda step: None, stored: bool = False
+    tmp_path: Path,
+    value: Mapping[str, Any],
+    step: StepCallback = lambda step: None,
+    stored: bool = False,
 ) -> AsyncIterator[Inside]:
     """A daemon that goes by this file's value."""
     whole = made(value)
