--- a/benchmarks/scale/changes.py
+++ b/benchmarks/scale/changes.py
@@ -12,7 +12,7 @@
 from typing import Any, Final
 
 from sailhitch.daemon.plan import make_plan
-from sailhitch.daemon.state import State, banned
+from sailhitch.daemon.state import State, with_node_ban
 
 from .fleet import Fleet
 from .processes import RealDaemon, RefusedError
@@ -42,7 +42,7 @@
     """Return the first node banned, or not any more."""
     name = min(state["nodes"])
     ban = {"by": "scale", "when": 0, "why": "scale"}
-    return banned(state, name, None if name in state["bans"] else ban)
+    return with_node_ban(state, name, None if name in state["bans"] else ban)
 
 
 def altered(kind: str, state: State, number: int) -> State:
--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -11,7 +11,7 @@
 
 from .plan import ROOT_PREFIX, Plan, check_base, identity, load_plan
 from .schema import OperatorFile
-from .state import State, banned, from_file, with_bans
+from .state import State, with_node_ban, from_file, with_bans
 from .state_applier import StateApplier, StateChange
 from .store import AppliedState, HistoryRecord, StoreError
 
@@ -141,7 +141,7 @@
     async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> AppliedState:
         """Ban a node, or (None) lift its ban; raises ApplyError."""
         async with self._deciding:
-            return await self._apply(banned(self.state_applier.applied.state, node, ban), by)
+            return await self._apply(with_node_ban(self.state_applier.applied.state, node, ban), by)
 
     async def _apply(self, state: State, by: str) -> AppliedState:
         if state == self.state_applier.applied.state:
--- a/sailhitch/daemon/state.py
+++ b/sailhitch/daemon/state.py
@@ -62,7 +62,7 @@
     return {**state, "bans": live["bans"]}
 
 
-def banned(state: State, node: str, ban: dict[str, Any] | None) -> State:
+def with_node_ban(state: State, node: str, ban: dict[str, Any] | None) -> State:
     """Return a state with a node banned, or (None) its ban lifted; an existing ban is kept."""
     bans = dict(state["bans"])
     if ban is None:
--- a/sailhitch/daemon/tier_source.py
+++ b/sailhitch/daemon/tier_source.py
@@ -25,7 +25,7 @@
 from .plan import PlanError, check_base, load_plan
 from .schema import OperatorFile, TierPart, ZonesPart
 from .source import find_applied
-from .state import State, banned, from_file
+from .state import State, with_node_ban, from_file
 from .state_applier import ApplyError, StateApplier, StateChange
 from .state_tree import to_tree
 from .store import AppliedState, HistoryRecord, Store
@@ -246,7 +246,7 @@
 
     async def ban(self, node: str, ban: dict[str, Any] | None, by: str) -> AppliedState:
         """Propose to ban a node, or (None) to lift its ban; raises as `apply_plan` does."""
-        return await self.changes.propose(banned(self.base().state, node, ban), by)
+        return await self.changes.propose(with_node_ban(self.base().state, node, ban), by)
 
     async def withdraw(self) -> dict[str, Any]:
         """Withdraw the pending version; raises ApplyError."""
