--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -11,7 +11,7 @@
 
 from .plan import ROOT_PREFIX, Plan, check_base, identity, load_plan
 from .schema import OperatorFile
-from .state import State, with_node_ban, from_file, with_bans
+from .state import State, from_file, with_bans, with_node_ban
 from .state_applier import StateApplier, StateChange
 from .store import AppliedState, HistoryRecord, StoreError
 
--- a/sailhitch/daemon/tier_source.py
+++ b/sailhitch/daemon/tier_source.py
@@ -25,7 +25,7 @@
 from .plan import PlanError, check_base, load_plan
 from .schema import OperatorFile, TierPart, ZonesPart
 from .source import find_applied
-from .state import State, with_node_ban, from_file
+from .state import State, from_file, with_node_ban
 from .state_applier import ApplyError, StateApplier, StateChange
 from .state_tree import to_tree
 from .store import AppliedState, HistoryRecord, Store
