--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -1,4 +1,4 @@
-"""Plan and apply on a live gateway: what moves, what drains, what fails and changes nothing."""
+"""Plan and apply on a live gateway: conflicts, draining, and failures that change nothing."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
     asyncio.run(limited())
 
 
-# --- What has moved
+# --- Conflicting plans
 
 
-def test_a_plan_made_before_another_apply_is_refused_and_told_what_moved(tmp_path: Path) -> None:
+def test_a_plan_made_before_another_apply_is_rejected_with_what_changed(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b, Node() as c:
             port = free_port()
@@ -63,7 +63,7 @@
     run(work)
 
 
-def test_of_two_applies_at_once_one_is_refused(tmp_path: Path) -> None:
+def test_of_two_concurrent_applies_one_is_rejected(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b, Node() as c:
             port = free_port()
@@ -80,7 +80,7 @@
     run(work)
 
 
-def test_a_plan_of_nothing_changes_nothing(tmp_path: Path) -> None:
+def test_an_empty_plan_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a:
             value = file_value([pool("p", {"a": a})], free_port())
@@ -91,7 +91,7 @@
     run(work)
 
 
-def test_the_way_back_is_a_plan_too(tmp_path: Path) -> None:
+def test_the_state_of_an_earlier_serial_can_be_read(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
@@ -108,7 +108,7 @@
 # --- Nodes
 
 
-def test_a_removed_node_gets_nothing_new_and_finishes_what_it_has(tmp_path: Path) -> None:
+def test_a_removed_node_gets_no_new_requests_and_finishes_open_ones(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node(0.2) as a, Node(0.01) as b:
             port = free_port()
@@ -128,7 +128,7 @@
     run(work)
 
 
-def test_a_node_that_comes_back_or_moves_is_a_new_and_cold_one(tmp_path: Path) -> None:
+def test_a_node_that_is_added_again_or_moved_is_new_and_slow_started(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b, Node() as c, Node() as w:
             port = free_port()
@@ -160,7 +160,7 @@
     run(work)
 
 
-def test_a_keyed_retry_does_not_go_to_what_came_in_a_nodes_place(tmp_path: Path) -> None:
+def test_a_keyed_retry_does_not_go_to_a_nodes_replacement(tmp_path: Path) -> None:
     async def work() -> None:
         hold = asyncio.Event()
 
@@ -179,7 +179,7 @@
                 client.send(post("/c", "Idempotency-Key: k\r\n"))
                 await hold.wait()
                 await it.go(file_value([pool("p", {"a": new})], port, **more))
-                old.stop()  # it may have run, and its place is taken by another
+                old.stop()  # the request may have run there, and another node has its id now
                 status, _ = await client.answer()
                 assert status == 502
                 assert new.seen == 0
@@ -191,7 +191,7 @@
 # --- Pools, classes, listeners
 
 
-def test_a_removed_pool_ends_what_it_has_taken(tmp_path: Path) -> None:
+def test_a_removed_pool_finishes_its_open_requests(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node(0.5) as a, Node() as b:
             port = free_port()
@@ -210,7 +210,7 @@
                 await until(lambda: a.seen == 2)
                 await it.go(value("new", b))
                 assert len(it.live.core.pools) == 2
-                # A repeat of a key that the old pool may have run is no other pool's business.
+                # A key that the old pool may have executed must not be repeated in another pool.
                 assert (await late.ask(post("/x", "Idempotency-Key: k\r\n")))[0] == 503
                 assert (await late.ask(post("/x", "Idempotency-Key: l\r\n")))[0] == 200
                 assert (await unsafe.answer())[0] == 200
@@ -222,7 +222,7 @@
     run(work)
 
 
-def test_a_key_does_not_follow_its_pools_name_to_another_pool(tmp_path: Path) -> None:
+def test_a_key_is_not_sent_to_a_new_pool_with_its_old_pools_name(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
@@ -240,7 +240,7 @@
     run(work)
 
 
-def test_a_removed_pools_backlog_is_answered_at_once(tmp_path: Path) -> None:
+def test_a_removed_pools_queued_requests_are_answered_at_once(tmp_path: Path) -> None:
     async def work() -> None:
         port = free_port()
         async with Node() as b:
@@ -251,14 +251,14 @@
                 await until(lambda: len(it.live.core.open_requests) == 1)
                 routes = [{"name": "r", "class": "page", "pools": {"new": 1.0}}]
                 await it.go(file_value([pool("new", {"b": b})], port, routes=routes))
-                assert not it.live.core.open_requests  # before anything else has its turn
+                assert not it.live.core.open_requests  # before the event loop runs anything else
                 assert (await client.answer())[0] == 503
                 await until(lambda: len(it.live.core.pools) == 1)
 
     run(work)
 
 
-def test_a_cut_deadline_holds_for_new_requests_and_not_for_open_ones(tmp_path: Path) -> None:
+def test_a_shorter_deadline_applies_to_new_requests_and_not_to_open_ones(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node(0.6) as a:
             port = free_port()
@@ -280,7 +280,7 @@
     run(work)
 
 
-def test_a_listeners_taken_port_leaves_everything_as_it_was(tmp_path: Path) -> None:
+def test_a_listener_whose_port_is_in_use_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b, Node() as c:
             port = free_port()
@@ -314,7 +314,7 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def test_a_removed_listener_finishes_what_it_has_taken(tmp_path: Path) -> None:
+def test_a_removed_listener_finishes_its_open_requests(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node(0.3) as a:
             port, more = free_port(), free_port()
@@ -344,7 +344,7 @@
     run(work)
 
 
-def test_a_listener_with_another_name_goes_on(tmp_path: Path) -> None:
+def test_a_renamed_listener_stays_open(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a:
             value = file_value([pool("p", {"a": a})], free_port())
@@ -362,14 +362,14 @@
 # --- Under load
 
 
-def test_fifty_applies_in_a_row_lose_and_double_nothing(tmp_path: Path) -> None:
+def test_fifty_applies_in_a_row_lose_and_duplicate_no_request(tmp_path: Path) -> None:
     async def work() -> None:
         memory = Memory()
         cold: dict[str, Any] = {"cold": 0.1, "breaks_at": 4}
         nodes = {f"n{i}": Node(0.003, memory=memory, reports=True, **cold) for i in range(6)}
         for node in nodes.values():
             await node.start()
-            node.started -= 60.0  # it has been here for long when the gateway starts
+            node.started -= 60.0  # warm long before the gateway starts
         port = free_port()
         names = list(nodes)
         gateway = {"cold_time": "100ms"}
@@ -405,7 +405,7 @@
             assert not load.wrong
             assert not doubled(list(nodes.values()))
             assert not any(node.overloaded_at for node in nodes.values())
-            # What was on its way when a node was taken out comes within the grace.
+            # Requests in transit when a node is removed arrive within the drain's grace period.
             assert all(after < 1.0 for node in nodes.values() for _, after in node.late)
             await until(lambda: not it.live.endpoints.draining)
         for node in nodes.values():
@@ -414,7 +414,7 @@
     run(work)
 
 
-def test_two_thousand_routes_and_ten_thousand_nodes_come_and_go(tmp_path: Path) -> None:
+def test_two_thousand_routes_and_ten_thousand_nodes_are_added_and_removed(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node(0.002) as a:
             port = free_port()
@@ -451,9 +451,7 @@
 # --- The disk
 
 
-def test_a_disk_that_takes_nothing_more_leaves_the_old_state(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_full_disk_leaves_the_old_state(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
@@ -485,7 +483,7 @@
     run(work)
 
 
-def test_nothing_after_the_rename_looks_like_a_failure(
+def test_no_failure_is_reported_after_the_rename(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
@@ -503,7 +501,7 @@
     run(work)
 
 
-def test_after_a_restart_the_last_applied_state_holds_and_not_the_file(tmp_path: Path) -> None:
+def test_after_a_restart_the_last_applied_state_is_live_and_not_the_file(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
@@ -524,7 +522,7 @@
 
 
 def _stored(tmp_path: Path) -> Path:
-    """A directory with two applied states."""
+    """Return a directory with two applied states."""
 
     async def work() -> None:
         port = free_port()
@@ -535,7 +533,7 @@
     return tmp_path / "state"
 
 
-def test_a_state_file_that_is_half_there_is_told_with_the_next_step(tmp_path: Path) -> None:
+def test_a_damaged_state_file_is_reported_with_a_remedy(tmp_path: Path) -> None:
     path = _stored(tmp_path)
     last = path / "state-00000002.json"
     whole = last.read_bytes()
@@ -555,7 +553,7 @@
     store.close()
 
 
-def test_a_state_file_of_a_newer_version_or_another_gateway_is_refused(tmp_path: Path) -> None:
+def test_a_state_file_of_a_newer_version_or_another_gateway_is_rejected(tmp_path: Path) -> None:
     path = _stored(tmp_path)
     last = path / "state-00000002.json"
     value = json.loads(last.read_bytes())
@@ -571,7 +569,7 @@
     store.close()
 
 
-def test_a_directory_that_cannot_be_used_is_named(tmp_path: Path) -> None:
+def test_an_error_about_the_state_directory_names_it(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(StoreError, match=r"state_dir: .*file"):
         Store(tmp_path / "file", "g1")
@@ -579,13 +577,15 @@
     with pytest.raises(StoreError, match="another gateway holds it"):
         Store(tmp_path / "state", "g1")
     store.close()
-    if os.getuid() != 0:  # root writes where nobody may
+    if os.getuid() != 0:  # root ignores permissions
         (tmp_path / "state").chmod(0o500)
         with pytest.raises(StoreError, match="Permission denied"):
             Store(tmp_path / "state" / "deeper", "g1")
 
 
-def test_only_so_many_states_are_kept(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_kept_states_is_bounded(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("sailhitch.daemon.store.MAX_STATES", 3)
 
     async def work() -> None:
@@ -598,7 +598,7 @@
     run(work)
 
 
-# --- Killed
+# --- Applies that are killed
 
 
 STEPS = [
@@ -614,7 +614,8 @@
     "committed",
     "switched",
 ]
-HOLDS = {step: 1 if i < STEPS.index("renamed") else 2 for i, step in enumerate(STEPS)}
+# By the step at which the apply is killed, the serial that is live after the restart.
+LIVE_SERIALS = {step: 1 if i < STEPS.index("renamed") else 2 for i, step in enumerate(STEPS)}
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -641,7 +642,7 @@
                     await until(lambda: load.ends["served"] > served + 20)
                     await load.finish()
                 live = await it.ask({"op": "state"})
-                assert live["serial"] == HOLDS[step]
+                assert live["serial"] == LIVE_SERIALS[step]
                 nodes, pools = set(live["state"]["nodes"]), set(live["state"]["pools"])
                 assert (nodes, pools) == (
                     ({"p/a"}, {"p"}) if live["serial"] == 1 else ({"p/b"}, {"p", "q"})
@@ -659,7 +660,7 @@
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGHUP"])
 @pytest.mark.parametrize("step", ["bound", "written", "committed"])
-def test_an_apply_goes_on_through_a_signal(number: str, step: str, tmp_path: Path) -> None:
+def test_an_apply_completes_despite_a_signal(number: str, step: str, tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
@@ -676,7 +677,7 @@
                     await it.start()
                     assert (await it.ask({"op": "state"}))["serial"] == 2
                 else:
-                    # The file is still the old one: what SIGHUP asks for comes after the apply.
+                    # The file is still the old one; SIGHUP applies it after the plan.
                     async with asyncio.timeout(PATIENCE):
                         while (await it.ask({"op": "state"}))["serial"] < 3:
                             await asyncio.sleep(0.02)
@@ -686,7 +687,7 @@
     run(work)
 
 
-def test_sighup_goes_by_the_file_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_applies_the_file_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
@@ -710,18 +711,21 @@
     run(work)
 
 
-def test_of_two_sighups_the_later_file_holds(
+def test_of_two_sighups_the_later_file_is_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first reading is held up until the second one is gone by, or has not begun."""
+    """Guards against two concurrent reads of the file, of which the older one is applied last.
+
+    The first read is delayed until the second one is applied, or for a second.
+    """
     readings: list[OperatorFile] = []
-    gone_by = threading.Event()
+    is_applied = threading.Event()
 
     def held(path: str) -> OperatorFile:
         made_ = load_file(path)
         readings.append(made_)
         if len(readings) == 1:
-            gone_by.wait(1.0)
+            is_applied.wait(1.0)
         return made_
 
     async def work() -> None:
@@ -736,7 +740,7 @@
                 if count == 1:
                     await until(lambda: bool(readings))
             await until(lambda: it.live.applied.serial > 1)
-            gone_by.set()
+            is_applied.set()
             await until(lambda: not daemon._tasks)
             assert len(readings) == 2
             assert set(it.live.applied.state["nodes"]) == {"p/c"}
@@ -745,7 +749,7 @@
 
 
 @pytest.mark.parametrize("what", ["another", "one more", "none"])
-def test_a_change_that_comes_while_it_ends_lets_nobody_in(what: str, tmp_path: Path) -> None:
+def test_an_apply_during_shutdown_accepts_no_clients(what: str, tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a:
             port, more = free_port(), free_port()
@@ -761,7 +765,7 @@
                 for gone in (port, more):
                     with pytest.raises(ConnectionRefusedError):
                         await dial(f"127.0.0.1:{gone}")
-                if what == "one more":  # else its listener has gone, and the connection with it
+                if what == "one more":  # otherwise the connection was closed with its listener
                     assert (await client.ask(get()))[0] == 200
 
     run(work)
@@ -779,7 +783,7 @@
     return dict(answer)
 
 
-async def _say(it: Inside, data: bytes, end: bool = True) -> dict[str, Any]:
+async def _send(it: Inside, data: bytes, end: bool = True) -> dict[str, Any]:
     reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
     writer.write(data)
     if end:
@@ -800,7 +804,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "expected"),
     [
         (b"", "cut short"),
         (b'{"op": "state"}', "cut short"),
@@ -813,16 +817,16 @@
         (b'{"op": "apply"}\n', "not a plan"),
     ],
 )
-def test_an_admin_request_out_of_form_is_told_so(data: bytes, said: str, tmp_path: Path) -> None:
+def test_an_invalid_admin_request_is_reported(data: bytes, expected: str, tmp_path: Path) -> None:
     async def act(it: Inside) -> None:
-        answer = await _say(it, data)
+        answer = await _send(it, data)
         assert not answer["ok"]
-        assert said in answer["error"]
+        assert expected in answer["error"]
 
     admin(tmp_path, act)
 
 
-def test_an_admin_client_with_sixty_megabytes_is_stopped(tmp_path: Path) -> None:
+def test_an_admin_request_of_sixty_megabytes_is_rejected(tmp_path: Path) -> None:
     async def act(it: Inside) -> None:
         reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
         try:
@@ -830,19 +834,19 @@
                 writer.write(b"x" * (1 << 20))
                 await writer.drain()
         except OSError:
-            pass  # it is no longer read
+            pass  # the gateway no longer reads
         async with asyncio.timeout(PATIENCE):
             try:
-                said = await reader.readline()
+                reply = await reader.readline()
             except OSError:
-                said = b""
-        assert b"larger than 32 MiB" in said or said == b""
+                reply = b""
+        assert b"larger than 32 MiB" in reply or reply == b""
         assert it.live.applied.serial == 1
 
     admin(tmp_path, act)
 
 
-def test_an_admin_client_that_says_nothing_is_let_go(
+def test_an_idle_admin_client_is_disconnected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sailhitch.daemon.admin.CLIENT_TIMEOUT", 0.2)
@@ -859,7 +863,7 @@
     admin(tmp_path, act)
 
 
-def test_another_user_is_refused_by_the_kernels_word(
+def test_another_user_is_rejected_by_its_peer_credentials(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(it: Inside) -> None:
@@ -872,7 +876,7 @@
     admin(tmp_path, act)
 
 
-def test_a_stale_socket_is_taken_over_and_a_live_one_or_a_file_is_not(tmp_path: Path) -> None:
+def test_a_stale_socket_is_replaced_and_a_live_one_or_a_file_is_not(tmp_path: Path) -> None:
     async def work() -> None:
         path = tmp_path / "g1.sock"
         with socket.socket(socket.AF_UNIX) as stale:
@@ -892,7 +896,7 @@
     run(work)
 
 
-def test_an_admin_client_that_leaves_takes_no_apply_with_it(tmp_path: Path) -> None:
+def test_an_apply_completes_after_its_admin_client_has_disconnected(tmp_path: Path) -> None:
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -1,4 +1,4 @@
-"""A tier of as many members as a file may name."""
+"""A tier with as many members as a file may list."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 @pytest.mark.parametrize("count", [FULL_SIZE, MOST_MEMBERS])
-def test_a_file_may_name_as_many_members_as_the_full_size_has(count: int) -> None:
+def test_a_file_may_list_as_many_members_as_a_full_size_tier_has(count: int) -> None:
     made = parse_value(_value(count))
     assert made.tier is not None
     assert len(made.tier.members) == count
 
 
-def test_one_member_more_is_refused_with_the_field_and_the_bound() -> None:
+def test_one_member_too_many_is_rejected_with_the_field_and_the_limit() -> None:
     with pytest.raises(FileError, match=rf"tier\.members: .*{MOST_MEMBERS}"):
         parse_value(_value(MOST_MEMBERS + 1))
 
 
-def test_a_repeated_member_among_many_is_named() -> None:
+def test_a_duplicate_member_among_many_is_named() -> None:
     value = _value(FULL_SIZE)
     value["tier"]["members"][1_699]["name"] = "g7"
     with pytest.raises(FileError, match=r"tier\.members\[1699\]\.name: 'g7' is that of .*\[7\]"):
--- a/tests/test_state_tree.py
+++ b/tests/test_state_tree.py
@@ -1,4 +1,4 @@
-"""States as page trees: one root for one state, read back whole or by what differs."""
+"""States as page trees: equal states have equal roots, and are read whole or as differences."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def _shuffled(draw: Any, state: State) -> State:
-    """The same state with every mapping in another order, sharing nothing."""
+    """Return an equal state with every mapping in another order, and no shared objects."""
     return {
         kind: {
             name: copy.deepcopy(dict(state[kind][name]))
@@ -50,7 +50,7 @@
 
 @settings(max_examples=100)
 @given(states(), st.data())
-def test_the_same_state_has_the_same_root_and_is_read_back(state: State, data: Any) -> None:
+def test_equal_states_have_equal_roots_and_are_read_back(state: State, data: Any) -> None:
     tree = to_tree(state)
     assert to_tree(_shuffled(data.draw, state)).root == tree.root
     assert state_from(Pages(tree.pages), tree.root) == state
@@ -58,7 +58,7 @@
 
 @settings(max_examples=150)
 @given(states(), states(), st.booleans())
-def test_a_changed_state_is_what_the_full_read_and_the_full_tree_give(
+def test_an_update_equals_the_full_tree_and_a_difference_equals_the_full_read(
     old: State, new: State, share: bool
 ) -> None:
     before, whole = to_tree(old), to_tree(new)
@@ -75,11 +75,11 @@
     for kind in KINDS:
         assert names[kind] == {n for n in {*old[kind], *new[kind]} if _differs(old, new, kind, n)}
         for name in old[kind].keys() & new[kind].keys() - names[kind]:
-            assert read[kind][name] is old[kind][name]  # shared, not made anew
+            assert read[kind][name] is old[kind][name]  # shared, not copied
 
 
 def _sharing(old: State, new: State) -> State:
-    """`new` with the very objects of `old` where they are equal."""
+    """Return `new` with the objects of `old` where they are equal."""
     return {
         kind: {
             name: old[kind][name] if old[kind].get(name) == value else value
@@ -107,7 +107,7 @@
     return {**EMPTY, "nodes": nodes, "tenants": tenants}
 
 
-def test_one_weight_changed_touches_a_few_pages_and_a_pool_lies_together() -> None:
+def test_a_changed_weight_touches_few_pages_and_so_does_a_whole_pool() -> None:
     state = _large()
     tree = to_tree(state)
     node = state["nodes"]["p7/n700"]
@@ -123,7 +123,7 @@
     assert read == other
     assert len(source.requested) <= 16
     assert read["tenants"] is state["tenants"]
-    # All of one pool: nothing like a page for each of its hundred nodes.
+    # All hundred nodes of one pool: they are adjacent, and need far fewer than a hundred pages.
     pool = {k: {**n, "weight": 3.0} for k, n in state["nodes"].items() if k.startswith("p7/")}
     moved = {**state, "nodes": {**state["nodes"], **pool}}
     assert len(update_tree(source, tree.root, state, moved).pages) <= 24
@@ -135,10 +135,10 @@
     st.dictionaries(st.sampled_from("abcdef"), st.integers(0, 2)),
     st.booleans(),
 )
-def test_what_differs_is_found_whatever_the_order_and_what_is_shared(
+def test_differences_are_found_in_any_order_and_with_any_sharing(
     old: dict[str, int], more: dict[str, int], copied: bool
 ) -> None:
-    """Copies with names altered and added, copies with names taken out, and any two mappings."""
+    """Compares copies with names changed, added or removed, and unrelated mappings."""
     a: dict[str, Any] = {name: {"v": value} for name, value in old.items()}
     b: dict[str, Any] = {**a} if copied else {}
     b |= {name: {"v": value} for name, value in more.items()}
@@ -152,7 +152,7 @@
         assert differing_names(one, other) == differ
 
 
-def test_one_and_one_point_nothing_are_two_states() -> None:
+def test_an_integer_and_an_equal_float_give_different_roots() -> None:
     state = {**EMPTY, "tenants": {"t": {"share": 1.0}}}
     other = {**EMPTY, "tenants": {"t": {"share": 1}}}
     tree = to_tree(state)
@@ -160,14 +160,14 @@
     assert to_tree(other).root != tree.root
 
 
-def test_a_node_whose_name_is_of_no_pool_has_no_key() -> None:
+def test_a_node_that_is_not_named_by_pool_and_id_has_no_key() -> None:
     for name in ("n1", "/n1", "p/", ""):
         with pytest.raises(StateTreeError, match=r"nodes .*not named `pool/id`"):
             key_of("nodes", name)
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "said"),
+    ("key", "value", "expected"),
     [
         (Key("robots", "r1"), b"{}", r"'robots'.*'robots' is not a kind"),
         (Key("", "r1"), b"{}", "is not a kind"),
@@ -181,12 +181,12 @@
         (Key("nodes", "n"), b"{}", "not the key of any object of 'nodes'"),
     ],
 )
-def test_an_entry_that_is_of_no_state_is_named(key: Key, value: bytes, said: str) -> None:
+def test_an_invalid_entry_is_named(key: Key, value: bytes, expected: str) -> None:
     entries = {key_of(k, n): json.dumps(v).encode() for k in KINDS for n, v in BASE[k].items()}
     good, bad = build(entries), build({**entries, key: value})
     source = Pages({**good.pages, **bad.pages})
     base = state_from(source, good.root)
-    with pytest.raises(StateTreeError, match=said):
+    with pytest.raises(StateTreeError, match=expected):
         state_from(source, bad.root)
-    with pytest.raises(StateTreeError, match=said):
+    with pytest.raises(StateTreeError, match=expected):
         changed_state(base, good.root, source, bad.root)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Applied states on disk as pages: what they cost, what damages them, and what is let go of."""
+"""Applied states on disk as pages: their cost, damage to them, and the release of pages."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def _states(count: int) -> Iterator[AppliedState]:
-    """States each of which has the weight of one node changed."""
+    """Yield states, each with the weight of one node changed."""
     state = _state()
     for serial in range(1, count + 1):
         yield _applied(serial, state)
@@ -66,14 +66,14 @@
     one.close()
 
 
-def _again(store: Store) -> Store:
-    """The same directory, opened anew."""
+def _reopened(store: Store) -> Store:
+    """Return the same directory, opened again."""
     store.close()
     return Store(store.path, "g1")
 
 
 def _reachable(store: Store) -> set[str]:
-    """The digests of all pages that the kept roots lead to."""
+    """Return the digests of all pages that are reachable from the kept roots."""
     found: set[str] = set()
     queue = [root.digest for root in store.pages.roots()]
     while queue:
@@ -84,19 +84,19 @@
     return found
 
 
-def _pages_here(store: Store) -> set[str]:
+def _stored_pages(store: Store) -> set[str]:
     return {row[0].hex() for row in store.pages._db.execute("SELECT digest FROM pages")}
 
 
 def _damage(store: Store, statement: str, *values: Any) -> None:
-    """Change the closed store's pages behind its back."""
+    """Change the pages of a closed store."""
     db = sqlite3.connect(store.path / FILE_NAME)
     with db:
         assert db.execute(statement, values).rowcount > 0
     db.close()
 
 
-# --- What is kept
+# --- Storing and releasing
 
 
 def test_states_are_read_back_as_they_were_also_by_another_process(store: Store) -> None:
@@ -105,7 +105,7 @@
         _keep(store, applied)
     for applied in states:
         assert store.read(applied.serial) == applied
-    again = _again(store)
+    again = _reopened(store)
     for applied in states:
         assert again.read(applied.serial) == applied
     assert again.last() == states[-1]
@@ -115,17 +115,17 @@
     again.close()
 
 
-def test_a_state_that_was_held_by_nobody_here_is_kept_whole(store: Store) -> None:
-    """After a restart without reading, or a change that shares no object with the last."""
+def test_a_state_that_shares_no_object_with_the_latest_is_stored_completely(store: Store) -> None:
+    """This happens after a restart without a read, or if a change copies all objects."""
     states = list(_states(3))
     _keep(store, states[0])
-    again = _again(store)
+    again = _reopened(store)
     _keep(again, states[1])
     copy = json.loads(json.dumps(states[2].state))
     _keep(again, AppliedState(3, 1, "t", copy, "", dict(states[2].new_since)))
     assert again.read(2) == states[1]
     assert again.read(3).state == states[2].state
-    assert _pages_here(again) == _reachable(again)
+    assert _stored_pages(again) == _reachable(again)
     again.close()
 
 
@@ -148,21 +148,21 @@
     return sum(path.stat().st_size for path in store.path.iterdir())
 
 
-def test_pages_that_no_kept_state_needs_are_let_go_of(
+def test_pages_that_no_kept_state_needs_are_released(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sailhitch.daemon.store.MAX_STATES", 3)
     states = list(_states(9))
     for applied in states:
         _keep(store, applied)
-        assert _pages_here(store) == _reachable(store)
+        assert _stored_pages(store) == _reachable(store)
     assert store.serials() == [7, 8, 9]
     assert {root.serial for root in store.pages.roots()} == {7, 8, 9}
     for applied in states[-3:]:
         assert store.read(applied.serial) == applied
 
 
-def test_a_state_that_comes_back_keeps_its_pages_as_its_first_time_is_let_go_of(
+def test_a_repeated_state_keeps_its_pages_when_its_earlier_serial_is_released(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sailhitch.daemon.store.MAX_STATES", 2)
@@ -170,28 +170,28 @@
     for serial in range(1, 8):
         one = first if serial % 2 else other
         _keep(store, AppliedState(serial, 1, "t", one.state, "", one.new_since))
-        assert _pages_here(store) == _reachable(store)
+        assert _stored_pages(store) == _reachable(store)
     assert store.read(7).state == first.state
     assert store.read(6).state == other.state
 
 
-def test_one_serial_written_again_keeps_its_last_state_only(store: Store) -> None:
-    """A tier's daemon writes what is active at each of its starts, under the same serial."""
+def test_a_serial_that_is_written_again_keeps_only_its_last_state(store: Store) -> None:
+    """A tier's daemon writes the active version at each start, under the same serial."""
     first, other = list(_states(2))
     _keep(store, first)
     _keep(store, first)
     assert store.read(1) == first
     _keep(store, AppliedState(1, 5, "t", other.state, "", other.new_since))
     assert store.read(1).state == other.state
-    assert _pages_here(store) == _reachable(store)
+    assert _stored_pages(store) == _reachable(store)
     assert len(store.pages.roots()) == 2
 
 
-# --- The version before
+# --- Format 1, of earlier versions
 
 
-def _write_whole(path: Path, applied: AppliedState) -> Path:
-    """A state file as the version before wrote it."""
+def _write_format_1(path: Path, applied: AppliedState) -> Path:
+    """Write a state file of format 1, which contains the full state."""
     value = {
         "format": 1,
         "gateway": "g1",
@@ -207,14 +207,14 @@
     return file
 
 
-def test_files_of_the_version_before_are_read_and_never_rewritten(store: Store) -> None:
+def test_files_of_format_1_are_read_and_never_rewritten(store: Store) -> None:
     states = list(_states(4))
-    files = [_write_whole(store.path, applied) for applied in states[:2]]
+    files = [_write_format_1(store.path, applied) for applied in states[:2]]
     before = [file.read_bytes() for file in files]
     assert store.last() == states[1]
     for applied in states[2:]:
         _keep(store, applied)
-    again = _again(store)
+    again = _reopened(store)
     assert again.last() == states[3]
     assert [again.read(applied.serial) for applied in states] == states
     assert again.history() == [applied.record() for applied in states]
@@ -225,13 +225,13 @@
     again.close()
 
 
-def test_a_start_reads_one_file_of_the_version_before_whoever_is_beside_it(
+def test_a_start_reads_at_most_one_file_of_format_1(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each is a whole state: fifty of them at full size would take half a minute."""
+    """Each contains a full state: reading fifty of full size would take half a minute."""
     states = list(_states(5))
     for one in states[:3]:
-        _write_whole(store.path, one)
+        _write_format_1(store.path, one)
     real, read = Store._manifest, list[int]()
 
     def watched(one: Store, serial: int) -> dict[str, Any]:
@@ -243,7 +243,7 @@
     assert read == [3]
     for one in states[3:]:
         _keep(store, one)
-    again = _again(store)
+    again = _reopened(store)
     read.clear()
     assert again.last() == states[4]
     assert sorted(read) == [4, 5, 5]
@@ -254,32 +254,32 @@
 
 
 @pytest.mark.parametrize(
-    ("statement", "said"),
+    ("statement", "expected"),
     [
         ("UPDATE pages SET packed = substr(packed, 1, length(packed) / 2)", "ends too early"),
         ("UPDATE pages SET packed = x'00'", "compressed page"),
         ("DELETE FROM pages", "its page .* is missing from"),
     ],
 )
-def test_a_damaged_page_is_found_and_the_next_step_is_told(
-    store: Store, statement: str, said: str
+def test_a_damaged_page_is_reported_with_a_remedy(
+    store: Store, statement: str, expected: str
 ) -> None:
     for one in _states(2):
         _keep(store, one)
     root = json.loads((store.path / "state-00000002.json").read_bytes())["root"]
     for where in ("hex(digest) = ?", "hex(digest) != ?"):
-        fresh = _again(store)
+        fresh = _reopened(store)
         fresh.close()
         original = (store.path / FILE_NAME).read_bytes()
         _damage(store, f"{statement} WHERE {where}", root.upper())
         damaged = Store(store.path, "g1")
-        with pytest.raises(StoreError, match=rf"{said}.*remove it to continue from serial 1"):
+        with pytest.raises(StoreError, match=rf"{expected}.*remove it to continue from serial 1"):
             damaged.last()
         damaged.close()
         (store.path / FILE_NAME).write_bytes(original)
 
 
-def test_a_page_is_never_taken_for_another(store: Store) -> None:
+def test_a_page_under_the_digest_of_another_is_detected(store: Store) -> None:
     states = list(_states(2))
     for one in states:
         _keep(store, one)
@@ -297,42 +297,42 @@
     damaged = Store(store.path, "g1")
     with pytest.raises(StoreError, match=r"damaged, in .*remove it to continue from serial 1"):
         damaged.last()
-    # As it is told: the one before is whole, and what is kept next is whole again.
+    # After following the error's advice, the earlier state is intact, and so is the next one.
     (store.path / "state-00000002.json").unlink()
     assert damaged.last() == states[0]
     _keep(damaged, states[1])
     assert damaged.read(2) == states[1]
-    again = _again(damaged)
+    again = _reopened(damaged)
     assert again.last() == states[1]
     again.close()
 
 
-def test_a_state_kept_whole_mends_pages_that_were_damaged(store: Store) -> None:
+def test_storing_a_complete_state_repairs_damaged_pages(store: Store) -> None:
     states = list(_states(2))
     _keep(store, states[0])
     store.close()
     _damage(store, "UPDATE pages SET packed = x'00'")
     again = Store(store.path, "g1")
-    _keep(again, states[1])  # it has read nothing, and so writes all of it
+    _keep(again, states[1])  # this store has read nothing, so it writes the complete state
     assert again.read(2) == states[1]
     again.close()
 
 
-def test_a_page_file_that_is_none_is_told(tmp_path: Path) -> None:
+def test_a_page_file_that_is_not_a_database_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "state"
     path.mkdir()
     (path / FILE_NAME).write_bytes(b"no database at all" * 100)
     with pytest.raises(StoreError, match=r"pages.sqlite3: damaged \(.*move it and the state files"):
         Store(path, "g1")
     (path / FILE_NAME).unlink()
-    store = Store(path, "g1")  # the lock was let go of
+    store = Store(path, "g1")  # the lock was released
     store.close()
 
 
-def test_a_file_that_takes_no_more_pages_leaves_what_was(store: Store) -> None:
+def test_a_full_page_file_leaves_the_old_state(store: Store) -> None:
     states = list(_states(2))
     _keep(store, states[0])
-    before = _pages_here(store)
+    before = _stored_pages(store)
     store.close()
     full = Store(store.path, "g1")
     pages = full.pages._db.execute("PRAGMA page_count").fetchone()[0]
@@ -340,7 +340,7 @@
     large = _applied(2, _state(3000))
     with pytest.raises(StoreError, match=r"pages\.sqlite3: database or disk is full"):
         full.prepare(large, ignore_step)
-    assert _pages_here(full) == before
+    assert _stored_pages(full) == before
     assert full.serials() == [1]
     assert full.last() == states[0]
     full.pages._db.execute("PRAGMA max_page_count = 1000000")
@@ -349,23 +349,25 @@
     full.close()
 
 
-def test_an_object_that_no_page_takes_is_refused_and_leaves_what_was(store: Store) -> None:
+def test_an_object_too_large_for_a_page_is_rejected_and_leaves_the_old_state(store: Store) -> None:
     states = list(_states(2))
     _keep(store, states[0])
-    before = _pages_here(store)
+    before = _stored_pages(store)
     large = {**states[1].state, "tenants": {"t": {"share": "x" * MAX_PAGE_BYTES}}}
     with pytest.raises(StoreError, match="the state can't be stored: "):
         store.prepare(AppliedState(2, 1, "t", large), ignore_step)
-    assert _pages_here(store) == before
+    assert _stored_pages(store) == before
     assert store.serials() == [1]
     _keep(store, states[1])
     assert store.read(2) == states[1]
 
 
-def test_a_rename_that_fails_leaves_what_was(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_rename_leaves_the_old_state(
+    store: Store, monkeypatch: pytest.MonkeyPatch
+) -> None:
     states = list(_states(2))
     _keep(store, states[0])
-    before = _pages_here(store)
+    before = _stored_pages(store)
     path = store.prepare(states[1], ignore_step)
 
     def broken(source: Path, target: Path) -> None:
@@ -375,13 +377,13 @@
         patch.setattr(os, "replace", broken)
         with pytest.raises(StoreError, match="Input/output error"):
             store.commit(path, 2, ignore_step)
-    assert _pages_here(store) == before
+    assert _stored_pages(store) == before
     assert store.read(1) == states[0]
     _keep(store, states[1])
     assert store.read(2) == states[1]
 
 
-def test_a_page_file_adds_no_tree_whose_pages_are_not_all_there(tmp_path: Path) -> None:
+def test_a_page_file_rejects_a_tree_with_missing_pages(tmp_path: Path) -> None:
     from sailhitch.daemon.state_tree import to_tree
 
     file = PageFile(tmp_path)
@@ -398,7 +400,7 @@
     file.close()
 
 
-# --- Killed
+# --- Writes that are killed
 
 KILLED = """
 import os, signal, sys
@@ -428,7 +430,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_killed_at_any_step_the_old_or_the_new_state_is_whole_and_nothing_is_left(
+def test_a_write_killed_at_any_step_leaves_the_old_or_the_new_state_and_no_garbage(
     step: str, tmp_path: Path
 ) -> None:
     path, states = tmp_path / "state", list(_states(4))
@@ -445,7 +447,7 @@
     kept_serials = store.serials()
     assert kept_serials == ([2, 3, 4] if step == "renamed" else [3, 4] if new else [2, 3])
     assert {root.serial for root in store.pages.roots()} == set(kept_serials)
-    assert _pages_here(store) == _reachable(store)
+    assert _stored_pages(store) == _reachable(store)
     for serial in kept_serials:
         assert store.read(serial) == states[serial - 1]
     assert not [name for name in os.listdir(path) if name.startswith(".")]
--- a/tests/test_tier_switch.py
+++ b/tests/test_tier_switch.py
@@ -1,4 +1,4 @@
-"""What a daemon does while a change is pending: what is held back, at its reading and its write."""
+"""A daemon with a pending change: requests rejected when they are read or written to a node."""
 
 from __future__ import annotations
 
@@ -31,22 +31,25 @@
 
 @contextlib.asynccontextmanager
 async def pending(tmp_path: Path, routes: Routes) -> AsyncIterator[tuple[Inside, Node, Node]]:
-    """A daemon that goes by its file met with one with other routes, and a node of each pool."""
+    """Yield a daemon whose rules are combined with pending ones that have other routes.
+
+    Also yields a node of each pool.
+    """
     async with Node() as a, Node(compares=True) as b:
         value = file_value([pool("p", {"a": a}), pool("q", {"b": b})], free_port())
         async with inside(tmp_path, value) as it:
             also = from_file(made({**value, "routes": routes}))
-            await go(it, meet(it.live.applied.state, also), also, b"Tier-Version: 1, 2\r\n", 1)
+            await apply(it, meet(it.live.applied.state, also), also, b"Tier-Version: 1, 2\r\n", 1)
             yield it, a, b
 
 
-async def go(it: Inside, state: State, also: State | None, stamp: bytes, rules: int) -> None:
+async def apply(it: Inside, state: State, also: State | None, stamp: bytes, rules: int) -> None:
     serial = it.live.applied.serial
     await it.live.change(StateChange(state, "t", serial, None, False, stamp, also, rules))
 
 
 def routed(**pools: dict[str, float]) -> Routes:
-    """The file's routes with other pools for some."""
+    """Return the file's routes, with other pools for some."""
     return [{**route, "pools": pools.get(route["name"], {"p": 1.0})} for route in ROUTES]
 
 
@@ -57,7 +60,7 @@
         return bytes(await read_message(client.reader))
 
 
-def test_what_both_rules_send_to_one_place_goes_and_the_rest_is_told_when_to_come_back(
+def test_requests_that_both_rules_route_alike_are_served_and_others_are_told_to_retry(
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
@@ -69,10 +72,10 @@
             assert b"Retry-After: 1" in refused
             assert b"under way" in refused
             assert a.seen == b.seen == 0
-            # Safe by both: by the rules that hold.
+            # Safe under both: the active rules route it.
             assert (await ask(client, "GET", "/x")).startswith(b"HTTP/1.1 200")
             assert a.seen == 1
-            # Keyed: where both send this key.
+            # Keyed: served if both rules send this key to the same pool.
             ends = [await ask(client, "POST", "/claims", f"k{i}", f"f{i}") for i in range(40)]
             went = [end.startswith(b"HTTP/1.1 200") for end in ends]
             assert 5 < sum(went) < 35
@@ -80,15 +83,15 @@
             assert b.seen == 0
             assert it.live.intake.held_back == 1 + 40 - sum(went)
             assert {effect.version for effect in a.log} == {b"1, 2"}
-            # Once it is active, all goes by it.
-            await go(it, it.live.applied.state, None, b"Tier-Version: 2\r\n", 2)
+            # Once the change is active, all requests are routed by it.
+            await apply(it, it.live.applied.state, None, b"Tier-Version: 2\r\n", 2)
             assert (await ask(client, "POST", "/payouts/1", name="p2")).startswith(b"HTTP/1.1 200")
 
     asyncio.run(work())
 
 
-def test_a_class_that_the_other_rules_do_not_repeat_is_held_back(tmp_path: Path) -> None:
-    """A GET that is safe here, and of an unsafe class there."""
+def test_a_request_whose_class_the_pending_rules_change_is_rejected(tmp_path: Path) -> None:
+    """The GET is safe under the active rules, and of an unsafe class under the pending ones."""
 
     async def work() -> None:
         routes = [{**route, "pools": {"p": 1.0}} for route in ROUTES]
@@ -101,8 +104,8 @@
     asyncio.run(work())
 
 
-def test_what_the_rules_forbid_at_the_write_is_not_written(tmp_path: Path) -> None:
-    """Chosen and waiting for a connection when the rules change: it never runs."""
+def test_an_attempt_that_the_rules_forbid_at_the_write_is_not_written(tmp_path: Path) -> None:
+    """An attempt that waits for a connection when the rules change must not be executed."""
 
     async def work() -> None:
         async with pending(tmp_path, routed()) as (it, a, _):
@@ -128,13 +131,13 @@
     asyncio.run(work())
 
 
-def test_a_node_that_compares_turns_away_what_is_sent_under_older_rules(tmp_path: Path) -> None:
+def test_a_node_that_compares_versions_rejects_requests_of_older_rules(tmp_path: Path) -> None:
     async def work() -> None:
         async with pending(tmp_path, routed()) as (it, _, b):
             value = file_value([pool("q", {"b": b})], it.port)
             state = {**from_file(made(value)), "bans": {}}
             for stamp, status in ((b"7", 200), (b"6, 7", 200), (b"6", 503), (b"8", 200)):
-                await go(it, state, None, b"Tier-Version: %s\r\n" % stamp, 1)
+                await apply(it, state, None, b"Tier-Version: %s\r\n" % stamp, 1)
                 client = await it.client()
                 answer = await ask(client, "POST", "/payouts/1", name=f"n{stamp.decode()}"[:3])
                 got = int(answer.split(b" ")[1])
@@ -146,44 +149,46 @@
 
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop])
-def test_what_the_system_does_not_send_counts_as_lost_and_is_told(
+def test_datagrams_that_the_system_does_not_send_count_as_lost_and_are_logged(
     tmp_path: Path, loop: Callable[[], asyncio.AbstractEventLoop]
 ) -> None:
-    """To all on the network, which a socket may not do unless it is told so (socket(7))."""
+    """Sends to the broadcast address, which needs a socket option (socket(7))."""
 
     async def work() -> None:
-        names, said = ("g1", "g2", "g3"), list[str]()
-        places = {
+        names, lines = ("g1", "g2", "g3"), list[str]()
+        addresses = {
             "g1": ("127.0.0.1", free_port(socket.SOCK_DGRAM)),
             "g2": ("255.255.255.255", 9),
             "g3": ("127.0.0.1", free_port(socket.SOCK_DGRAM)),
         }
         link = TierLink(
             TierConfig("g1", names, names),
-            places,
+            addresses,
             Keys(1, {1: b"k" * 32}),
             tmp_path,
             lambda a: None,
-            said.append,
+            lines.append,
         )
         await link.start(None)
-        await until(lambda: any("EACCES=" in one for one in said))
+        await until(lambda: any("EACCES=" in one for one in lines))
         assert link.member is not None
         membership = link.member.membership
-        beats = membership.own_record.heartbeat
-        await until(lambda: membership.own_record.heartbeat > beats + 1)
+        before = membership.own_record.heartbeat
+        await until(lambda: membership.own_record.heartbeat > before + 1)
         link.close()
 
     with asyncio.Runner(loop_factory=loop) as runner:
         runner.run(work())
 
 
-def test_a_port_that_is_taken_is_told_with_its_field(tmp_path: Path) -> None:
+def test_a_port_in_use_is_reported_with_its_field(tmp_path: Path) -> None:
     async def work() -> None:
         def link(name: str) -> TierLink:
-            terms = TierConfig("g1", ("g1",), ("g1",))
-            keys, here = Keys(1, {1: b"k" * 32}), {"g1": ("127.0.0.1", port)}
-            return TierLink(terms, here, keys, tmp_path / name, lambda a: None, lambda t: None)
+            config = TierConfig("g1", ("g1",), ("g1",))
+            keys, addresses = Keys(1, {1: b"k" * 32}), {"g1": ("127.0.0.1", port)}
+            return TierLink(
+                config, addresses, keys, tmp_path / name, lambda a: None, lambda t: None
+            )
 
         port = free_port()
         one, other = link("a"), link("b")
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -1,4 +1,4 @@
-"""An exception that nobody expected ends what raised it, and nothing beside it."""
+"""An unexpected exception ends only the operation that raised it."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
     raise ZeroDivisionError("division by zero")
 
 
-def test_a_fault_of_the_zones_keeps_no_gateway_from_being_ready(
+def test_a_failure_of_the_zone_coordinator_does_not_affect_readiness(
     tmp_path: Path, monkeypatch: Patch
 ) -> None:
-    """Guards against a gateway that is never ready, or stays ready, as zones can't be diagnosed."""
+    """Guards against readiness that is never updated because the zones' heartbeat raises."""
     status = MemberStatus.ACTIVE
     monkeypatch.setattr(ZoneCoordinator, "on_heartbeat", _fail)
     monkeypatch.setattr(TierLink, "member_status", lambda self: status)
 
-    async def story() -> None:
+    async def work() -> None:
         nonlocal status
         async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
             core = it.live.core
@@ -54,16 +54,16 @@
             assert core.counters.faults == 2
             core.counters.faults = 0  # `inside` expects none
 
-    asyncio.run(story())
+    asyncio.run(work())
 
 
-def test_a_request_that_raises_is_answered(tmp_path: Path, monkeypatch: Patch) -> None:
-    """Guards against an admin connection that is cut without a word."""
+def test_an_admin_request_that_raises_is_answered(tmp_path: Path, monkeypatch: Patch) -> None:
+    """Guards against an admin connection that is closed without a reply."""
 
     async def failing(self: AdminRequests, request: Any, uid: int) -> None:
         _fail()
 
-    async def story() -> None:
+    async def work() -> None:
         async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
             monkeypatch.setattr(AdminRequests, "execute", failing)
             reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
@@ -76,4 +76,4 @@
             assert it.live.core.counters.faults == 1
             it.live.core.counters.faults = 0  # `inside` expects none
 
-    asyncio.run(story())
+    asyncio.run(work())
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -1,4 +1,4 @@
-"""States of the tier's versions: by what differs, and whole ones of the release before."""
+"""States of the tier's versions: read as differences, and complete ones of an earlier release."""
 
 from __future__ import annotations
 
@@ -18,8 +18,12 @@
 from sailhitch.daemon.plan import MovedError, identity
 from sailhitch.daemon.schema import parse_text, parse_value
 from sailhitch.daemon.state import State, canonical, from_file
-from sailhitch.daemon.state_applier import ApplyError, StateApplier, resource_limits
-from sailhitch.daemon.state_applier import StateChange as LiveDecided
+from sailhitch.daemon.state_applier import (
+    ApplyError,
+    StateApplier,
+    StateChange,
+    resource_limits,
+)
 from sailhitch.daemon.state_tree import StateTreeError, to_tree
 from sailhitch.daemon.store import AppliedState, Store
 from sailhitch.daemon.tier_link import TierLink
@@ -43,7 +47,7 @@
 
 
 class Contents(Pages):
-    """Pages, and whole contents beside them."""
+    """Pages, and complete contents beside them."""
 
     def __init__(self, pages: Mapping[str, bytes], whole: Mapping[str, bytes] = {}) -> None:
         super().__init__(pages)
@@ -64,7 +68,7 @@
     return tree_digest(tree.root)
 
 
-def test_a_version_is_read_by_its_difference_from_one_that_is_known() -> None:
+def test_a_version_is_read_as_a_difference_from_a_known_one() -> None:
     contents, states = Contents({}), VersionStates()
     base = states.read(contents, _add(contents, to_tree(BASE)))
     assert base == BASE
@@ -78,7 +82,7 @@
     assert tree.root == to_tree(read).root
 
 
-def test_a_version_is_read_whole_where_the_pages_of_all_known_ones_are_gone() -> None:
+def test_a_version_is_read_completely_if_the_pages_of_all_known_ones_are_released() -> None:
     contents, states = Contents({}), VersionStates()
     first = to_tree(BASE)
     states.read(contents, _add(contents, first))
@@ -89,7 +93,7 @@
         VersionStates().read(contents, tree_digest(first.root))
 
 
-def test_a_proposal_whose_bases_pages_are_gone_is_a_whole_tree() -> None:
+def test_a_proposal_whose_bases_pages_are_released_is_a_complete_tree() -> None:
     contents, states = Contents({}), VersionStates()
     base = states.read(contents, _add(contents, to_tree(BASE)))
     contents.pages.clear()
@@ -97,8 +101,8 @@
     assert states.tree(contents, base, wanted) == to_tree(wanted)
 
 
-def test_the_first_version_is_read_by_its_difference_from_what_was_applied() -> None:
-    """Whose tree has listeners, and pages that the tier's contents have not got."""
+def test_the_first_version_is_read_as_a_difference_from_the_applied_state() -> None:
+    """The applied state's tree has listeners, and pages that the tier's contents lack."""
     applied = from_file(parse_text(FILE))
     assert applied["listeners"]
     disk = to_tree(applied)
@@ -108,14 +112,14 @@
     read = states.read(contents, digest)
     assert read == _weighted(BASE, 5.0)
     assert read["routes"] is applied["routes"]
-    # What follows needs those pages no more.
+    # Later versions do not need those pages.
     states.keep_only({digest})
     assert (
         states.tree(contents, read, _weighted(read, 6.0)).root == to_tree(_weighted(BASE, 6.0)).root
     )
 
 
-def test_what_is_not_kept_is_read_anew() -> None:
+def test_a_state_that_is_not_cached_is_read_again() -> None:
     contents, states = Contents({}), VersionStates()
     digest = _add(contents, to_tree(BASE))
     one = states.read(contents, digest)
@@ -126,7 +130,7 @@
     assert states.read(contents, digest) == one
 
 
-def test_a_whole_state_of_the_release_before_is_read_and_followed_by_a_tree() -> None:
+def test_a_complete_state_of_an_earlier_release_is_read_and_followed_by_a_tree() -> None:
     content = canonical(BASE)
     contents, states = Contents({}, {digest_of(content): content}), VersionStates()
     base = states.read(contents, digest_of(content))
@@ -137,24 +141,24 @@
     assert states.read(contents, _add(contents, tree)) == _weighted(BASE, 5.0)
 
 
-def test_a_tree_that_is_no_state_is_told_with_its_key() -> None:
+def test_a_tree_that_is_not_a_state_is_reported_with_its_key() -> None:
     tree = build({Key("robots/r", "r"): b"{}"})
     with pytest.raises(StateTreeError, match="'robots' is not a kind"):
         VersionStates().read(Contents(tree.pages), tree_digest(tree.root))
 
 
-# --- A disk of the release before
+# --- A disk of an earlier release
 
 
-async def _found_by_whole_content(folder: Path, state: State, port: int) -> None:
-    """A member's disk as the release before left it: its version is one whole content."""
-    acting: list[AppliedVersions] = []
+async def _write_earlier_disk(folder: Path, state: State, port: int) -> None:
+    """Write a member's disk as an earlier release did: its version is one complete content."""
+    requested: list[AppliedVersions] = []
     config = TierConfig("g1", ("g1",), ("g1",))
-    here = {"g1": ("127.0.0.1", port)}
-    link = TierLink(config, here, KEYS, folder, acting.append, lambda text: None)
+    addresses = {"g1": ("127.0.0.1", port)}
+    link = TierLink(config, addresses, KEYS, folder, requested.append, lambda text: None)
     await link.start(BootstrapVersion(canonical(state), 1, "first start"))
-    await until(lambda: bool(acting))
-    link.confirm_applied(acting[-1].revision)
+    await until(lambda: bool(requested))
+    link.confirm_applied(requested[-1].revision)
     await until(lambda: link.member_status() is MemberStatus.ACTIVE)
     link.close()
     await until(lambda: link._writing is None)
@@ -164,14 +168,16 @@
 
 
 def _active(folder: Path) -> tuple[str, dict[str, bytes]]:
-    """The digest of the active version that a member's disk knows, and what the disk has."""
+    """Return the digest of the active version on a member's disk, and the disk's contents."""
     disk = Disk(folder)
     kept = disk.load()
     disk.close()
     return msgspec.msgpack.decode(kept[CHOSEN_KEY], type=ChosenState).state.active.digest, kept
 
 
-def test_a_disk_of_the_release_before_starts_and_goes_on_as_a_tree(tmp_path: Path) -> None:
+def test_a_disk_of_an_earlier_release_is_read_and_its_next_version_is_a_tree(
+    tmp_path: Path,
+) -> None:
     async def work() -> None:
         port, udp = free_port(), free_port(socket.SOCK_DGRAM)
         (tmp_path / "keys").write_text(f"1 {(b'k' * 32).hex()}\n")
@@ -185,12 +191,12 @@
         old = file_value([pool("p", {"a": "127.0.0.1:9", "b": "127.0.0.1:10"})], port)
         state: State = {**_state_of(old), "listeners": {}}
         folder = tmp_path / "state" / "tier"
-        await _found_by_whole_content(folder, state, udp)
+        await _write_earlier_disk(folder, state, udp)
         digest, _ = _active(folder)
         assert root_of(digest) is None
         async with outside(tmp_path, value) as it:
             await it.start()
-            await _holds(it, 1)
+            await _wait_until_active(it, 1)
             live = await it.ask({"op": "state"})
             assert set(live["state"]["nodes"]) == {"p/a", "p/b"}  # the tier's, not the file's
             answer = await it.ask({"op": "ban", "node": "p/b", "out": True, "why": "test"})
@@ -209,13 +215,13 @@
     asyncio.run(work())
 
 
-async def _holds(it: Any, serial: int) -> None:
-    async def there() -> bool:
+async def _wait_until_active(it: Any, serial: int) -> None:
+    async def is_active() -> bool:
         status = await it.ask({"op": "tier", "act": "status"})
         return bool(status.get("standing") == "in" and status.get("active") == serial)
 
     async with asyncio.timeout(15):
-        while not await there():
+        while not await is_active():
             await asyncio.sleep(0.02)
 
 
@@ -223,10 +229,10 @@
     return from_file(parse_value(json.loads(json.dumps(value))))
 
 
-# --- A proposal whose base goes while its tree is made
+# --- A proposal whose base is released while its tree is built
 
-CHANGES = 12  # each has two heads, and a member keeps the last 24 contents that it heard of
-NODES = 800  # so many that a state is more than one page
+CHANGES = 12  # two register states each, and a member keeps the last 24 contents that it heard of
+NODES = 800  # enough for a state of more than one page
 
 
 def _all_weighted(state: State, weight: float) -> State:
@@ -238,7 +244,7 @@
     return {"by": "t", "when": 1, "why": ""}
 
 
-def test_a_proposal_whose_base_is_let_go_of_meanwhile_is_told_that_it_has_moved(
+def test_a_proposal_whose_base_is_released_meanwhile_raises_a_moved_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     refused: list[ValueError] = []
@@ -262,7 +268,7 @@
             base = await tier.changes.propose(_all_weighted(tier.base().state, 2.0), "first")
 
             def tree(before: State, state: State) -> Tree:
-                """The tree, and then so many other changes that its base's pages are gone."""
+                """Build the tree, then make enough other changes for its base to be released."""
                 made_tree = real(before, state)
                 monkeypatch.setattr(tier.changes, "_tree", real)
                 asyncio.run_coroutine_threadsafe(change_often(tier), loop).result(30)
@@ -274,22 +280,22 @@
                 await tier.ban("p/n99", _ban(), "late")
             assert len(refused) == 1
             assert "p/n99" not in tier.base().state["bans"]
-            # What is asked for anew is carried out.
+            # A repeated request is carried out.
             await tier.ban("p/n99", _ban(), "again")
             assert "p/n99" in tier.base().state["bans"]
 
     asyncio.run(work())
 
 
-def test_an_active_version_that_is_not_gone_by_in_time_is_not_told_withdrawn(
+def test_an_active_version_that_is_not_applied_in_time_is_not_reported_as_withdrawn(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
         async with _tier_of_one(tmp_path) as tier:
-            may_go_on, change = asyncio.Event(), tier.state_applier.change
+            may_continue, change = asyncio.Event(), tier.state_applier.change
 
-            async def held(decided: LiveDecided) -> AppliedState:
-                await may_go_on.wait()
+            async def held(decided: StateChange) -> AppliedState:
+                await may_continue.wait()
                 return await change(decided)
 
             serial = tier.base().serial + 1
@@ -299,7 +305,7 @@
             )
             with pytest.raises(ApplyError, match=f"serial {serial} .* it is active, and this gate"):
                 await tier.changes.propose(_all_weighted(tier.base().state, 2.0), "first")
-            may_go_on.set()
+            may_continue.set()
             async with asyncio.timeout(15):
                 while tier.base().serial < serial:
                     await tier.version_applier.applied_event.wait()
@@ -310,7 +316,7 @@
 
 @contextlib.asynccontextmanager
 async def _tier_of_one(tmp_path: Path) -> AsyncIterator[TierStateSource]:
-    """A daemon in this process whose tier has no other member, and that is in it."""
+    """Yield a daemon in this process that is the only, and active, member of its tier."""
     (tmp_path / "keys").write_text(f"1 {(b'k' * 32).hex()}\n")
     nodes = {f"n{i}": f"127.0.0.1:{9000 + i}" for i in range(NODES)}
     value = file_value([pool("p", nodes)], free_port())
