--- a/sailhitch/daemon/tier_changes.py
+++ b/sailhitch/daemon/tier_changes.py
@@ -79,7 +79,7 @@
             raise ApplyError(f"the state can't be proposed: {error}") from None
 
     async def _wait_until_active(self, version: Version) -> AppliedState:
-        """Wait until this process has applied a version as active; raises why if it is not."""
+        """Wait until this process has applied a version as active; raises an error if it is not."""
         try:
             async with asyncio.timeout(self.part.agree_within / 1e6):
                 while self._applier.base.serial < version.serial:
--- a/sailhitch/daemon/zone_coordinator.py
+++ b/sailhitch/daemon/zone_coordinator.py
@@ -217,25 +217,25 @@
         if status is not MemberStatus.ACTIVE:
             raise ApplyError(f"this gateway {status.value}; ask another one")
         try:
-            wanted = self.controller.operator_request(
+            proposed = self.controller.operator_request(
                 act, zone, why, by, step if isinstance(step, int) else None
             )
         except TrafficPolicyError as error:
             raise ApplyError(str(error)) from None
         if request.get("dry_run"):
-            return {"ok": True, "dry_run": True, "pools": self._load_by_pool(wanted)}
-        version = await self._propose_traffic_policy(wanted, by)
+            return {"ok": True, "dry_run": True, "pools": self._load_by_pool(proposed)}
+        version = await self._propose_traffic_policy(proposed, by)
         late = await self._wait_until_applied(version)
         reply: dict[str, Any] = {"ok": True, "serial": version.serial}
         if late:
             reply |= {"waiting_for": late, "pending": True}
         return reply
 
-    def _load_by_pool(self, wanted: TrafficPolicy) -> dict[str, dict[str, Any]]:
+    def _load_by_pool(self, proposed: TrafficPolicy) -> dict[str, dict[str, Any]]:
         """Return, for a dry run, the load factor of each pool's remaining active nodes."""
         bans = self.state_applier.applied.state["bans"].keys()
         pools = self.controller.nodes
-        excluded = inactive_nodes_by_pool(wanted, pools) | bans
+        excluded = inactive_nodes_by_pool(proposed, pools) | bans
         excluded_before = inactive_nodes_by_pool(self.controller.traffic_policy, pools) | bans
         load = {}
         for pool, nodes in pools.items():
--- a/sailhitch/zones/controller.py
+++ b/sailhitch/zones/controller.py
@@ -176,12 +176,12 @@
             order = rollout.leave_automatically(
                 self.settings.step_duration, description[:MAX_REASON_LENGTH]
             )
-            wanted = self.traffic_policy.with_zone(zone, order)
+            proposed = self.traffic_policy.with_zone(zone, order)
             try:
-                self._check(wanted, zone)
+                self._check(proposed, zone)
             except TrafficPolicyError:
                 continue  # the zone stays in use; `status` shows the finding
-            return PolicyProposal(wanted, f"{zone} has failed: {description}")
+            return PolicyProposal(proposed, f"{zone} has failed: {description}")
         return None
 
     def _update_failed_zones(self, now: int, findings: Mapping[str, Finding]) -> None:
@@ -202,8 +202,8 @@
             outcomes = evidence.aggregate(received.reports, zone, order.step)
             change = rollout.next_order(order, self.age(zone, now), outcomes)
             if change is not None:
-                wanted = self.traffic_policy.with_zone(zone, change.order)
-                return PolicyProposal(wanted, f"{zone}: {change.reason}")
+                proposed = self.traffic_policy.with_zone(zone, change.order)
+                return PolicyProposal(proposed, f"{zone}: {change.reason}")
         return None
 
     def age(self, zone: str, now: int) -> int:
@@ -216,18 +216,18 @@
         self, act: str, zone: str, why: str, by: str, step: int | None
     ) -> TrafficPolicy:
         """Return the policy that an operator's command requests; raises TrafficPolicyError."""
-        wanted = self._requested_policy(act, zone, why[:MAX_REASON_LENGTH], by, step)
-        self._check(wanted, zone)
-        if wanted == self.traffic_policy:
+        proposed = self._requested_policy(act, zone, why[:MAX_REASON_LENGTH], by, step)
+        self._check(proposed, zone)
+        if proposed == self.traffic_policy:
             raise TrafficPolicyError(
                 "nothing to do: this is already in force; see `sailhitch zones status`"
             )
-        return wanted
+        return proposed
 
-    def _check(self, wanted: TrafficPolicy, zone: str) -> None:
-        validate(wanted, self.zone_of.values(), self.settings.max_out)
+    def _check(self, proposed: TrafficPolicy, zone: str) -> None:
+        validate(proposed, self.zone_of.values(), self.settings.max_out)
         for pool, nodes in self.nodes.items():
-            if nodes and len(inactive_nodes(wanted, nodes)) == len(nodes):
+            if nodes and len(inactive_nodes(proposed, nodes)) == len(nodes):
                 raise TrafficPolicyError(f"pool {pool!r} has no nodes outside zone {zone!r}")
 
     def _requested_policy(
--- a/sailhitch/zones/diagnosis.py
+++ b/sailhitch/zones/diagnosis.py
@@ -98,41 +98,43 @@
 def _diagnose_zone(
     reports: Sequence[GatewayReport], zone: str, sizes: Mapping[str, int], min_reporters: int
 ) -> Finding:
-    witnesses = _witnesses([r for r in reports if _has_evidence(r, zone, sizes)], zone)
-    if len(witnesses) < min_reporters:
+    usable_reports = _without_outdated([r for r in reports if _has_evidence(r, zone, sizes)], zone)
+    if len(usable_reports) < min_reporters:
         return Finding(
             ZoneCondition.UNKNOWN,
             0.0,
-            f"{len(witnesses)} of {min_reporters} required gateways have evidence",
+            f"{len(usable_reports)} of {min_reporters} required gateways have evidence",
         )
-    overloaded = _weighted_median([(_overload_ratio(report, zone), 1) for report in witnesses])
+    overloaded = _weighted_median([(_overload_ratio(report, zone), 1) for report in usable_reports])
     if overloaded >= OVERLOADED_RATIO:
         return Finding(
             ZoneCondition.OVERLOADED,
             1.0,
             f"{overloaded:.0%} of its nodes rejected their last request",
         )
-    by_place: dict[str, list[GatewayReport]] = {}
-    for report in witnesses:
-        by_place.setdefault(report.zone, []).append(report)
-    ratios = {place: _median_failure_ratio(local, zone, sizes) for place, local in by_place.items()}
+    by_origin: dict[str, list[GatewayReport]] = {}  # by the zone of the gateways
+    for report in usable_reports:
+        by_origin.setdefault(report.zone, []).append(report)
+    ratios = {
+        origin: _median_failure_ratio(local, zone, sizes) for origin, local in by_origin.items()
+    }
     text = ", ".join(
-        f"{ratio:.0%} of its nodes fail from {place or 'here'} ({len(by_place[place])} gateways)"
-        for place, ratio in sorted(ratios.items())
+        f"{ratio:.0%} of its nodes fail from {origin or 'here'} ({len(by_origin[origin])} gateways)"
+        for origin, ratio in sorted(ratios.items())
     )
-    failed = sorted(place for place, ratio in ratios.items() if ratio >= FAILED_RATIO)
+    failed = sorted(origin for origin, ratio in ratios.items() if ratio >= FAILED_RATIO)
     if failed and len(failed) == len(ratios):
-        return Finding(ZoneCondition.FAILED, _agreement(witnesses, zone, FAILED_RATIO), text)
+        return Finding(ZoneCondition.FAILED, _agreement(usable_reports, zone, FAILED_RATIO), text)
     if failed and any(ratio <= HEALTHY_RATIO for ratio in ratios.values()):
-        confidence = _agreement(by_place[failed[0]], zone, FAILED_RATIO)
+        confidence = _agreement(by_origin[failed[0]], zone, FAILED_RATIO)
         return Finding(ZoneCondition.PARTITIONED, confidence, text)
-    degraded = _agreement(witnesses, zone, DEGRADED_RATIO)
+    degraded = _agreement(usable_reports, zone, DEGRADED_RATIO)
     if any(ratio >= DEGRADED_RATIO for ratio in ratios.values()):
         return Finding(ZoneCondition.DEGRADED, degraded, text)
     return Finding(ZoneCondition.HEALTHY, 1 - degraded, text)
 
 
-def _witnesses(reports: list[GatewayReport], zone: str) -> list[GatewayReport]:
+def _without_outdated(reports: list[GatewayReport], zone: str) -> list[GatewayReport]:
     """Return the reports, without outdated contradictions of a majority that sees a failed zone.
 
     An outdated success may be older than the zone's failure, as policies send few requests to a
