--- a/sailhitch/zones/controller.py
+++ b/sailhitch/zones/controller.py
@@ -1,8 +1,8 @@
 """One gateway's part in draining and recovering zones: what it applies, reports and proposes.
 
-The same controller runs in the daemon and in the fleet model. The tier's decisions come in by
-`apply`, outcomes of this gateway's own requests by `record`, other gateways' reports by `look`.
-Proposals go out as traffic policies, for the tier to decide.
+The same controller runs in the daemon and in the fleet model. `apply` receives the tier's
+decisions, `record` the outcomes of this gateway's own requests, `on_reports` all gateways' reports.
+Proposals are returned as traffic policies, for the tier to decide.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     validate,
 )
 
-REPORT_INTERVAL: Final = 200_000  # us between two reports, and two looks at all reports
+REPORT_INTERVAL: Final = 200_000  # us between two reports, and two evaluations of all reports
 PROPOSAL_SPREAD: Final = 1_000_000  # us over which members' proposals of a step are spread
 MAX_REASON_LENGTH: Final = 200  # characters of an operator's reason
 # us for which a zone must be diagnosed as failed before a gateway proposes to leave it
@@ -34,7 +34,7 @@
 HOUR: Final = 3_600_000_000  # us
 
 ZonesByPool = Mapping[str, Mapping[str, str]]  # the zone of each node, by pool
-EncodedReports = Mapping[str, bytes]  # by the gateway that has sent it
+EncodedReports = Mapping[str, bytes]  # by the gateway that sent it
 
 
 class ReceivedReports(NamedTuple):
@@ -50,7 +50,7 @@
 
     max_out: int  # zones that may be out at a time
     step_duration: int  # minimum duration of a step of a recovery
-    zone: str = ""  # where the gateway is
+    zone: str = ""  # the gateway's own zone
     automatic: bool = False  # whether to propose leaving a failed zone without an operator
     max_leaves_per_hour: int = 4  # without an operator
 
@@ -63,7 +63,7 @@
 
 
 class _StepStart(NamedTuple):
-    """Since when this gateway has applied a step of a zone's recovery."""
+    """When this gateway applied a step of a zone's recovery."""
 
     step: int
     attempt: int
@@ -73,8 +73,8 @@
 class ZoneController:
     """A gateway's traffic policy, counts and next proposal."""
 
-    def __init__(self, terms: ZoneSettings, rng: random.Random) -> None:
-        self.terms = terms
+    def __init__(self, settings: ZoneSettings, rng: random.Random) -> None:
+        self.settings = settings
         self.rng = rng
         self.serial = 0
         self.traffic_policy = EMPTY_POLICY
@@ -122,7 +122,7 @@
         return old if old is not None and old[:2] == start[:2] else start
 
     def record(self, node: str, failed: bool, full: bool, now: int) -> None:
-        """Record a request's end at a node; an overloaded node does not count as failed."""
+        """Record a request's outcome at a node; an overloaded node does not count as failed."""
         zone = self.zone_of.get(node)
         if zone is not None:
             self.zone_health.record(node, failed, full, now)
@@ -130,27 +130,27 @@
                 self.outcome_counts.record(zone, failed)
 
     def report(self, now: int) -> tuple[bytes, bool]:
-        """Return the report to send, and whether it is urgent: other nodes fail than before."""
+        """Return the report to send, and whether it is urgent: the failure counts have changed."""
         observations = self.zone_health.observations(self.zone_of, now)
         failures = {zone: each.failed for zone, each in observations.items() if each.failed}
         is_urgent = failures != self._reported_failures
         self._reported_failures = failures
         report = evidence.ZoneHealthReport(
-            self.outcome_counts.counts(), self.terms.zone, observations
+            self.outcome_counts.counts(), self.settings.zone, observations
         )
         return evidence.encode(report), is_urgent
 
-    # --- What the fleet sees
+    # --- Reports and proposals
 
     def is_due(self, now: int) -> bool:
-        """Return whether the next report and look are due; if so, schedule the ones after."""
+        """Return whether the next report and evaluation are due; if so, schedule the following."""
         if now < self._next_report_at:
             return False
         self._next_report_at = now + REPORT_INTERVAL
         return True
 
     def on_reports(self, encoded: EncodedReports) -> ReceivedReports:
-        """Decode all gateways' reports, this one's included, and diagnose the zones by them."""
+        """Decode all gateways' reports, including this one's, and diagnose the zones by them."""
         decoded = {name: evidence.decode(each) for name, each in encoded.items()}
         reports = {name: report for name, report in decoded.items() if report is not None}
         gateways = [GatewayReport(name, r.zone, r.observations) for name, r in reports.items()]
@@ -158,30 +158,30 @@
         return ReceivedReports(list(reports.values()), findings)
 
     def propose_leave(self, now: int, received: ReceivedReports) -> PolicyProposal | None:
-        """Return the policy to propose where a zone has failed.
+        """Return the policy that leaves a failed zone, or None.
 
         It is proposed once the finding has lasted for `MIN_FAILED_TIME` and a random delay.
         """
         self._update_failed_zones(now, received.findings)
-        if not self.terms.automatic or self.traffic_policy.hold_reason:
+        if not self.settings.automatic or self.traffic_policy.hold_reason:
             return None
         while self._automatic_leaves and now - self._automatic_leaves[0] > HOUR:
             self._automatic_leaves.popleft()
-        if len(self._automatic_leaves) >= self.terms.max_leaves_per_hour:
+        if len(self._automatic_leaves) >= self.settings.max_leaves_per_hour:
             return None
         for zone, since in sorted(self._failed_since.items()):
             if now - since < self._failure_delay:
                 continue
             description = received.findings[zone].description
             order = rollout.leave_automatically(
-                self.terms.step_duration, description[:MAX_REASON_LENGTH]
+                self.settings.step_duration, description[:MAX_REASON_LENGTH]
             )
-            wanted = self.traffic_policy.with_zone(zone, order)
+            proposed = self.traffic_policy.with_zone(zone, order)
             try:
-                self._check(wanted, zone)
+                self._check(proposed, zone)
             except TrafficPolicyError:
                 continue  # the zone stays in use; `status` shows the finding
-            return PolicyProposal(wanted, f"{zone} is gone: {description}")
+            return PolicyProposal(proposed, f"{zone} is gone: {description}")
         return None
 
     def _update_failed_zones(self, now: int, findings: Mapping[str, Finding]) -> None:
@@ -194,7 +194,7 @@
         self._failed_since = {zone: self._failed_since.get(zone, now) for zone in failed}
 
     def next_proposal(self, now: int, received: ReceivedReports) -> PolicyProposal | None:
-        """Return the policy to propose now, None if there is none."""
+        """Return the policy to propose now, or None."""
         leave = self.propose_leave(now, received)
         if leave is not None or self.traffic_policy.hold_reason:
             return leave
@@ -202,35 +202,37 @@
             outcomes = evidence.aggregate(received.reports, zone, order.step)
             change = rollout.next_order(order, self.age(zone, now), outcomes)
             if change is not None:
-                wanted = self.traffic_policy.with_zone(zone, change.order)
-                return PolicyProposal(wanted, f"{zone}: {change.reason}")
+                proposed = self.traffic_policy.with_zone(zone, change.order)
+                return PolicyProposal(proposed, f"{zone}: {change.reason}")
         return None
 
     def age(self, zone: str, now: int) -> int:
-        """Return for how long a zone's step has been applied, less this gateway's random delay."""
+        """Return how long a zone's step has been applied, minus this gateway's random delay."""
         return max(0, now - self._step_starts[zone].at) if zone in self._step_starts else 0
 
-    # --- What operators ask for
+    # --- Operators' requests
 
     def operator_request(
         self, act: str, zone: str, why: str, by: str, step: int | None
     ) -> TrafficPolicy:
-        """Return the policy that an operator's command asks for; raises TrafficPolicyError."""
-        wanted = self._wanted(act, zone, why[:MAX_REASON_LENGTH], by, step)
-        self._check(wanted, zone)
-        if wanted == self.traffic_policy:
+        """Return the policy that an operator's command requests; raises TrafficPolicyError."""
+        proposed = self._requested_policy(act, zone, why[:MAX_REASON_LENGTH], by, step)
+        self._check(proposed, zone)
+        if proposed == self.traffic_policy:
             raise TrafficPolicyError(
-                "nothing to do: that is what holds; see `sailhitch zones status`"
+                "nothing to do: this is already in force; see `sailhitch zones status`"
             )
-        return wanted
+        return proposed
 
-    def _check(self, wanted: TrafficPolicy, zone: str) -> None:
-        validate(wanted, self.zone_of.values(), self.terms.max_out)
+    def _check(self, proposed: TrafficPolicy, zone: str) -> None:
+        validate(proposed, self.zone_of.values(), self.settings.max_out)
         for pool, nodes in self.nodes.items():
-            if nodes and len(inactive_nodes(wanted, nodes)) == len(nodes):
-                raise TrafficPolicyError(f"pool {pool!r} has no nodes outside of zone {zone!r}")
+            if nodes and len(inactive_nodes(proposed, nodes)) == len(nodes):
+                raise TrafficPolicyError(f"pool {pool!r} has no nodes outside zone {zone!r}")
 
-    def _wanted(self, act: str, zone: str, why: str, by: str, step: int | None) -> TrafficPolicy:
+    def _requested_policy(
+        self, act: str, zone: str, why: str, by: str, step: int | None
+    ) -> TrafficPolicy:
         order = self.traffic_policy.zones.get(zone)
         if act == "hold":
             return TrafficPolicy(self.traffic_policy.zones, why or f"by {by}")
@@ -242,7 +244,7 @@
             raise TrafficPolicyError(f"act: not known: {act[:40]!r}")
         if order is None:
             raise TrafficPolicyError(f"zone {zone!r} was not left; see `sailhitch zones status`")
-        step_duration = max(self.terms.step_duration, step or 0)
+        step_duration = max(self.settings.step_duration, step or 0)
         return self.traffic_policy.with_zone(
             zone, rollout.start_recovery(order, step_duration, by, why)
         )
@@ -285,7 +287,7 @@
 
 
 def all_retried_nodes(old: TrafficPolicy, new: TrafficPolicy, nodes: ZonesByPool) -> frozenset[str]:
-    """Return the nodes in use that are to be retried as if they had just started."""
+    """Return the active nodes that are to be retried as if they had just started."""
     zones = set(retried_zones(old, new))
     if not zones:
         return frozenset()
@@ -294,7 +296,7 @@
 
 
 def inactive_nodes_by_pool(traffic_policy: TrafficPolicy, nodes: ZonesByPool) -> frozenset[str]:
-    """Return the nodes that get no new requests; a zone's share holds in each pool by itself."""
+    """Return the nodes that get no new requests; a zone's share applies to each pool separately."""
     if not traffic_policy.zones:
         return frozenset()
     return frozenset().union(*(inactive_nodes(traffic_policy, pool) for pool in nodes.values()))
