--- a/sailhitch/__main__.py
+++ b/sailhitch/__main__.py
@@ -63,7 +63,7 @@
                 self._retry = loop.call_later(REREAD_DELAYS[tries], self.reload, tries + 1)
             return
         host, port = config.discovery
-        self.log.write(f"SIGHUP: configuration reloaded, discovery at {host}:{port}")
+        self.log.write(f"SIGHUP: new configuration, discovery at {host}:{port}")
 
 
 async def serve(config: Config, log: Log, inherited: socket.socket | None = None) -> None:
