--- a/sailhitch/handover/files.py
+++ b/sailhitch/handover/files.py
@@ -1,4 +1,4 @@
-"""Files of a gateway's processes: the socket of the running one, and hosts in maintenance."""
+"""Files shared by the processes of a gateway: the handover socket and the maintenance marks."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 MAX_FILE_BYTES: Final = 4 << 20
 
 
-def _sync_folder(folder: Path) -> None:
-    """Write a folder's entries to disk; raises OSError."""
+def _sync_directory(folder: Path) -> None:
+    """Sync a directory's entries to disk; raises OSError."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -22,7 +22,7 @@
 
 
 class HandoverFiles:
-    """Paths by which the processes of a gateway find one another."""
+    """Paths of the files that the processes of a gateway share."""
 
     def __init__(self, folder: str, name: str) -> None:
         safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in name)[:40]
@@ -39,19 +39,19 @@
                 file.flush()
                 os.fsync(file.fileno())
             os.replace(temporary, self.maintenance_file)
-            _sync_folder(self.folder)
+            _sync_directory(self.folder)
         except OSError:
             with contextlib.suppress(OSError):
                 temporary.unlink()
             raise
 
     def read_maintenance(self) -> ProcessSnapshot | None:
-        """Return the stored marks, None if there are none; raises HandoverError or OSError."""
+        """Return the stored marks, or None if there are none; raises HandoverError or OSError."""
         try:
             with self.maintenance_file.open("rb") as file:
                 data = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
             return None
         if len(data) > MAX_FILE_BYTES:
-            raise HandoverError("too long")
+            raise HandoverError("file too long")
         return decode_snapshot(data)
--- a/sailhitch/handover/frames.py
+++ b/sailhitch/handover/frames.py
@@ -1,7 +1,7 @@
-"""Frames between two processes of a gateway: one message each of a `SOCK_SEQPACKET` socket.
+"""Frames between two processes of a gateway, each one message on a `SOCK_SEQPACKET` socket.
 
-A frame is its kind, one byte, and a payload. A snapshot is longer than a message may be, so it is
-sent in pieces, and ends with a frame of its own; it is applied completely or not at all. No I/O.
+A frame is a kind (one byte) and a payload. A snapshot may exceed the largest message, so it is
+sent in pieces followed by an end frame, and applied completely or not at all. No I/O.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from .snapshot import FORMAT_VERSION, HandoverError, ProcessSnapshot, decode_snapshot
 
-SNAPSHOT_PIECE_BYTES: Final = 32 * 1024  # of a snapshot in one frame
+SNAPSHOT_PIECE_BYTES: Final = 32 * 1024  # of a snapshot, per frame
 MAX_SNAPSHOT_BYTES: Final = 16 << 20
 DESCRIPTOR_COUNT_BYTES: Final = 4
 
@@ -33,12 +33,12 @@
     CLIENT_TAKEN = ord("T")
 
 
-# Follows the format's version in HELLO: each CLIENT that is taken is confirmed by a CLIENT_TAKEN.
+# Sent after the format version in HELLO: the sender confirms each CLIENT by a CLIENT_TAKEN.
 CONFIRMS_CLIENTS: Final = 1
 
 
 class MaintenanceMark(msgspec.Struct, array_like=True, frozen=True):
-    """A host that was taken out by hand, or put back."""
+    """A change of a host's maintenance state by an operator."""
 
     host: str
     in_maintenance: bool
@@ -62,8 +62,8 @@
 
 def snapshot_frames(data: bytes) -> Iterator[bytes]:
     """Yield the frames of an encoded snapshot."""
-    for at in range(0, len(data), SNAPSHOT_PIECE_BYTES):
-        yield plain_frame(FrameKind.SNAPSHOT) + data[at : at + SNAPSHOT_PIECE_BYTES]
+    for offset in range(0, len(data), SNAPSHOT_PIECE_BYTES):
+        yield plain_frame(FrameKind.SNAPSHOT) + data[offset : offset + SNAPSHOT_PIECE_BYTES]
     yield plain_frame(FrameKind.SNAPSHOT_END)
 
 
@@ -77,10 +77,10 @@
         """Add the next piece; raises HandoverError if the snapshot is too long."""
         self._data += piece
         if len(self._data) > MAX_SNAPSHOT_BYTES:
-            raise HandoverError("state without end")
+            raise HandoverError("snapshot too long")
 
     def finish(self) -> ProcessSnapshot:
-        """Return the snapshot, all pieces of which have come; raises HandoverError."""
+        """Decode the snapshot once all pieces are added; raises HandoverError."""
         return decode_snapshot(bytes(self._data))
 
 
@@ -94,11 +94,11 @@
     try:
         return msgspec.msgpack.decode(payload, type=MaintenanceMark)
     except msgspec.MsgspecError as error:
-        raise HandoverError(f"a ban: {error}") from None
+        raise HandoverError(f"invalid maintenance mark: {error}") from None
 
 
 def descriptors_frame(count: int) -> bytes:
-    """Return how many descriptors are held, as a frame."""
+    """Return the number of descriptors held, as a frame."""
     payload = count.to_bytes(DESCRIPTOR_COUNT_BYTES, "big")
     return plain_frame(FrameKind.DESCRIPTORS_HELD) + payload
 
--- a/sailhitch/handover/link.py
+++ b/sailhitch/handover/link.py
@@ -1,4 +1,4 @@
-"""The socket between two processes of a gateway: frames, and descriptors along with them."""
+"""The socket between two processes of a gateway; carries frames and file descriptors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ..net.system_errors import OUT_OF_RESOURCES
 
 MAX_FRAME_BYTES: Final = 64 * 1024
-MAX_SOCKET_PATH: Final = 100  # bytes of a path that fit into an address (unix(7))
+MAX_SOCKET_PATH: Final = 100  # bytes of a path that fit into a socket address (unix(7))
 BACKLOG: Final = 4
 MAX_FRAMES_PER_READ: Final = 64  # in one iteration of the event loop
 MAX_DESCRIPTORS: Final = 4  # received with one frame
@@ -24,7 +24,7 @@
 
 
 class Link:
-    """One end of the socket; sends frames in order, and queues what it does not accept yet."""
+    """One end of the socket; sends frames in order, and queues those that would block."""
 
     def __init__(self, sock: socket.socket, on_frame: OnFrame, on_end: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
@@ -32,40 +32,40 @@
         self.on_frame = on_frame
         self.on_end = on_end
         self.closed = False
-        self._out: deque[tuple[bytes, int]] = deque()  # with a descriptor to send, or -1
+        self._unsent: deque[tuple[bytes, int]] = deque()  # frame and its descriptor, or -1
         sock.setblocking(False)
         self.loop.add_reader(sock, self._read)
 
     def send(self, frame: bytes, descriptor: int = -1) -> None:
-        """Send a frame, with a descriptor that is closed here once it is sent."""
+        """Send a frame, optionally with a descriptor, which is closed here once sent."""
         if self.closed:
             if descriptor >= 0:
                 os.close(descriptor)
             return
-        self._out.append((frame, descriptor))
-        if len(self._out) == 1:
+        self._unsent.append((frame, descriptor))
+        if len(self._unsent) == 1:
             self._write()
 
     def has_unsent_frames(self) -> bool:
-        """Return whether frames are queued."""
-        return bool(self._out)
+        """Return whether frames are waiting to be sent."""
+        return bool(self._unsent)
 
     def _write(self) -> None:
         try:
-            while self._out:
-                frame, descriptor = self._out[0]
+            while self._unsent:
+                frame, descriptor = self._unsent[0]
                 if descriptor >= 0:
                     socket.send_fds(self.sock, [frame], [descriptor])
                     os.close(descriptor)
                 else:
                     self.sock.send(frame)
-                self._out.popleft()
+                self._unsent.popleft()
         except (BlockingIOError, InterruptedError):
             self.loop.add_writer(self.sock, self._write)
             return
         except OSError:
-            # The other end is closed. What it sent can still be read; the reader closes this end.
-            self._drop()
+            # The other end is closed. What it sent can still be read; `_read` closes this end.
+            self._discard_unsent()
         self.loop.remove_writer(self.sock)
 
     def _read(self) -> None:
@@ -79,8 +79,8 @@
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionResetError:
-                # If the other end was closed with frames unread, this error comes once, before
-                # the frames that it had sent, connections among them, can be read (unix(7)).
+                # If the other end closed with frames unread, this error is raised once; after it
+                # the frames that it had sent, possibly with connections, can be read (unix(7)).
                 continue
             except OSError:
                 self.close()
@@ -91,26 +91,26 @@
             self.on_frame(frame[0], frame[1:], descriptors)
 
     def close(self) -> None:
-        """Close it; frames that are not sent are dropped, and their descriptors closed."""
+        """Close the link; unsent frames are dropped, and their descriptors closed."""
         if self.closed:
             return
         self.closed = True
         self.loop.remove_reader(self.sock)
         self.loop.remove_writer(self.sock)
         self.sock.close()
-        self._drop()
+        self._discard_unsent()
         self.on_end()
 
-    def _drop(self) -> None:
-        for _, descriptor in self._out:
+    def _discard_unsent(self) -> None:
+        for _, descriptor in self._unsent:
             if descriptor >= 0:
                 os.close(descriptor)
-        self._out.clear()
+        self._unsent.clear()
 
 
 @contextlib.contextmanager
 def _socket_address(path: Path):  # type: ignore[no-untyped-def]
-    """Return a path to the same file that fits into a socket address."""
+    """Yield a path to the same file that fits into a socket address."""
     if len(os.fsencode(path)) <= MAX_SOCKET_PATH:
         yield str(path)
         return
@@ -126,9 +126,9 @@
 
 
 def connect(path: Path) -> socket.socket | None:
-    """Return a socket to the process that listens there; None if none does.
+    """Return a socket connected to the process that listens at this path; None if none does.
 
-    Raises OSError where the system is out of resources for it, or that process for its queue.
+    Raises OSError if the system is out of resources, or the listener's backlog is full.
     """
     sock = _socket()
     try:
@@ -143,10 +143,10 @@
 
 
 def listen(path: Path) -> socket.socket:
-    """Listen at this path, in place of any process that did; raises OSError.
+    """Listen at this path, replacing any other listener there; raises OSError.
 
-    If the old socket were removed first, a third process might find none. So the new one is
-    created beside it and moved over it.
+    The new socket is created under a temporary name and renamed over the old one: if the old one
+    were removed first, another process could find no socket in between.
     """
     sock = _socket()
     temporary = path.with_suffix(f".{os.getpid()}")
--- a/sailhitch/handover/maintenance_writer.py
+++ b/sailhitch/handover/maintenance_writer.py
@@ -1,4 +1,4 @@
-"""Write maintenance marks to disk, and retry with backoff while that fails."""
+"""Writes maintenance marks to disk, and retries with backoff on failure."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 class MaintenanceWriter:
     """Writes the latest maintenance marks.
 
-    It writes during the call, before the operator gets a response: the process may be killed right
-    after that. If it fails, the mark still applies in this process and is passed to a successor,
-    and the file is written once that is possible.
+    It writes synchronously, before the operator gets a response, as the process may be killed right
+    after that. If the write fails, the mark still applies in this process and is passed to a
+    successor, and the write is retried until it succeeds.
     """
 
     def __init__(
@@ -45,18 +45,20 @@
             self._files.write_maintenance(self._latest_snapshot())
         except OSError as error:
             path = self._files.maintenance_file
-            self._log.write_limited("bans", f"handover: bans can't be kept in {path} yet: {error}")
+            self._log.write_limited(
+                "bans", f"handover: can't write maintenance marks to {path}: {error}"
+            )
             self._retry = self._loop.call_later(self._backoff, self.write)
             self._backoff = min(2 * self._backoff, BACKOFF_MAX)
             return
         if self._backoff > BACKOFF_MIN:
-            self._log.write("handover: bans are kept")
+            self._log.write("handover: maintenance marks are written to disk again")
         self._backoff = BACKOFF_MIN
 
     def close(self) -> None:
-        """Retry a last time, if the last write failed."""
+        """Retry a last time if the last write failed."""
         if self._retry is not None:
             self.write()
         if self._retry is not None:
             self._retry.cancel()
-            self._log.write(f"handover: bans were not kept in {self._files.maintenance_file}")
+            self._log.write(f"handover: marks not written to {self._files.maintenance_file}")
--- a/sailhitch/handover/passed_connections.py
+++ b/sailhitch/handover/passed_connections.py
@@ -1,8 +1,8 @@
-"""Connections that were passed on, and that the successor has not confirmed yet.
+"""Connections passed to the successor that it has not confirmed yet.
 
-A descriptor in transit is in the socket between the two processes, and is closed with it if the
-successor ends first. So this process keeps a duplicate of each until the successor confirms that it
-has taken it, and continues with those that a successor which has ended did not take.
+A descriptor in transit is held only by the socket between the two processes, and is closed with it
+if the successor exits first. So this process keeps a duplicate of each until the successor
+confirms it, and continues to serve those that an exited successor did not confirm.
 """
 
 from __future__ import annotations
@@ -20,36 +20,36 @@
 
 
 class PassedConnections:
-    """Duplicates of descriptors, in the order in which they were passed on."""
+    """Duplicates of the passed descriptors, oldest first."""
 
     def __init__(self) -> None:
-        self._waiting: deque[int | None] = deque()  # None: there was no descriptor for a duplicate
+        self._unconfirmed: deque[int | None] = deque()  # None: duplicating it failed
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._unconfirmed)
 
     def keep(self, descriptor: int) -> None:
         """Duplicate a connection that is about to be passed on."""
         try:
-            self._waiting.append(os.dup(descriptor))
+            self._unconfirmed.append(os.dup(descriptor))
         except OSError:
-            self._waiting.append(None)
+            self._unconfirmed.append(None)
 
     def confirm_oldest(self) -> None:
         """Release the duplicate of the connection that was passed on first."""
-        if self._waiting:
-            _close(self._waiting.popleft())
+        if self._unconfirmed:
+            _close(self._unconfirmed.popleft())
 
     def take_back(self) -> list[int]:
-        """Return all that were not confirmed; the caller closes them."""
-        unconfirmed = [descriptor for descriptor in self._waiting if descriptor is not None]
-        self._waiting.clear()
-        return unconfirmed
+        """Return the unconfirmed descriptors; the caller closes them."""
+        descriptors = [descriptor for descriptor in self._unconfirmed if descriptor is not None]
+        self._unconfirmed.clear()
+        return descriptors
 
     def close(self) -> None:
-        """Close the duplicates: the successor has the connections, or will."""
-        while self._waiting:
-            _close(self._waiting.popleft())
+        """Close all duplicates; the connections are left to the successor."""
+        while self._unconfirmed:
+            _close(self._unconfirmed.popleft())
 
 
 class PeerProcess:
@@ -59,7 +59,7 @@
         self._descriptor = _open_process(sock)
 
     def has_ended(self) -> bool:
-        """Return whether it has surely ended; waits for EXIT_TIMEOUT at most."""
+        """Return whether it is known to have exited; blocks for EXIT_TIMEOUT at most."""
         if self._descriptor is None:
             return False
         poll = select.poll()
--- a/sailhitch/handover/shares.py
+++ b/sailhitch/handover/shares.py
@@ -1,10 +1,10 @@
-"""How two processes of one gateway share its resources. No I/O, and no agreement is needed.
+"""How the processes of one gateway divide its resources. No I/O, and no agreement is needed.
 
-Memory for bodies is divided evenly. Descriptors: each process may use what the others do not hold
-by their last report, less a margin for what they open until the next one, and a minimum share of
-its own. Rates follow the clients: half for each while both accept connections, all for the new
-process once the old one drains. The last process that is left may use everything. What a process
-holds above its share is handled as anything above a limit is.
+Memory for bodies is divided evenly. Descriptors: each process may use what the others did not hold
+at their last report, less a margin for what they open until the next one, but always a minimum
+share. Rates follow the clients: half for each while both accept connections, all for the new
+process once the old one drains. A process on its own may use everything. Use above a share is
+handled like use above any other limit.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 from ..core.resource_limits import ResourceLimits
 
-MIN_DESCRIPTOR_SHARE: Final = 4  # each process may use 1/4 of the descriptors in any case
-DESCRIPTOR_MARGIN: Final = 16  # opened by the others until their next report
+MIN_DESCRIPTOR_SHARE: Final = 4  # each process may always use 1/4 of the descriptors
+DESCRIPTOR_MARGIN: Final = 16  # for what the others open until their next report
 
 
 @dataclass(slots=True)
 class Share:
-    """One process's share, by what it knows of the others."""
+    """One process's share, based on what it knows of the others."""
 
     has_predecessor: bool = False  # a predecessor is running...
     predecessor_drains: bool = False  # ...and accepts no more connections
@@ -28,7 +28,7 @@
     successor_is_ready: bool = False  # ...and accepts connections
 
     def processes(self) -> int:
-        """Return how many processes share."""
+        """Return the number of processes that share the resources."""
         return 1 + self.has_predecessor + self.has_successor
 
     def limits(self, total: ResourceLimits, descriptors_elsewhere: int) -> ResourceLimits:
@@ -45,8 +45,8 @@
             request_slots=total.request_slot_count(),
         )
 
-    def intake(self) -> float:
-        """Return the share of the gateway's new clients that connect to this process."""
+    def client_share(self) -> float:
+        """Return the fraction of the gateway's new clients that connect to this process."""
         others_accepting = (self.has_predecessor and not self.predecessor_drains) + (
             self.has_successor and self.successor_is_ready
         )
--- a/sailhitch/handover/snapshot.py
+++ b/sailhitch/handover/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshot of one process of a gateway for the next, and its encoding. No I/O."""
+"""The state that one process of a gateway passes to the next, and its encoding. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HandoverError(ValueError):
-    """Data of the other process is unusable; the text says why."""
+    """Data from the other process is invalid; the message says why."""
 
 
 class SnapshotEndpoint(msgspec.Struct, frozen=True):
@@ -30,21 +30,21 @@
 
 
 class ProcessSnapshot(msgspec.Struct, frozen=True):
-    """The state of a process. Times are microseconds since 1970, by the core's clock."""
+    """The state of a process. Times are microseconds since 1970 on the core's clock."""
 
-    known_names: list[str] = msgspec.field(name="ever")  # of all hosts ever listed, the latest last
+    known_names: list[str] = msgspec.field(name="ever")  # of all hosts ever listed, latest last
     bans: dict[str, int]
     completed_bans: dict[str, CompletedBan] = msgspec.field(name="returned")
     list_version: int = msgspec.field(default=0, name="version")
-    # Empty if no list has arrived.
+    # Empty if no endpoint list has been received.
     endpoints: list[SnapshotEndpoint] = msgspec.field(default_factory=list, name="hosts")
     policy: PolicySnapshot | None = msgspec.field(default=None, name="knowledge")
-    # The clock's offset from the machine's monotonic one; 0 if not known.
+    # The core clock's offset from the machine's monotonic clock; 0 if not known.
     clock_epoch: int = msgspec.field(default=0, name="epoch")
 
 
 def maintenance_snapshot(maintenance: Maintenance) -> ProcessSnapshot:
-    """Return a snapshot of the hosts in maintenance alone."""
+    """Return a snapshot with the maintenance marks only."""
     return ProcessSnapshot(
         list(maintenance.known_names), dict(maintenance.bans), dict(maintenance.returned)
     )
@@ -58,11 +58,11 @@
 
 
 def translate_clock(snapshot: ProcessSnapshot, epoch: int) -> ProcessSnapshot:
-    """Return the snapshot with its times by the clock of this process, which has this epoch.
+    """Return the snapshot with its times converted to this process's clock, which has this epoch.
 
-    Both clocks start from the time of day. If that was stepped back between the two starts, an
-    ejection or a reduced rate would last longer by that step, and nearly all requests would be
-    rejected until then.
+    Both clocks are initialized from the wall clock. If that was stepped back between the two
+    starts, an ejection or a reduced rate would last longer by that step without the conversion,
+    and nearly all requests would be rejected until it ended.
     """
     offset = epoch - snapshot.clock_epoch
     if not snapshot.clock_epoch or not offset:
@@ -80,7 +80,7 @@
 
 
 def _shift_times(policy: PolicySnapshot, offset: int) -> PolicySnapshot:
-    """Return the snapshot with its times later by `offset`; 0 means never, and stays."""
+    """Return the snapshot with `offset` added to its times; 0 means never and is kept."""
 
     def shift(time: int) -> int:
         return time + offset if time else 0
@@ -125,31 +125,31 @@
 
 
 def encode_snapshot(snapshot: ProcessSnapshot) -> bytes:
-    """Return the snapshot as bytes that have their length and digest."""
+    """Return the encoded snapshot with its header."""
     return seal(msgspec.msgpack.encode(snapshot))
 
 
 def seal(body: bytes) -> bytes:
-    """Return the body with format version, length and digest before it."""
+    """Return the body prefixed with magic, format version, length and digest."""
     digest = hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest()
     length = len(body).to_bytes(LENGTH_BYTES, "big")
     return MAGIC + bytes((FORMAT_VERSION,)) + length + digest + body
 
 
 def decode_snapshot(data: bytes) -> ProcessSnapshot:
-    """Return the snapshot of `encode_snapshot`; raises HandoverError unless it is complete."""
+    """Decode the result of `encode_snapshot`; raises HandoverError unless it is intact."""
     length_at = len(MAGIC) + 1
     body_at = length_at + LENGTH_BYTES + DIGEST_BYTES
     if len(data) < body_at or not data.startswith(MAGIC):
-        raise HandoverError("not a gateway's state")
+        raise HandoverError("not a gateway snapshot")
     version = data[len(MAGIC)]
     if version != FORMAT_VERSION:
-        raise HandoverError(f"state of form {version}; this one reads {FORMAT_VERSION}")
+        raise HandoverError(f"snapshot has format {version}, expected {FORMAT_VERSION}")
     size = int.from_bytes(data[length_at : length_at + LENGTH_BYTES], "big")
     body = data[body_at:]
     if len(body) != size or seal(body) != data:
-        raise HandoverError("state that was cut or changed on its way")
+        raise HandoverError("snapshot truncated or corrupted")
     try:
         return msgspec.msgpack.decode(body, type=ProcessSnapshot)
     except msgspec.MsgspecError as error:
-        raise HandoverError(f"state: {error}") from None
+        raise HandoverError(f"invalid snapshot: {error}") from None
--- a/sailhitch/handover/successor.py
+++ b/sailhitch/handover/successor.py
@@ -1,4 +1,4 @@
-"""The process after this one: the link to it, and the connections that it has not confirmed."""
+"""The successor process: the link to it, and the connections that it has not confirmed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Successor:
-    """A process that has connected in order to take over."""
+    """A process that has connected to take over from this one."""
 
     def __init__(self, sock: socket.socket, on_frame: OnFrame, on_end: Callable[[], None]) -> None:
         self.link = Link(sock, on_frame, on_end)
@@ -27,13 +27,13 @@
             self.link.send(frame)
 
     def pass_connection(self, descriptor: int) -> None:
-        """Pass a client's connection on; the link closes this descriptor."""
+        """Pass a client's connection to the successor; the link closes this descriptor."""
         if self._confirms_clients:
             self._unconfirmed.keep(descriptor)
         self.link.send(plain_frame(FrameKind.CLIENT), descriptor)
 
     def confirm_client(self) -> None:
-        """Release the connection that was passed on first: the successor has taken it."""
+        """Release the oldest unconfirmed connection: the successor has taken it."""
         self._unconfirmed.confirm_oldest()
 
     def has_pending(self) -> bool:
@@ -41,10 +41,10 @@
         return self.link.has_unsent_frames() or len(self._unconfirmed) > 0
 
     def reclaim(self) -> list[int] | None:
-        """Return the connections that an ended process did not take; None if there are none.
+        """Return the connections that an exited successor did not take; None if there are none.
 
-        A process that lives and has only closed the link may have taken them, and two processes
-        would read from one connection.
+        A process that has closed the link but still runs may have taken them; reclaiming them
+        would have two processes read from one connection.
         """
         if len(self._unconfirmed) and self._process.has_ended():
             return self._unconfirmed.take_back()
--- a/sailhitch/handover/takeover.py
+++ b/sailhitch/handover/takeover.py
@@ -1,7 +1,7 @@
-"""A gateway in two processes: what this one takes over, and what it passes to its successor.
+"""Takes over state from a predecessor process, and hands it over to a successor.
 
-Owns the two links, and when what is sent on them. Connections are passed one way, from old to new;
-maintenance marks are sent both ways for as long as a link is open.
+Owns the links to both, and decides what is sent on them and when. Connections are passed from the
+old process to the new one only; maintenance marks are sent both ways while a link is open.
 """
 
 from __future__ import annotations
@@ -46,11 +46,11 @@
 from .successor import Successor
 
 SNAPSHOT_TIMEOUT: Final = 2.0  # s
-REPORT_INTERVAL: Final = 0.1  # s between two reports of the descriptors that are held
+REPORT_INTERVAL: Final = 0.1  # s between reports of the descriptors held
 
 
 class Takeover:
-    """This process between its predecessor and its successor."""
+    """This process's side of the handover with its predecessor and its successor."""
 
     def __init__(self, platform: Platform, listener: Listener, files: HandoverFiles) -> None:
         self.platform = platform
@@ -65,7 +65,7 @@
         self.inherited = False
         self.passed_count = 0  # connections, for the log
         self.taken_count = 0
-        self.descriptors_elsewhere: dict[Link, int] = {}  # by the last report of each
+        self.descriptors_elsewhere: dict[Link, int] = {}  # as last reported on each link
         self._maintenance_writer = MaintenanceWriter(
             self.core.loop,
             files,
@@ -73,12 +73,12 @@
             self.log,
         )
         self._assembler = SnapshotAssembler()
-        self._predecessor_done = asyncio.Event()  # it has sent its snapshot, or will not
+        self._predecessor_done = asyncio.Event()  # its snapshot has arrived, or will not
         self._listening_socket: socket.socket | None = None
         self._report_timer: asyncio.TimerHandle | None = None
         platform.apply_share = self._apply_share
 
-    # --- At the start
+    # --- Startup
 
     async def inherit(self) -> None:
         """Take over a predecessor's state, or the stored maintenance marks if there is none."""
@@ -91,16 +91,16 @@
                 async with asyncio.timeout(SNAPSHOT_TIMEOUT):
                     await self._predecessor_done.wait()
             except TimeoutError:
-                self.log.write("handover: the process before is there and tells nothing")
+                self.log.write("handover: the predecessor is connected but sent no snapshot")
         if not self.inherited:
             self._restore_from_file()
         self._update_share()
 
     async def _connect_to_predecessor(self) -> socket.socket | None:
-        """Return a socket to the predecessor, if there is one.
+        """Return a socket to the predecessor, or None if there is none.
 
-        If a shortage of resources were taken for its absence, it would pass nothing on, and
-        serve beside this process.
+        A shortage of resources is retried: if it counted as no predecessor, that process would
+        hand nothing over, and continue to serve beside this one.
         """
 
         async def connect_once() -> socket.socket | None:
@@ -109,14 +109,14 @@
         try:
             return await retry_shortage(connect_once)
         except OSError as error:
-            self.log.write(f"handover: {self.files.socket} can't be reached: {error}")
+            self.log.write(f"handover: can't connect to {self.files.socket}: {error}")
             return None
 
     def _restore_from_file(self) -> None:
         try:
             snapshot = self.files.read_maintenance()
         except (HandoverError, OSError) as error:
-            self.log.write(f"handover: the bans that were kept can't be read: {error}")
+            self.log.write(f"handover: can't read stored maintenance marks: {error}")
             return
         if snapshot is not None:
             self._restore(snapshot)
@@ -135,16 +135,16 @@
         self.log.write(f"handover: {count} hosts, out for maintenance: {bans:.300}")
 
     def open(self) -> None:
-        """Listen for a successor from now on."""
+        """Start listening for a successor."""
         try:
             self._listening_socket = listen(self.files.socket)
         except OSError as error:
-            self.log.write(f"handover: no successor can ask: {self.files.socket}: {error}")
+            self.log.write(f"handover: can't listen at {self.files.socket}: {error}")
             return
         self.core.loop.add_reader(self._listening_socket, self._accept)
 
     def ready(self) -> None:
-        """Report to the predecessor that this process serves from now on."""
+        """Report to the predecessor that this process serves now."""
         if self.predecessor is not None:
             self.predecessor.send(plain_frame(FrameKind.READY))
 
@@ -161,7 +161,7 @@
                 self._assembler.add(payload)
             elif kind == FrameKind.SNAPSHOT_END:
                 self._restore(translate_clock(self._assembler.finish(), self.core.epoch))
-                # The predecessor may end without having been able to write them.
+                # The predecessor may have failed to write the marks.
                 self._maintenance_writer.write()
                 self.inherited = True
                 self._predecessor_done.set()
@@ -171,7 +171,7 @@
             elif self.predecessor is not None:
                 self._on_shared_frame(self.predecessor, kind, payload)
         except HandoverError as error:
-            self.log.write(f"handover: {error}; going on without")
+            self.log.write(f"handover: invalid frame from the predecessor: {error}")
             self._predecessor_done.set()
 
     def _take_clients(self, descriptors: list[int]) -> None:
@@ -183,7 +183,7 @@
 
     def _on_predecessor_ended(self) -> None:
         self.log.write(
-            f"handover: the process before has ended; {self.taken_count} connections taken over"
+            f"handover: the predecessor disconnected; {self.taken_count} connections taken over"
         )
         if self.predecessor is not None:
             self.descriptors_elsewhere.pop(self.predecessor, None)
@@ -201,7 +201,7 @@
         except OSError:
             return
         if self.successor is not None:
-            # There can be one successor only; the later one is the one that is wanted.
+            # There can only be one successor; the latest is the intended one.
             self.successor.link.close()
         self.successor = Successor(sock, self._on_successor_frame, self._on_successor_ended)
         self.share.has_successor = True
@@ -216,7 +216,7 @@
             self.successor.confirm_client()
         elif kind == FrameKind.HELLO:
             self.successor.send_snapshot(payload, self._snapshot())
-            self.log.write("handover: a process that would follow has been told what is known")
+            self.log.write("handover: sent a snapshot to the successor")
         elif kind == FrameKind.READY:
             self.share.successor_is_ready = True
             self._update_share()
@@ -224,7 +224,7 @@
             try:
                 self._on_shared_frame(self.successor.link, kind, payload)
             except HandoverError as error:
-                self.log.write(f"handover: from the process after: {error}")
+                self.log.write(f"handover: invalid frame from the successor: {error}")
 
     def _snapshot(self) -> ProcessSnapshot:
         return msgspec.structs.replace(
@@ -236,7 +236,7 @@
         )
 
     def _on_successor_ended(self) -> None:
-        self.log.write("handover: the process that would follow has ended")
+        self.log.write("handover: the successor disconnected")
         successor = self.successor
         self.successor = None
         if successor is not None:
@@ -247,17 +247,17 @@
         self._update_share()
 
     def _reclaim_connections(self, successor: Successor) -> None:
-        """Continue with connections that an ended successor did not take."""
+        """Continue to serve connections that an exited successor did not take."""
         descriptors = successor.reclaim()
         if descriptors is not None:
             self.log.write(
-                f"handover: {len(descriptors)} connections were not taken, and go on here"
+                f"handover: {len(descriptors)} connections were not taken and continue here"
             )
             for descriptor in descriptors:
                 self.listener.adopt(descriptor)
         successor.release()
 
-    # --- Both
+    # --- Both links
 
     def _links(self) -> list[Link]:
         successor_link = None if self.successor is None else self.successor.link
@@ -275,7 +275,7 @@
                 self._update_share()
 
     def mark_changed(self, host: str, out: bool) -> None:
-        """Apply and pass on a maintenance mark that was set in this process."""
+        """Apply a maintenance mark that was set in this process, and send it to the others."""
         self._apply_mark(MaintenanceMark(host, out, self.core.clock()), None)
 
     def _apply_mark(self, mark: MaintenanceMark, source: Link | None) -> None:
@@ -291,7 +291,7 @@
     def _update_share(self) -> None:
         """Apply this process's current share."""
         self.platform.resize()
-        self.pool.set_share(self.share.intake())
+        self.pool.set_share(self.share.client_share())
         if self.share.processes() > 1 and self._report_timer is None:
             self._report_descriptors()
 
@@ -308,7 +308,7 @@
                 REPORT_INTERVAL, self._report_descriptors
             )
 
-    # --- At the end
+    # --- Shutdown
 
     def can_pass_on(self) -> bool:
         """Return whether a successor accepts connections."""
@@ -317,9 +317,9 @@
     async def pass_on(self) -> None:
         """Drain (SIGTERM): pass each connection to the successor once it is idle.
 
-        No connection is closed, and no request is left unread: clients that wait to be accepted are
-        accepted by the successor, and bytes of a request that the kernel holds are passed on with
-        the connection.
+        No connection is closed, and no request is lost: the successor accepts the clients in the
+        listening socket's queue, and unread bytes in a connection's kernel buffer are passed on
+        with it.
         """
         core = self.core
         core.drain()
@@ -327,17 +327,17 @@
         self.successor.link.send(plain_frame(FrameKind.DRAINING))
         self.listener.stop_accepting()
         core.pass_on_connection = self._pass_connection
-        last = core.drain_until + DRAIN_MARGIN
-        while self.can_pass_on() and core.clock() < last and self._pass_idle_connections():
+        deadline = core.drain_until + DRAIN_MARGIN
+        while self.can_pass_on() and core.clock() < deadline and self._pass_idle_connections():
             await asyncio.sleep(DRAIN_POLL_INTERVAL)
         core.pass_on_connection = None
         self.log.write(f"handover: {self.passed_count} connections passed on")
 
     def _pass_idle_connections(self) -> bool:
-        """Pass idle connections on; return whether any is left, or being opened or closed.
+        """Pass idle connections on; return whether any remain or are in transit.
 
         While the predecessor is running, its connections may be in transit to this process, and
-        would be lost with the link.
+        would be lost if the link closed.
         """
         clients = list(self.core.clients)
         remaining = [client for client in clients if not self._pass_connection(client)]
@@ -367,9 +367,9 @@
         if self.successor is not None:
             self.successor.release()
         for link in links:
-            link.on_end = _ignore_end  # this process ends, not the other one
+            link.on_end = _ignore_end  # it is this process that ends
             link.close()
 
 
 def _ignore_end() -> None:
-    """Do nothing about a link that this process closes itself."""
+    """Ignore the end of a link that this process closes itself."""
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -30,7 +30,7 @@
 from tests.generations import Generation, hosted, told
 from tests.sockets import PATIENCE, Server, dial, request, until
 
-FAILED = "can't be kept"
+FAILED = "can't write maintenance marks"
 
 
 def block_writes(folder: Path, process: Generation) -> Path:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -89,9 +89,9 @@
     assert mine.memory_mb + theirs.memory_mb <= whole.memory_mb
     assert mine.descriptors <= max(whole.descriptors // 4, whole.descriptors - b)
     assert mine.request_slot_count() == whole.request_slot_count()
-    assert old.intake() + new.intake() == 1.0
+    assert old.client_share() + new.client_share() == 1.0
     new.predecessor_drains = True
-    assert new.intake() == 1.0
+    assert new.client_share() == 1.0
     assert Share().limits(whole, a) is whole
 
 
@@ -181,7 +181,7 @@
             assert await failed.program.wait() == 2
             killed = await it.ready()
             await killed.end(signal.SIGKILL)
-            await told(old, "would follow has ended")
+            await told(old, "successor disconnected")
             for i in range(20):
                 fresh = await it.client()
                 # What was in the dead one's hands is lost with it; nobody else's is.
