--- a/sailhitch/lab/__init__.py
+++ b/sailhitch/lab/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins to test and measure the gateway with, over loopback: claims nodes, fronts and crowds.
+"""Test doubles for testing and measuring the gateway over loopback: nodes, fronts and clients.
 
-Nothing here is imported by the gateway.
+The gateway imports nothing from here.
 """
--- a/sailhitch/lab/crowd.py
+++ b/sailhitch/lab/crowd.py
@@ -1,7 +1,7 @@
-"""Clients, honest and not, and the front that deals out connections among them.
+"""Well-behaved and abusive clients, and the front that assigns connections to their requests.
 
-Every request is counted by what finally became of it, once; a second final answer to one is a
-failure of the gateway and counted as such. Times are seconds.
+Every request is counted once, by its final outcome; a second final response to one is a failure of
+the gateway and counted as such. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 NO_SEAT = "no seat"
 LOST = "lost"
 READY: Final = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
-_names = itertools.count()
+_request_numbers = itertools.count()
 
 
 class Tally:
-    """What became of each request of one kind of client."""
+    """Outcomes of the requests of one kind of client."""
 
     def __init__(self) -> None:
         self.ends: Counter[str] = Counter()
-        self.answers: Counter[str] = Counter()  # by request
+        self.answers: Counter[str] = Counter()  # final responses by request id
         self.retry_after: list[float] = []
 
     def end(self, name: str, what: str) -> None:
-        """Count how a request ended."""
+        """Count the outcome of a request."""
         self.ends[what] += 1
         if what in (SERVED, REFUSED, FAILED):
             self.answers[name] += 1
@@ -48,35 +48,35 @@
 
     @property
     def share(self) -> float:
-        """Of all that was asked, the part served."""
+        """Return the fraction of requests that were served."""
         return self.ends[SERVED] / max(1, self.asked)
 
     @property
     def twice(self) -> int:
-        """Requests with more than one final answer."""
+        """Return the number of requests with more than one final response."""
         return sum(count > 1 for count in self.answers.values())
 
 
 class Line(asyncio.Protocol):
-    """A client's connection: one request at a time, and what came back for it."""
+    """A client's connection: sends one request at a time and awaits its response."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.gone = asyncio.Event()
         self.keep = True
-        self.early = b""  # what came with nothing asked
+        self.early = b""  # response heads received without a request
         self._data = b""
         self._done: asyncio.Future[tuple[int, dict[str, str], bytes]] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the connection."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
         """Read bytes of a response."""
         self._data += data
-        head, gap, body = self._data.partition(b"\r\n\r\n")
-        if not gap:
+        head, separator, body = self._data.partition(b"\r\n\r\n")
+        if not separator:
             return
         first, *rest = head.decode("latin-1").split("\r\n")
         fields = {n.lower(): v.strip() for n, _, v in (line.partition(":") for line in rest)}
@@ -93,11 +93,11 @@
             done.set_result((int(first.split(" ")[1]), fields, body[:size]))
 
     def eof_received(self) -> None:
-        """Close when the gateway has closed its side."""
+        """Handle the gateway closing its side as a lost connection."""
         self.connection_lost(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the open request as lost."""
+        """Fail the open request."""
         self.gone.set()
         if self._done is not None and not self._done.done():
             self._done.set_exception(ConnectionResetError("closed by the gateway"))
@@ -108,7 +108,7 @@
         return self.keep and not self.gone.is_set()
 
     async def ask(self, data: bytes, patience: float) -> tuple[int, dict[str, str], bytes]:
-        """Send a request and await its answer; raises OSError or TimeoutError."""
+        """Send a request and await its response; raises OSError or TimeoutError."""
         assert self.transport is not None
         self._done = asyncio.get_running_loop().create_future()
         if self.gone.is_set():
@@ -125,7 +125,7 @@
 
 
 async def dial(addr: str, source: str = "") -> Line:
-    """Connect, from a loopback address of one's own where `source` names it."""
+    """Connect, from the loopback address `source` if given."""
     host, _, port = addr.rpartition(":")
     local = (source, 0) if source else None
     loop = asyncio.get_running_loop()
@@ -134,10 +134,11 @@
 
 
 class Front:
-    """Deals out at most `seats` connections to one gateway.
+    """Distributes requests over at most `seats` connections to one gateway.
 
-    A request takes the newest idle connection, or a new one while there are seats, or is turned
-    away. A close that crosses a request has it sent once more on a new connection.
+    A request uses the most recently idle connection, or a new one while there are fewer than
+    `seats`; otherwise it is rejected. A request that crosses the close of a reused connection is
+    sent once more on a new one.
     """
 
     def __init__(self, addr: str, seats: int, kind: str, wait_ms: int = 3000) -> None:
@@ -151,28 +152,32 @@
         self.source = ""
 
     async def ask(
-        self, tally: Tally, hold: bool = False, body: bytes = b"", owner: str = "", seated: int = 0
+        self,
+        tally: Tally,
+        hold: bool = False,
+        body: bytes = b"",
+        owner: str = "",
+        own_limit: int = 0,
     ) -> Line | None:
-        """One request to its end, counted in `tally`; `hold` keeps its connection from reuse.
+        """Send a request and count its outcome in `tally`; `hold` keeps its connection from reuse.
 
-        Returns the connection, where it is still open and held. `seated` is a limit on seats of
-        this client's own, where it has one.
+        Returns the connection if it is still open. `own_limit`, if not 0, replaces `seats`.
         """
-        name = f"c{next(_names):x}"
+        name = f"c{next(_request_numbers):x}"
         data = platform(name, self.kind, self.wait_ms, body or None, owner)
-        for again in (False, True):
+        for is_retry in (False, True):
             self.idle = [line for line in self.idle if line.open]
             self.open = {line for line in self.open if not line.gone.is_set()}
-            reused = bool(self.idle) and not again and not hold
-            if not reused and len(self.open) >= (seated or self.seats):
+            reused = bool(self.idle) and not is_retry and not hold
+            if not reused and len(self.open) >= (own_limit or self.seats):
                 tally.end(name, NO_SEAT)
                 return None
             line: Line | None = None
             try:
-                line = self.idle.pop() if reused else await self._dial()
+                line = self.idle.pop() if reused else await self._connect()
                 status, fields, got = await line.ask(data, self.wait_ms / 1000 + 0.5)
             except OSError as error:
-                self._drop(line)
+                self._close_connection(line)
                 if isinstance(error, TimeoutError) or not reused:
                     tally.end(name, LOST if isinstance(error, TimeoutError) else FAILED)
                     return None
@@ -180,13 +185,13 @@
             return self._finish(tally, name, line, status, fields, got, hold)
         return None
 
-    async def _dial(self) -> Line:
+    async def _connect(self) -> Line:
         self.dialled += 1
         line = await dial(self.addr, self.source)
         self.open.add(line)
         return line
 
-    def _drop(self, line: Line | None) -> None:
+    def _close_connection(self, line: Line | None) -> None:
         if line is not None:
             line.close()
             self.open.discard(line)
@@ -209,7 +214,7 @@
             if "retry-after" in fields:
                 tally.retry_after.append(float(fields["retry-after"]))
         if not line.keep:
-            self._drop(line)
+            self._close_connection(line)
             return None
         if not hold:
             self.idle.append(line)
@@ -217,7 +222,7 @@
 
 
 class Crowd:
-    """Runs clients until it is left; all their tasks and connections end with it."""
+    """Runs clients within an `async with` block, and ends their tasks and connections after it."""
 
     def __init__(self, addr: str, seed: int = 1) -> None:
         self.addr = addr
@@ -226,7 +231,7 @@
         self.lines: set[Line] = set()
         self.sockets: set[socket.socket] = set()
         self.dialled: Counter[str] = Counter()
-        self.closed: Counter[str] = Counter()  # of the misusers' connections, by the gateway
+        self.closed: Counter[str] = Counter()  # abusive clients' connections closed by the gateway
 
     async def __aenter__(self) -> Self:
         return self
@@ -241,37 +246,37 @@
             one.close()
 
     def start(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run one client beside the others."""
+        """Start a client in the background."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def steady(self, rate: float, count: int, one: Callable[[], Awaitable[object]]) -> None:
-        """Begin `count` of something at `rate` a second of run time, and wait for all of them."""
+        """Start `count` calls at `rate` per second of run time, and wait for all of them."""
         running: set[asyncio.Task[object]] = set()
         loop = asyncio.get_running_loop()
         started = run_time()
         for i in range(count):
             while (delay := started + i / rate - run_time()) > 0:
                 await asyncio.sleep(delay)
-            running.add(loop.create_task(_swallow(one())))
+            running.add(loop.create_task(_ignore_errors(one())))
         await asyncio.gather(*running)
 
-    # --- Honest clients
+    # --- Well-behaved clients
 
     async def honest(self, front: Front, tally: Tally, rate: float, count: int, **how: Any) -> None:
-        """Send requests one by one through the front, each on a connection that it releases."""
+        """Send requests through the front at a steady rate, each releasing its connection."""
         await self.steady(rate, count, lambda: front.ask(tally, **how))
 
     async def returner(self, front: Front, tally: Tally, gap: float, times: int) -> None:
-        """Send a request every `gap` on a connection of its own, reconnecting if need be."""
+        """Send a request every `gap` on its own connection, reconnecting if it was closed."""
         line: Line | None = None
         for _ in range(times):
-            name = f"r{next(_names):x}"
+            name = f"r{next(_request_numbers):x}"
             data = platform(name, front.kind, front.wait_ms)
             try:
                 if line is None or not line.open:
-                    line = await front._dial()
+                    line = await front._connect()
                 status, _, _ = await line.ask(data, front.wait_ms / 1000 + 0.5)
                 tally.end(name, SERVED if status == 200 else REFUSED)
             except OSError:
@@ -281,10 +286,10 @@
         if line is not None:
             self.lines.add(line)
 
-    # --- Those that hold places
+    # --- Clients that hold connections
 
     async def hoarders(self, front: Front, tally: Tally, rate: float, count: int) -> None:
-        """Clients that ask once through the front and keep their connection for good."""
+        """Clients that send one request through the front and never release their connection."""
 
         async def one() -> None:
             line = await front.ask(tally, hold=True)
@@ -294,24 +299,24 @@
         await self.steady(rate, count, one)
 
     async def silent(self, rate: float, count: int, source: str = "") -> None:
-        """Connect and say nothing."""
-        await self.steady(rate, count, lambda: self._misuse("silent", _nothing, source))
+        """Connect and send nothing."""
+        await self.steady(rate, count, lambda: self._abuse("silent", _send_nothing, source))
 
     async def come_back(self, source: str = "", first: bytes = b"") -> None:
-        """Reconnect as soon as it is closed, and send nothing or the same again."""
+        """Reconnect whenever the connection is closed, sending `first` each time."""
 
-        async def say(line: Line) -> None:
+        async def act(line: Line) -> None:
             assert line.transport is not None
             line.transport.write(first)
 
         while True:
-            await self._misuse("come back", say, source)
+            await self._abuse("come back", act, source)
             await asyncio.sleep(0)
 
     async def trickle(self, data: bytes, gap: float, source: str = "") -> None:
-        """Send a byte at a time."""
+        """Send the data one byte at a time."""
 
-        async def say(line: Line) -> None:
+        async def act(line: Line) -> None:
             assert line.transport is not None
             for byte in data:
                 if line.gone.is_set():
@@ -319,10 +324,10 @@
                 line.transport.write(bytes([byte]))
                 await asyncio.sleep(gap)
 
-        await self._misuse("trickle", say, source)
+        await self._abuse("trickle", act, source)
 
     async def slow_reader(self, data: bytes, gap: float = 1.0) -> None:
-        """Asks, and takes its answer a byte at a time."""
+        """Send a request and read its response one byte at a time."""
         host, _, port = self.addr.rpartition(":")
         one = socket.socket()
         self.sockets.add(one)
@@ -339,7 +344,7 @@
         self.sockets.discard(one)
         one.close()
 
-    async def _misuse(self, kind: str, say: Callable[[Line], Awaitable[None]], source: str) -> None:
+    async def _abuse(self, kind: str, act: Callable[[Line], Awaitable[None]], source: str) -> None:
         self.dialled[kind] += 1
         try:
             line = await dial(self.addr, source)
@@ -347,18 +352,18 @@
             await asyncio.sleep(0.05)
             return
         self.lines.add(line)
-        await say(line)
+        await act(line)
         await line.gone.wait()
         self.closed[kind] += 1
         self.lines.discard(line)
         line.close()
 
 
-async def _nothing(line: Line) -> None:
-    """Say nothing."""
+async def _send_nothing(line: Line) -> None:
+    """Send nothing."""
 
 
-async def _swallow(work: Awaitable[object]) -> object:
+async def _ignore_errors(work: Awaitable[object]) -> object:
     try:
         return await work
     except OSError:
--- a/sailhitch/lab/demo.py
+++ b/sailhitch/lab/demo.py
@@ -1,9 +1,10 @@
-"""`make run`: the daemon on an example file, five stand-in nodes, a short load, a fault half-way.
+"""`make run`: the daemon on an example file, five simulated nodes, a short load and two faults.
 
     python -m sailhitch.lab.demo [--file FILE] [--seconds N] [--clients N] [--json]
 
-Half-way one node is killed and another begins to break connections after its effects. Exits 0 where
-nothing was lost or doubled, 1 otherwise or where something can't be started.
+Half-way through, one node is killed and another begins to reset connections after executing their
+requests. Exits with 0 if no request was lost or executed twice, with 1 otherwise or if something
+can't be started.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 from .node import Fault, Memory, Node, doubled
 
 EXAMPLE: Final = Path(__file__).resolve().parents[2] / "deploy/example.toml"
-START: Final = 15.0  # s for the daemon to answer
+START_TIMEOUT: Final = 15.0  # s for the daemon to answer
 
 
 class DemoError(Exception):
-    """Something can't be started; the text says what."""
+    """Something can't be started; the message says what."""
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Play it; returns the exit code."""
+    """Run the demo; returns the exit code."""
     parser = argparse.ArgumentParser(prog="sailhitch.lab.demo", description=__doc__)
     parser.add_argument("--file", type=Path, default=EXAMPLE)
     parser.add_argument("--seconds", type=float, default=12.0)
@@ -40,45 +41,47 @@
     parser.add_argument("--json", action="store_true", help="print the summary as JSON alone")
     options = parser.parse_args(arguments)
     try:
-        made = load_file(options.file)
-        found = asyncio.run(_play(made, options))
+        operator_file = load_file(options.file)
+        summary = asyncio.run(_run_demo(operator_file, options))
     except (DemoError, AdminError, FileError) as error:
         print(f"demo: {error}", file=sys.stderr)
         return 1
-    _say(found, options.json)
-    return 1 if found[LOST] or found["doubled"] else 0
+    _print_summary(summary, options.json)
+    return 1 if summary[LOST] or summary["doubled"] else 0
 
 
-async def _play(made: OperatorFile, options: argparse.Namespace) -> dict[str, Any]:
-    nodes = await _start_nodes(made)
+async def _run_demo(operator_file: OperatorFile, options: argparse.Namespace) -> dict[str, Any]:
+    nodes = await _start_nodes(operator_file)
     try:
         with tempfile.TemporaryDirectory(prefix="sailhitch-") as folder:
-            return await _with_daemon(made, nodes, folder, options)
+            return await _run_with_daemon(operator_file, nodes, folder, options)
     finally:
         for node in nodes.values():
             node.stop()
 
 
-async def _start_nodes(made: OperatorFile) -> dict[str, Node]:
-    """Return a stand-in at each address of the file; a pool's nodes share what they remember."""
+async def _start_nodes(operator_file: OperatorFile) -> dict[str, Node]:
+    """Start a node at each address of the file; a pool's nodes share their dedup memory."""
     nodes: dict[str, Node] = {}
-    for pool in made.pools:
+    for pool in operator_file.pools:
         memory = Memory()
-        for part in pool.nodes:
+        for node_config in pool.nodes:
             node = Node(0.01, workers=16, memory=memory, reports=True)
             try:
-                await node.start(int(part.address.rpartition(":")[2]))
+                await node.start(int(node_config.address.rpartition(":")[2]))
             except OSError as error:
-                raise DemoError(f"{part.id}: {part.address}: {error.strerror}") from None
-            nodes[part.id] = node
+                raise DemoError(
+                    f"{node_config.id}: {node_config.address}: {error.strerror}"
+                ) from None
+            nodes[node_config.id] = node
     return nodes
 
 
-async def _with_daemon(
-    made: OperatorFile, nodes: dict[str, Node], folder: str, options: argparse.Namespace
+async def _run_with_daemon(
+    operator_file: OperatorFile, nodes: dict[str, Node], folder: str, options: argparse.Namespace
 ) -> dict[str, Any]:
     file = options.file.resolve()
-    # From a checkout the package is found by where this process was started, which that one is not.
+    # The daemon runs in another folder, where a checkout's package can't be imported otherwise.
     env = os.environ | {"PYTHONPATH": str(Path(__file__).resolve().parents[2])}
     program = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -91,17 +94,17 @@
         stderr=asyncio.subprocess.PIPE if options.json else None,
     )
     try:
-        socket = Path(folder) / (made.gateway.admin or "g1.sock")
-        await _answers(program, socket)
-        return await _loaded(made, nodes, socket, options)
+        socket = Path(folder) / (operator_file.gateway.admin or "g1.sock")
+        await _wait_for_daemon(program, socket)
+        return await _run_load(operator_file, nodes, socket, options)
     finally:
         if program.returncode is None:
             program.terminate()
         await program.wait()
 
 
-async def _answers(program: asyncio.subprocess.Process, socket: Path) -> None:
-    async with asyncio.timeout(START):
+async def _wait_for_daemon(program: asyncio.subprocess.Process, socket: Path) -> None:
+    async with asyncio.timeout(START_TIMEOUT):
         while True:
             if program.returncode is not None:
                 raise DemoError("the daemon did not start")
@@ -112,35 +115,35 @@
                 await asyncio.sleep(0.05)
 
 
-async def _loaded(
-    made: OperatorFile, nodes: dict[str, Node], socket: Path, options: argparse.Namespace
+async def _run_load(
+    operator_file: OperatorFile, nodes: dict[str, Node], socket: Path, options: argparse.Namespace
 ) -> dict[str, Any]:
-    addr = made.listeners[0].address
+    addr = operator_file.listeners[0].address
     loop = asyncio.get_running_loop()
     async with Load(addr, options.clients, pause=0.02) as load:
         started = loop.time()
-        broken = False
+        faults_injected = False
         while (now := loop.time() - started) < options.seconds:
             await asyncio.sleep(min(1.0, options.seconds - now))
-            if not broken and loop.time() - started >= options.seconds / 2:
-                broken = True
-                _break(nodes, options.json)
+            if not faults_injected and loop.time() - started >= options.seconds / 2:
+                faults_injected = True
+                _inject_faults(nodes, options.json)
             if not options.json:
-                await _table(load, socket)
+                await _print_progress(load, socket)
         await load.finish()
     return _summary(load, nodes)
 
 
-def _break(nodes: dict[str, Node], quiet: bool) -> None:
+def _inject_faults(nodes: dict[str, Node], quiet: bool) -> None:
     (_, first), (name, second), *_ = nodes.items()
     count = iter(range(1 << 60))
     second.script = lambda request: Fault.RESET_AFTER if next(count) % 3 == 0 else None
     first.stop()
     if not quiet:
-        print(f"-- {next(iter(nodes))} is killed; {name} breaks a third of its connections")
+        print(f"-- {next(iter(nodes))} is killed; {name} resets a third of its connections")
 
 
-async def _table(load: Load, socket: Path) -> None:
+async def _print_progress(load: Load, socket: Path) -> None:
     pools = (await asyncio.to_thread(ask, socket, {"op": "hosts"}, 5.0))["pools"]
     hosts = " ".join(
         f"{one['node']}={one['outstanding']}{'!' if one['failing'] else ''}"
@@ -152,24 +155,24 @@
 
 
 def _summary(load: Load, nodes: dict[str, Node]) -> dict[str, Any]:
-    twice = len(doubled(list(nodes.values()))) + sum(n > 1 for n in load.answers.values())
+    duplicates = len(doubled(list(nodes.values()))) + sum(n > 1 for n in load.answers.values())
     return {
         **{name: load.ends[name] for name in (SERVED, REFUSED, FAILED)},
         LOST: load.ends[LOST] + load.ends[CUT],
-        "doubled": twice,
+        "doubled": duplicates,
         "p50_ms": round(load.quantile(0.5) * 1000, 1),
         "p99_ms": round(load.quantile(0.99) * 1000, 1),
     }
 
 
-def _say(found: dict[str, Any], as_json: bool) -> None:
+def _print_summary(summary: dict[str, Any], as_json: bool) -> None:
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(summary))
         return
     print("\nserved  refused  failed  lost  doubled  p50 ms  p99 ms")
     print(
-        f"{found[SERVED]:6}  {found[REFUSED]:7}  {found[FAILED]:6}  {found[LOST]:4}  "
-        f"{found['doubled']:7}  {found['p50_ms']:6}  {found['p99_ms']:6}"
+        f"{summary[SERVED]:6}  {summary[REFUSED]:7}  {summary[FAILED]:6}  {summary[LOST]:4}  "
+        f"{summary['doubled']:7}  {summary['p50_ms']:6}  {summary['p99_ms']:6}"
     )
 
 
--- a/sailhitch/lab/files.py
+++ b/sailhitch/lab/files.py
@@ -1,4 +1,4 @@
-"""Operator files from plain values, as tests and the lab write them."""
+"""Writes operator files from plain values, for tests and the lab."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def toml_text(value: Mapping[str, Any]) -> str:
-    """As TOML; JSON's scalars, lists and inline tables are TOML's too, but for the colon."""
+    """Return the value as TOML.
+
+    JSON scalars and lists are valid TOML, and JSON objects become inline tables with `=` for `:`.
+    """
     lines = [f"version = {value['version']}"]
     for kind, parts in value.items():
         if kind != "version":
--- a/sailhitch/lab/gateway_process.py
+++ b/sailhitch/lab/gateway_process.py
@@ -1,4 +1,4 @@
-"""A daemon as a process of its own: started, signalled, asked, and its log."""
+"""Runs a daemon as a separate process: start, signals, admin requests and log."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class GatewayProcess:
-    """A daemon as a process of its own, and when it was not to be expected to serve."""
+    """A daemon in a process of its own, and the times at which it was not expected to serve."""
 
     def __init__(self, name: str, folder: Path, value: Mapping[str, Any], port: int) -> None:
         self.name = name
@@ -24,12 +24,12 @@
         self.admin = folder / "admin.sock"
         self.log = folder / "log"
         self.program: asyncio.subprocess.Process | None = None
-        self.down: list[tuple[float, float]] = []  # when it was not to be expected to serve
+        self.down: list[tuple[float, float]] = []  # intervals in which it was not expected to serve
         self.restarted = False
         self._down_since: float | None = 0.0
 
     async def start(self) -> None:
-        """Start it."""
+        """Write the operator file and start the daemon."""
         file = self.folder / "g.toml"
         file.write_text(toml_text(self.value))
         with open(self.log, "ab") as log:
@@ -50,32 +50,32 @@
             self.program.send_signal(number)
 
     def runs(self) -> bool:
-        """Return whether it was started and has not ended."""
+        """Return whether the process is running."""
         return self.program is not None and self.program.returncode is None
 
     async def end(self, number: int = signal.SIGKILL) -> None:
-        """End it, and wait until it has."""
+        """Send a signal that ends the process, and wait until it has exited."""
         if self.program is not None and self.runs():
             self.program.send_signal(signal.SIGCONT)
             self.program.send_signal(number)
             await self.program.wait()
 
-    def out(self, now: float) -> None:
-        """Record that nothing is expected of it from now on."""
+    def mark_down(self, now: float) -> None:
+        """Record that the gateway is not expected to serve from `now` on."""
         self._down_since = now if self._down_since is None else self._down_since
 
-    def back(self, now: float) -> None:
-        """Record that it serves again."""
+    def mark_up(self, now: float) -> None:
+        """Record that the gateway is expected to serve again from `now` on."""
         if self._down_since is not None:
             self.down.append((self._down_since, now))
             self._down_since = None
 
     async def ask(self, request: Mapping[str, Any], patience: float = 30.0) -> dict[str, Any]:
-        """One admin request; raises AdminError."""
+        """Send an admin request; raises AdminError."""
         return await asyncio.to_thread(ask, self.admin, request, patience)
 
     async def status(self) -> dict[str, Any]:
-        """Return what `tier status` says; empty where it does not answer."""
+        """Return the reply of `tier status`; empty if the daemon does not answer."""
         try:
             return await self.ask({"op": "tier", "act": "status"}, 1.0)
         except AdminError:
--- a/sailhitch/lab/judge.py
+++ b/sailhitch/lab/judge.py
@@ -1,6 +1,7 @@
-"""What a play of a scenario came to, and whether a promise was broken: by the nodes' own logs.
+"""The result of playing a scenario, and the check of the tier's promises against the nodes' logs.
 
-What counts beside them is only what operators' commands said, never what a daemon says of itself.
+Only the nodes' logs and the replies to operators' commands count as evidence, never what a daemon
+reports of itself.
 """
 
 from __future__ import annotations
@@ -18,15 +19,16 @@
 from .node import Effect, Node, doubled
 from .scenario import Scenario, StepPart
 
-ALLOWED: Final = 0.25  # s after a command has said "active": what was on its way may still come
+# s after a command returned "active" in which requests that were in flight may still arrive.
+IN_FLIGHT_TOLERANCE: Final = 0.25
 
 
 @dataclass
 class Told:
-    """What a command said, and when: seconds of the loop's clock."""
+    """An operator's command and its result; times are seconds on the loop's clock."""
 
     step: StepPart
-    by: str  # the gateway that was asked
+    by: str  # the gateway that received the command
     asked: float
     ended: float
     end: str
@@ -35,16 +37,16 @@
 
 @dataclass
 class Result:
-    """What a play came to; `broken` has a line for each promise that was."""
+    """The result of a play; `broken` has a line for each broken promise."""
 
     scenario: Scenario
     told: list[Told] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
-    ends: dict[str, dict[str, int]] = field(default_factory=dict)  # of requests, by gateway
-    gap: dict[str, float] = field(
-        default_factory=dict
-    )  # longest without a payout served, by gateway
-    late: float = 0.0  # how long a contradiction lasted, by the nodes' logs
+    ends: dict[str, dict[str, int]] = field(default_factory=dict)  # request outcomes by gateway
+    # Longest time without a payout served, by gateway.
+    gap: dict[str, float] = field(default_factory=dict)
+    # s for which nodes got requests that an active change forbids, at the longest.
+    late: float = 0.0
 
     def as_json(self) -> dict[str, Any]:
         """Return the result as plain values."""
@@ -69,15 +71,15 @@
 
 
 class Watched(Protocol):
-    """What a judge has to know of a gateway: what was done to it."""
+    """What the check needs to know about a gateway: the faults injected into it."""
 
     restarted: bool
-    down: list[tuple[float, float]]  # when it was not to be expected to serve
+    down: list[tuple[float, float]]  # intervals in which it was not expected to serve
 
 
 @dataclass
 class Judge:
-    """Looks at the nodes' logs once a play is over. Times are of the loop's clock."""
+    """Checks the nodes' logs after a play. Times are on the loop's clock."""
 
     result: Result
     nodes: Mapping[str, Node]
@@ -85,7 +87,7 @@
     loads: Mapping[str, Load]
 
     def judge(self, began: float, ended: float) -> None:
-        """Fill in what is broken, what became of requests, and how long a contradiction lasted."""
+        """Fill in the result: broken promises, outcomes, gaps, and the longest contradiction."""
         result = self.result
         result.broken += [
             f"effect twice: {name.decode()}" for name in doubled([*self.nodes.values()])
@@ -93,44 +95,59 @@
         for told in result.told:
             if told.step.ends and told.end != told.step.ends:
                 result.broken.append(
-                    f"{told.step.do} {told.step.node} at {told.by} ended {told.end}, not "
+                    f"{told.step.do} {told.step.node} at {told.by} ended {told.end}, expected "
                     f"{told.step.ends}: {told.text}"
                 )
             if told.end == "active":
-                self._changed(told)
-        self._races()
+                self._check_active_change(told)
+        self._check_races()
         for name, load in self.loads.items():
             result.ends[name] = dict(load.ends)
             if load.wrong:
-                result.broken.append(f"{name}: {len(load.wrong)} answers were another request's")
-            self._service(name, load, began, ended)
+                result.broken.append(
+                    f"{name}: {len(load.wrong)} responses were for another request"
+                )
+            self._check_service(name, load, began, ended)
 
-    def _changed(self, told: Told) -> None:
-        """From when a command was told "active", nothing comes that the new rules forbid."""
+    def _check_active_change(self, told: Told) -> None:
+        """Check that nodes got nothing that a command forbids once it had returned "active"."""
         step = told.step
         if step.do in ("ban", "drop"):
-            over = self._until(told, lambda one: one.do == "unban" and one.node == step.node)
-            self._none(told, over, [step.node], lambda effect: not self._is_free(effect))
+            superseded_at = self._superseded_at(
+                told, lambda one: one.do == "unban" and one.node == step.node
+            )
+            self._check_none_received(
+                told, superseded_at, [step.node], lambda effect: not self._is_exempt(effect)
+            )
         elif step.do == "reroute":
-            over = self._until(told, lambda one: one.do == "reroute")
+            superseded_at = self._superseded_at(told, lambda one: one.do == "reroute")
             spare = set(self.result.scenario.spares())
             left = [one for one in self.nodes if (one in spare) != bool(step.value)]
-            self._none(told, over, left, lambda effect: not effect.safe and not effect.key)
+            self._check_none_received(
+                told, superseded_at, left, lambda effect: not effect.safe and not effect.key
+            )
         elif step.do == "leave":
-            over = self._until(told, lambda one: one.do == "return" and one.node == step.node)
+            superseded_at = self._superseded_at(
+                told, lambda one: one.do == "return" and one.node == step.node
+            )
             left = [name for name in self.nodes if self.result.scenario.zone_of(name) == step.node]
-            self._none(told, over, left, lambda effect: True)
+            self._check_none_received(told, superseded_at, left, lambda effect: True)
         elif step.do == "return":
-            self._paced(told)
+            self._check_return_pace(told)
 
-    def _paced(self, told: Told) -> None:
-        """Check that a recovery uses no more nodes than its steps had time for."""
+    def _check_return_pace(self, told: Told) -> None:
+        """Check that a zone's return used no more nodes than its steps allowed at each time."""
         scenario = self.result.scenario
         zone = told.step.node
         here = [name for name in self.nodes if scenario.zone_of(name) == zone]
-        over = self._until(told, lambda one: one.do in ("leave", "return") and one.node == zone)
+        superseded_at = self._superseded_at(
+            told, lambda one: one.do in ("leave", "return") and one.node == zone
+        )
         first = sorted(
-            min((e.at for e in self.nodes[name].log if told.asked < e.at < over), default=math.inf)
+            min(
+                (e.at for e in self.nodes[name].log if told.asked < e.at < superseded_at),
+                default=math.inf,
+            )
             for name in here
         )
         share = FIRST_SHARE
@@ -140,45 +157,50 @@
             early = sum(at < began for at in first)
             if early > active_node_count(share, len(here)):
                 self.result.broken.append(
-                    f"{early} nodes of {zone} got something within {began - told.asked:.2f} s of "
-                    f"its return, where {active_node_count(share, len(here))} were due"
+                    f"{early} nodes of {zone} got requests within {began - told.asked:.2f} s of "
+                    f"its return, at most {active_node_count(share, len(here))} allowed"
                 )
                 return
             share = next_share(share)
 
-    def _until(self, told: Told, ends: Callable[[StepPart], bool]) -> float:
+    def _superseded_at(self, told: Told, ends: Callable[[StepPart], bool]) -> float:
         later = [one.asked for one in self.result.told if one.asked > told.ended and ends(one.step)]
         return min(later, default=math.inf)
 
-    def _none(
-        self, told: Told, over: float, names: Sequence[str], counts: Callable[[Effect], bool]
+    def _check_none_received(
+        self,
+        told: Told,
+        superseded_at: float,
+        names: Sequence[str],
+        counts: Callable[[Effect], bool],
     ) -> None:
         for name in names:
             late = [
                 effect
                 for effect in self.nodes[name].log
-                if told.ended < effect.at < over and counts(effect)
+                if told.ended < effect.at < superseded_at and counts(effect)
             ]
             self.result.late = max([self.result.late, *(e.at - told.ended for e in late)])
-            wrong = [effect for effect in late if effect.at > told.ended + ALLOWED]
-            if wrong:
-                last = wrong[-1]
+            invalid = [effect for effect in late if effect.at > told.ended + IN_FLIGHT_TOLERANCE]
+            if invalid:
+                last = invalid[-1]
                 self.result.broken.append(
-                    f"{name} got {len(wrong)} requests after {told.step.do} was active, the last "
+                    f"{name} got {len(invalid)} requests after {told.step.do} was active, the last "
                     f"{last.name.decode()} {last.at - told.ended:.2f} s after, under version "
                     f"{last.version.decode()}, {'safe' if last.safe else 'not safe'}"
                 )
 
-    def _is_free(self, effect: Effect) -> bool:
-        """Whether it is safe and of a member that was out: that serves these by what it last knew.
+    def _is_exempt(self, effect: Effect) -> bool:
+        """Return whether it is a safe request from a member that may have been out of the tier.
 
-        Out is who has started and not heard yet, and whose lease has lapsed.
+        Such a member serves safe requests by the last version it knew. A member is out after a
+        start, until it has heard from the tier, and while its lease has lapsed.
         """
         sender = self.gateways[effect.name.decode().partition("-")[0]]
         return effect.safe and (sender.restarted or self.result.scenario.lease is not None)
 
-    def _races(self) -> None:
-        """Of commands begun together at several gateways, one may win."""
+    def _check_races(self) -> None:
+        """Check that of commands sent to several gateways at once, exactly one wins."""
         for step in self.result.scenario.steps:
             ends = [one.end for one in self.result.told if one.step is step]
             what = f"{step.do} {step.node}"
@@ -186,8 +208,8 @@
             if len(ends) > 1 and not step.ends and won != 1:
                 self.result.broken.append(f"{what}: {won} of {len(ends)} won: {ends}")
 
-    def _service(self, name: str, load: Load, began: float, ended: float) -> None:
-        """Payouts through every running gateway, but for what is held back."""
+    def _check_service(self, name: str, load: Load, began: float, ended: float) -> None:
+        """Check a gateway's served share, and find its longest gap without a payout served."""
         result, least = self.result, self.result.scenario.served
         up = load.ends[SERVED] + load.ends[REFUSED] + load.ends[LOST]
         if up and load.ends[SERVED] / up < least and not self.gateways[name].down[1:]:
@@ -203,7 +225,7 @@
 
 
 def table(result: Result) -> list[str]:
-    """Return what a play came to, for people."""
+    """Return the result as lines of text."""
     lines = [f"{'command':<24} {'end':<8} {'took':>7}"]
     for told in result.told:
         what = f"{told.step.do} {told.step.node} at {told.by}"
--- a/sailhitch/lab/load.py
+++ b/sailhitch/lab/load.py
@@ -1,4 +1,4 @@
-"""Ordinary HTTP clients that ask steadily, and a count of what finally became of each request."""
+"""Ordinary HTTP clients that send requests continuously, and count their final outcomes."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 REFUSED = "refused"
 FAILED = "failed"
 LOST = "lost"
-CUT: Final = "cut"  # no answer, as the connection could not be had or broke
-PATIENCE: Final = 15.0  # s until a request counts as lost; gateways answer long before
+CUT: Final = "cut"  # no response: the connection failed or broke
+PATIENCE: Final = 15.0  # s until a request counts as lost; gateways answer long before that
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of request: how it looks, and how often it comes among the others."""
+    """A kind of request, and its relative frequency."""
 
     name: str
     method: str
@@ -39,11 +39,11 @@
 
 
 class Load:
-    """Clients with a connection each, that ask again as soon as they are answered.
+    """Clients with a connection each, that send the next request after each response.
 
-    `ends` counts what became of requests, `answers` how many final answers each got, by its id. A
-    keyed request that got no clear answer comes again under its key, as a good client's does;
-    `repeats` counts those.
+    `ends` counts the outcomes of requests, `answers` the final responses to each, by its id. A
+    keyed request without a conclusive response is sent again under its key, as a correct client
+    does; `repeats` counts those.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         seed: int = 1,
         prefix: str = "c",
     ) -> None:
-        self.prefix = prefix  # of the ids of its requests
+        self.prefix = prefix  # of its request ids
         self.addr = addr
         self.clients = clients
         self.kinds = kinds
@@ -64,11 +64,11 @@
         self.ends: Counter[str] = Counter()
         self.answers: Counter[str] = Counter()
         self.statuses: Counter[int] = Counter()
-        self.times: list[tuple[float, float]] = []  # when each served answer came, how long it took
-        self.wrong: list[str] = []  # answers that were another's
+        self.times: list[tuple[float, float]] = []  # arrival and latency of each served response
+        self.wrong: list[str] = []  # ids of requests that got another request's response
         self.repeats = 0
-        self._names = itertools.count()
-        self._ending = asyncio.Event()
+        self._request_numbers = itertools.count()
+        self._is_ending = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> Load:
@@ -80,8 +80,8 @@
         await self.finish()
 
     async def finish(self) -> None:
-        """Begin nothing more, and wait for what is under way."""
-        self._ending.set()
+        """Send no new requests, and wait for those in flight."""
+        self._is_ending.set()
         await asyncio.gather(*self._tasks)
 
     @property
@@ -90,31 +90,31 @@
         return sum(self.ends.values())
 
     def quantile(self, part: float, since: float = 0.0) -> float:
-        """Of the times of served requests that ended since then, seconds; 0 with none."""
+        """Return a quantile of the latencies (s) of requests served since a time; 0 with none."""
         times = sorted(took for at, took in self.times if at >= since)
         return times[min(len(times) - 1, int(part * len(times)))] if times else 0.0
 
     async def _client(self, number: int) -> None:
         line: Line | None = None
-        again: str | None = None
-        while not self._ending.is_set():
+        retry_key: str | None = None
+        while not self._is_ending.is_set():
             kind = self.random.choices(self.kinds, [one.part for one in self.kinds])[0]
-            if again is not None:
+            if retry_key is not None:
                 kind = FILINGS
-            name = f"{self.prefix}{number}-{next(self._names):x}"
-            key = again or (name if kind.keyed else "")
-            self.repeats += again is not None
-            line, clear = await self._ask(line, kind, name, key)
-            again = key if key and not clear else None
-            if self.pause or not clear:
+            name = f"{self.prefix}{number}-{next(self._request_numbers):x}"
+            key = retry_key or (name if kind.keyed else "")
+            self.repeats += retry_key is not None
+            line, is_final = await self._request(line, kind, name, key)
+            retry_key = key if key and not is_final else None
+            if self.pause or not is_final:
                 await asyncio.sleep(self.pause or 0.01)
         if line is not None:
             line.close()
 
-    async def _ask(
+    async def _request(
         self, line: Line | None, kind: Kind, name: str, key: str
     ) -> tuple[Line | None, bool]:
-        """One request; the connection, if it is still good, and whether its end is clear."""
+        """Send a request; return the connection if usable, and whether the outcome is final."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         try:
@@ -125,7 +125,7 @@
             self.ends[LOST] += 1
             return None, False
         except OSError:
-            # A close that crosses the request, or no gateway: nothing was answered.
+            # The connection was closed while the request was sent, or no gateway is running.
             self.ends[CUT] += 1
             await asyncio.sleep(0.02)
             return None, False
--- a/sailhitch/lab/message.py
+++ b/sailhitch/lab/message.py
@@ -1,4 +1,4 @@
-"""Requests as clients write them."""
+"""Encodes requests as clients send them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def build(
     method: str, path: str, fields: Iterable[tuple[str, object]] = (), body: bytes = b""
 ) -> bytes:
-    """Return a request; it has a length if there is a body or the method wants one."""
+    """Return a request, with a Content-Length if it has a body or is a POST."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}"]
     lines += [f"{name}: {value}" for name, value in fields]
     if body or method == "POST":
@@ -21,7 +21,7 @@
 def platform(
     name: str, kind: str, wait_ms: int, body: bytes | None = None, owner: str = "", key: str = ""
 ) -> bytes:
-    """Return a request of the platform's protocol; of a safe class if it has no body."""
+    """Return a request with the platform's header fields; a GET if `body` is None."""
     fields: list[tuple[str, object]] = [
         ("Req-Id", name),
         ("Req-Kind", kind),
--- a/sailhitch/lab/modelled.py
+++ b/sailhitch/lab/modelled.py
@@ -1,8 +1,9 @@
-"""The scenarios of the lab in the fleet model: the same steps, the same cores, no processes.
+"""Plays the lab's scenarios in the fleet model: the same steps and tier members, no processes.
 
-Nodes and routes become acts that a version permits: act `i` is sending to node `i`, two more are
-paying out at the first pool and at the spare one. What an operator's command would be told follows
-from the core's answer by the daemon's rules. `compare` holds both plays against each other.
+Nodes and routes become actions that a version permits: action `i` is sending to node `i`, two more
+are paying out at the first pool and at the spare one. The result of an operator's command is
+derived from the member's result by the daemon's rules. `compare` compares a play by processes
+with plays in the model.
 """
 
 from __future__ import annotations
@@ -25,18 +26,18 @@
 from .tier import COMMANDS, ZONES
 
 S: Final = 1_000_000
-STEP: Final = S // 50  # us of virtual time between two looks
-PATIENCE: Final = 60 * S  # us for what a step waits for
+POLL_INTERVAL: Final = S // 50  # us of virtual time
+WAIT_TIMEOUT: Final = 60 * S  # us that a step waits for its condition
 
 
 @dataclass
-class _Command:
-    """What an operator has asked for at one gateway, until he is told how it ended."""
+class _PendingCommand:
+    """An operator's command at one gateway, and its result once it has one."""
 
     step: StepPart
     process: TierProcess
     asked: int
-    life: int
+    incarnation: int
     job: int | None = None
     version: Version | None = None
     since: int = 0  # when the version was decided
@@ -46,21 +47,21 @@
 
 @dataclass
 class ModelPlay:
-    """What a play in the model came to."""
+    """The result of a play in the model."""
 
     told: list[Told] = field(default_factory=list)
     broken: str = ""
 
 
 class Player:
-    """Plays one scenario by one seed."""
+    """Plays one scenario with one seed."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
         self.nodes = scenario.nodes
         lease = None if scenario.lease is None else read_duration(scenario.lease)
         self.within = read_duration(scenario.agree_within)
-        # All nodes may be sent to, and payouts go to the first pool.
+        # At first all nodes may be sent to, and payouts go to the first pool.
         self.world = World(
             seed,
             scenario.gateways,
@@ -74,7 +75,7 @@
             step=read_duration(scenario.step),
             act=scenario.mode == "act",
         )
-        self.commands: list[_Command] = []
+        self.commands: list[_PendingCommand] = []
 
     def _zones(self) -> dict[str, str]:
         zone_of = self.scenario.zone_of
@@ -82,15 +83,20 @@
         return {str(i): zone_of(f"n{i + 1}") for i in nodes} if self.scenario.zones else {}
 
     def play(self) -> ModelPlay:
-        """Have everything happen, each look at the truth included."""
+        """Play all steps, with the model's invariant checks."""
         play = ModelPlay()
         try:
             self._play()
         except InvariantViolationError as error:
             play.broken = str(error)
-        for one in self.commands:
+        for command in self.commands:
             told = Told(
-                one.step, one.process.name, one.asked / S, one.ended / S, one.end or "refused", ""
+                command.step,
+                command.process.name,
+                command.asked / S,
+                command.ended / S,
+                command.end or "refused",
+                "",
             )
             play.told.append(told)
         return play
@@ -99,25 +105,25 @@
         world = self.world
         world.start()
         first = [name for name in world.names if name not in self.scenario.late]
-        self._until(lambda: all(self._is_in(name) for name in first), "all members are in")
+        self._wait_until(lambda: all(self._is_active(name) for name in first), "all members are in")
         began = world.kernel.now
         for step in self.scenario.steps:
-            self._go_on(began + int(step.at * S))
+            self._run_until(began + int(step.at * S))
             self._do(step)
-        self._go_on(began + int(self.scenario.seconds * S))
-        self._until(lambda: all(one.end for one in self.commands), "all commands end")
+        self._run_until(began + int(self.scenario.seconds * S))
+        self._wait_until(lambda: all(command.end for command in self.commands), "all commands end")
 
-    def _go_on(self, until: int) -> None:
+    def _run_until(self, until: int) -> None:
         while self.world.kernel.now < until:
-            self.world.kernel.run(min(until, self.world.kernel.now + STEP))
-            self._look()
+            self.world.kernel.run(min(until, self.world.kernel.now + POLL_INTERVAL))
+            self._update_commands()
 
-    def _until(self, good: Callable[[], bool], what: str) -> None:
-        limit = self.world.kernel.now + PATIENCE
-        while not good():
+    def _wait_until(self, condition: Callable[[], bool], what: str) -> None:
+        limit = self.world.kernel.now + WAIT_TIMEOUT
+        while not condition():
             if self.world.kernel.now >= limit:
-                raise InvariantViolationError(f"4: not within {PATIENCE // S} s: {what}")
-            self._go_on(self.world.kernel.now + STEP)
+                raise InvariantViolationError(f"4: timed out after {WAIT_TIMEOUT // S} s: {what}")
+            self._run_until(self.world.kernel.now + POLL_INTERVAL)
 
     # --- Conditions
 
@@ -126,7 +132,7 @@
         assert member is not None
         return member
 
-    def _is_in(self, name: str) -> bool:
+    def _is_active(self, name: str) -> bool:
         process = self.world.processes[name]
         if process.member is None or not process.up:
             return False
@@ -134,15 +140,17 @@
 
     def _agree(self, names: Sequence[str]) -> bool:
         running = [name for name in names if self.world.processes[name].up]
-        heads = [self._member(name).chosen for name in running]
-        turns = {0 if known is None else known.state.revision for known in heads}
-        settled = all(known is not None and known.state.pending is None for known in heads)
-        acted = all(self._member(name).confirmed_revision in turns for name in running)
+        chosen_states = [self._member(name).chosen for name in running]
+        turns = {0 if known is None else known.state.revision for known in chosen_states}
+        settled = all(known is not None and known.state.pending is None for known in chosen_states)
+        confirmed = all(self._member(name).confirmed_revision in turns for name in running)
         voters = [voter for name in running if (voter := self._member(name).voter) is not None]
-        good = settled and acted and len(turns) == 1 and all(voter.is_voting for voter in voters)
-        return good and all(self._is_in(name) for name in running)
+        is_agreed = (
+            settled and confirmed and len(turns) == 1 and all(voter.is_voting for voter in voters)
+        )
+        return is_agreed and all(self._is_active(name) for name in running)
 
-    def _all_go_along(self, member: Member, turn: int) -> bool:
+    def _all_confirmed(self, member: Member, turn: int) -> bool:
         return member.confirmed_revision >= turn and not member.members_behind()
 
     def _is_back(self, step: StepPart) -> bool:
@@ -164,32 +172,34 @@
         names = step.who or list(self.world.names)
         if step.do in COMMANDS:
             for name in step.who:
-                self._ask(step, self.world.processes[name])
+                self._send_command(step, self.world.processes[name])
         elif step.do == "await":
-            self._until(lambda: all(one.end for one in self.commands), "all commands end")
+            self._wait_until(
+                lambda: all(command.end for command in self.commands), "all commands end"
+            )
         elif step.do == "agree":
-            self._until(lambda: self._agree(names), "all agree")
+            self._wait_until(lambda: self._agree(names), "all agree")
         elif step.do == "dead":
-            self._until(
+            self._wait_until(
                 lambda: all(
                     set(step.to) <= set(self._member(name).prober.dead_members())
                     for name in step.who
                 ),
-                f"{', '.join(step.to)} told dead",
+                f"{', '.join(step.to)} declared dead",
             )
         elif step.do == "back":
-            self._until(lambda: self._is_back(step), f"{step.node} is back")
+            self._wait_until(lambda: self._is_back(step), f"{step.node} is back")
         elif step.do == "left":
             began = self.world.kernel.now
-            self._until(lambda: self._is_left(step), f"{step.node} is left")
+            self._wait_until(lambda: self._is_left(step), f"{step.node} is left")
             if self.world.kernel.now - began > step.value * S:
                 raise InvariantViolationError(f"6: {step.node} is left too late")
         elif step.do in ("freeze", "thaw"):
             frozen = self.world.failed_zones
             (frozen.add if step.do == "freeze" else frozen.discard)(step.node)
         elif step.do in ("cut", "heal"):
-            self._cut(step)
-        elif step.do in ("loss", "garble"):  # what is garbled is not opened: it is lost
+            self._set_cuts(step)
+        elif step.do in ("loss", "garble"):  # a corrupted datagram fails authentication: it is lost
             network.loss = 1 - (1 - network.loss) * (1 - step.value)
         elif step.do in ("double", "replay"):
             network.duplication = max(network.duplication, step.value)
@@ -199,7 +209,7 @@
             for name in step.who:
                 self._fault(step, self.world.processes[name])
 
-    def _cut(self, step: StepPart) -> None:
+    def _set_cuts(self, step: StepPart) -> None:
         cuts = self.world.network.cuts
         names = self.world.names
         links = {(a, b) for a in step.who for b in step.to or names}
@@ -220,7 +230,7 @@
             process.kill()
         elif step.do == "stop":
             process.begin_job(Member.leave)
-            self._go_on(self.world.kernel.now + int(LEAVE_TIMEOUT * S))
+            self._run_until(self.world.kernel.now + int(LEAVE_TIMEOUT * S))
             process.kill()
         elif step.do == "start":
             disk.full = False
@@ -237,12 +247,12 @@
 
     # --- Commands
 
-    def _ask(self, step: StepPart, process: TierProcess) -> None:
-        one = _Command(step, process, self.world.kernel.now, process.incarnation)
-        self.commands.append(one)
+    def _send_command(self, step: StepPart, process: TierProcess) -> None:
+        command = _PendingCommand(step, process, self.world.kernel.now, process.incarnation)
+        self.commands.append(command)
         member = process.member
         if not process.up or process.paused or member is None or process.applied_versions is None:
-            self._end(one, "refused")
+            self._finish_command(command, "refused")
             return
         name = step.to[0] if step.do == "join" else step.node
         if step.do in ("gone", "join"):
@@ -253,32 +263,34 @@
                 else (member.why_not_admitted(name))
             )
             if why:
-                self._end(one, "refused")
+                self._finish_command(command, "refused")
                 return
-            one.job = process.begin_job(lambda m: m.evict(name) if gone else m.admit(name, "h:1"))
+            command.job = process.begin_job(
+                lambda m: m.evict(name) if gone else m.admit(name, "h:1")
+            )
         elif step.do in ZONES:
-            one.job = self._ask_zones(step, process)
+            command.job = self._send_zone_command(step, process)
         elif step.do == "withdraw":
             pending = None if member.chosen is None else member.chosen.state.pending
-            one.job = (
+            command.job = (
                 None if pending is None else process.begin_job(lambda m: m.withdraw(pending.serial))
             )
-        elif self._is_in(process.name):
+        elif self._is_active(process.name):
             base = process.applied_versions.active
             old = self.world.permitted(base.digest)
-            new, weight = self._wanted(step, old)
+            new, weight = self._desired_actions(step, old)
             if new == old and not weight:
-                one.job = process.begin_job(Member.read)
-                one.version = base
+                command.job = process.begin_job(Member.read)
+                command.version = base
             else:
-                one.job = process.propose_version(base, new, weight)
-        if one.job is None:
-            self._end(one, "refused")
+                command.job = process.propose_version(base, new, weight)
+        if command.job is None:
+            self._finish_command(command, "refused")
 
-    def _ask_zones(self, step: StepPart, process: TierProcess) -> int | None:
+    def _send_zone_command(self, step: StepPart, process: TierProcess) -> int | None:
         controller = process.controller
         assert controller is not None
-        if not self._is_in(process.name):
+        if not self._is_active(process.name):
             return None
         try:
             posture = controller.operator_request(step.do, step.node, "lab", "model", None)
@@ -286,7 +298,7 @@
             return None
         return process.propose_zone_policy(posture)
 
-    def _wanted(self, step: StepPart, old: frozenset[int]) -> tuple[frozenset[int], int]:
+    def _desired_actions(self, step: StepPart, old: frozenset[int]) -> tuple[frozenset[int], int]:
         here = self.nodes
         spare = self.nodes + 1
         if step.do == "reroute":
@@ -296,100 +308,105 @@
         act = int(step.node[1:]) - 1
         return (old | {act} if step.do == "unban" else old - {act}), 0
 
-    def _look(self) -> None:
-        """Tell operators what has ended."""
-        for one in self.commands:
-            if not one.end:
-                self._follow(one)
+    def _update_commands(self) -> None:
+        """Update all commands that have no result yet."""
+        for command in self.commands:
+            if not command.end:
+                self._update_command(command)
 
-    def _follow(self, one: _Command) -> None:
+    def _update_command(self, command: _PendingCommand) -> None:
         now = self.world.kernel.now
-        process = one.process
-        if not process.up or process.incarnation != one.life:
-            self._end(one, "refused")  # whoever asked lost his connection
+        process = command.process
+        if not process.up or process.incarnation != command.incarnation:
+            self._finish_command(command, "refused")  # the operator's connection was lost
             return
-        assert one.job is not None
-        if one.since:
-            assert one.version is not None
+        assert command.job is not None
+        if command.since:
+            assert command.version is not None
             if (
                 process.applied_versions is not None
-                and process.applied_versions.active.serial >= one.version.serial
+                and process.applied_versions.active.serial >= command.version.serial
             ):
-                same = process.applied_versions.active.serial == one.version.serial
-                self._end(one, "active" if same else "refused")
-            elif now - one.since >= self.within:
-                self._end(one, "pending")
+                same = process.applied_versions.active.serial == command.version.serial
+                self._finish_command(command, "active" if same else "refused")
+            elif now - command.since >= self.within:
+                self._finish_command(command, "pending")
             return
-        done = process.completed_jobs.get(one.job)
+        done = process.completed_jobs.get(command.job)
         if done is None:
-            if now - one.asked >= DECISION_TIMEOUT * S:
-                self._end(one, "refused")
-        elif one.step.do in ZONES:
+            if now - command.asked >= DECISION_TIMEOUT * S:
+                self._finish_command(command, "refused")
+        elif command.step.do in ZONES:
             if done.result is not ProposalResult.ACTIVE:
-                self._end(one, "refused")
-            elif process.member is not None and self._all_go_along(
+                self._finish_command(command, "refused")
+            elif process.member is not None and self._all_confirmed(
                 process.member, done.state.revision
             ):
-                self._end(one, "active")
-            elif now - one.asked >= self.within:
-                self._end(one, "pending")
-        elif one.step.do in ("withdraw", "gone", "join"):
-            self._end(one, "active" if done.result is ProposalResult.ACTIVE else "refused")
-        elif one.version is not None:  # there was nothing to change, if that was the latest
+                self._finish_command(command, "active")
+            elif now - command.asked >= self.within:
+                self._finish_command(command, "pending")
+        elif command.step.do in ("withdraw", "gone", "join"):
+            self._finish_command(
+                command, "active" if done.result is ProposalResult.ACTIVE else "refused"
+            )
+        elif command.version is not None:
+            # There was nothing to change, if the base is still the latest version.
             head = done.state
-            same = head.active.serial == one.version.serial and head.pending is None
-            self._end(one, "active" if same else "stale")
+            same = head.active.serial == command.version.serial and head.pending is None
+            self._finish_command(command, "active" if same else "stale")
         elif done.result in (ProposalResult.STALE, ProposalResult.BUSY):
-            self._end(one, "stale")
+            self._finish_command(command, "stale")
         else:
-            one.version = (
+            command.version = (
                 done.state.active if done.result is ProposalResult.ACTIVE else done.state.pending
             )
-            one.since = now
+            command.since = now
 
-    def _end(self, one: _Command, end: str) -> None:
-        one.end = end
-        one.ended = self.world.kernel.now
+    def _finish_command(self, command: _PendingCommand, end: str) -> None:
+        command.end = end
+        command.ended = self.world.kernel.now
 
 
 @dataclass
 class Comparison:
-    """A play by processes beside plays in the model; `differs` has a line for what is unlike."""
+    """A play by processes compared with plays in the model; `differs` lists the differences."""
 
     lines: list[str] = field(default_factory=list)
     differs: list[str] = field(default_factory=list)
 
 
 def play_modelled(scenario: Scenario, seeds: Sequence[int]) -> list[ModelPlay]:
-    """Return the scenario in the model, once by each seed."""
+    """Play the scenario in the model, once with each seed."""
     return [Player(scenario, seed).play() for seed in seeds]
 
 
 def compare(result: Result, plays: Sequence[ModelPlay]) -> Comparison:
-    """Each command's end and time beside those in the model, all of one and the same scenario.
+    """Compare each command's result and duration with those of the same scenario in the model.
 
-    Where a race may end one way or the other, any end that some seed shows is like.
+    If a race can end in several ways, any result that some seed produces is accepted.
     """
-    found = Comparison([f"{'command':<24} {'processes':>16} {'model':>24}"])
-    found.differs += [f"in the model: {play.broken}" for play in plays if play.broken]
+    comparison = Comparison([f"{'command':<24} {'processes':>16} {'model':>24}"])
+    comparison.differs += [f"in the model: {play.broken}" for play in plays if play.broken]
     steps = result.scenario.steps
     by_key = [_by_key(steps, play.told) for play in plays]
     for key, told in sorted(_by_key(steps, result.told).items()):
-        modelled = [play[key] for play in by_key if key in play]
-        ends = sorted({one.end for one in modelled})
-        times = [one.ended - one.asked for one in modelled]
+        model_results = [play[key] for play in by_key if key in play]
+        ends = sorted({command.end for command in model_results})
+        times = [command.ended - command.asked for command in model_results]
         what = f"{told.step.do} {told.step.node} at {told.by}"
-        span = f"{min(times):.2f} to {max(times):.2f}s" if times else "-"
-        took = f"{told.end} {told.ended - told.asked:.2f}s"
-        found.lines.append(f"{what:<24} {took:>16} {' or '.join(ends):>9} {span:>16}")
+        duration_range = f"{min(times):.2f} to {max(times):.2f}s" if times else "-"
+        process_result = f"{told.end} {told.ended - told.asked:.2f}s"
+        comparison.lines.append(
+            f"{what:<24} {process_result:>16} {' or '.join(ends):>9} {duration_range:>16}"
+        )
         if told.end not in ends:
-            found.differs.append(
+            comparison.differs.append(
                 f"{what}: {told.end} by processes, {' or '.join(ends) or 'nothing'} in the model"
             )
-    return found
+    return comparison
 
 
 def _by_key(steps: Sequence[StepPart], told: Sequence[Told]) -> dict[tuple[int, str], Told]:
-    """Commands by the number of their step and the gateway asked."""
+    """Return command results by the index of their step and their gateway."""
     numbers = {id(step): number for number, step in enumerate(steps)}
-    return {(numbers[id(one.step)], one.by): one for one in told}
+    return {(numbers[id(command.step)], command.by): command for command in told}
--- a/sailhitch/lab/node.py
+++ b/sailhitch/lab/node.py
@@ -1,7 +1,7 @@
-"""A claims node: queue, cold start, drain, dedup groups, a log of every effect, faults by script.
+"""A simulated node with a queue, cold start, drain, dedup groups, an effect log, scripted faults.
 
-It speaks the platform's protocol: `Req-Id`, `Idempotency-Key`, `Srv-Load`, `Srv-Declined`. Times
-are seconds of the loop's clock.
+It uses the platform's header fields: `Req-Id`, `Idempotency-Key`, `Srv-Load`, `Srv-Declined`. Times
+are seconds on the loop's clock.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 DECLINED: Final = (
     b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 )
-WRONG: Final = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 5\r\n\r\nwrong"
+SERVER_ERROR: Final = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 5\r\n\r\nwrong"
 
 
 class Fault(Enum):
-    """What goes wrong with one request."""
+    """A fault injected into the handling of one request."""
 
-    REFUSE = auto()  # turned away, and said so: it did not run
-    RESET_BEFORE = auto()  # the connection breaks before the effect
-    RESET_AFTER = auto()  # ...and after it
-    SILENT = auto()  # it runs, and no answer ever comes
-    SPOILT = auto()  # it runs, and what comes is no answer
-    HALF = auto()  # it runs, and half of its answer comes
-    ERROR = auto()  # it runs, and the answer is a 500
-    SLOW = auto()  # it runs, and its answer takes `slow` longer
+    REFUSE = auto()  # declined with `Srv-Declined`: the request is not executed
+    RESET_BEFORE = auto()  # the connection is reset before the request is executed
+    RESET_AFTER = auto()  # ...and after it is executed
+    SILENT = auto()  # executed, but never answered
+    SPOILT = auto()  # executed, but the response is malformed
+    HALF = auto()  # executed, but the response is truncated to half its body
+    ERROR = auto()  # executed, but answered with a 500
+    SLOW = auto()  # executed, but takes `slow` longer
 
 
 Script = Callable[[bytes], Fault | None]
@@ -40,25 +40,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """One thing that was done: for which request, under which key, and when."""
+    """An executed request: its id, its idempotency key, and when."""
 
     name: bytes
     key: bytes
     at: float
-    safe: bool  # of a method that may happen any number of times (RFC 9110, 9.2.1)
-    version: bytes = b""  # the tier's versions that it was sent under, as its gateway says
+    safe: bool  # whether its method is safe (RFC 9110, 9.2.1)
+    version: bytes = b""  # the request's Tier-Version field
 
 
 class Memory:
-    """What a dedup group remembers: keys whose effect has happened, for a while."""
+    """The idempotency keys that a dedup group has executed, kept for a time window."""
 
     def __init__(self, window: float = 60.0, most: int = 100_000) -> None:
         self.window = window
         self.most = most
         self._known: OrderedDict[bytes, float] = OrderedDict()
 
-    def knows(self, key: bytes, now: float) -> bool:
-        """Return whether a key is remembered at this time."""
+    def contains(self, key: bytes, now: float) -> bool:
+        """Return whether a key is still remembered at this time."""
         at = self._known.get(key)
         return at is not None and now - at < self.window
 
@@ -70,12 +70,12 @@
 
 
 class Node:
-    """Listens on a loopback port. All that its constructor takes may be changed at any time.
+    """Listens on a loopback port. All constructor arguments are attributes that may be changed.
 
-    `workers` requests are in work at a time (0: any number), each for `delay`; for `cold` after its
-    start it has `cold_share` of its speed, rising evenly to the whole. With more than
-    `breaks_at` requests held at a time at first, and more in step with its speed, for longer than
-    `breaks_after` in that while, it falls over: it answers nothing any more, and `fell` says so.
+    It processes `workers` requests at a time (0: any number), each for `delay`. During the `cold`
+    time after its start, its speed rises linearly from `cold_share` to 1. If in that time it holds
+    more than `breaks_at` requests, scaled with its speed, for longer than `breaks_after`, it
+    fails: it sets `overloaded_at` and accepts no more work.
     """
 
     def __init__(
@@ -94,9 +94,9 @@
         script: Script | None = None,
         compares: bool = False,
     ) -> None:
-        self.compares = compares  # turns away what was sent under older rules than it has seen
-        self.newest = 0  # active version of the tier that it has seen
-        self.outdated: list[tuple[bytes, float]] = []  # what it turned away for that, and when
+        self.compares = compares  # whether it declines requests sent under an outdated version
+        self.newest = 0  # latest active version of the tier that it has seen
+        self.outdated: list[tuple[bytes, float]] = []  # requests declined for that, and when
         self.delay = delay
         self.size = size
         self.workers = workers
@@ -112,13 +112,13 @@
         self.log: list[Effect] = []
         self.connections = 0
         self.seen = 0  # requests
-        self.peak = 0  # of requests held at a time
+        self.peak = 0  # highest number of requests held at a time
         self.overloaded_at = False
         self.started = self.drained_at = 0.0
-        self.late: list[tuple[bytes, float]] = []  # what came after a drain, and how long after
+        self.late: list[tuple[bytes, float]] = []  # requests after a drain, and how long after it
         self.addr = ""
-        self._held = self._working = 0
-        self._over_since = 0.0
+        self._held_count = self._working = 0
+        self._overload_since = 0.0
         self._queue: deque[Callable[[], None]] = deque()
         self._server: asyncio.Server | None = None
         self._open: set[_Connection] = set()
@@ -131,25 +131,25 @@
         self.stop()
 
     async def start(self, port: int = 0) -> None:
-        """Listen, at a free port or at this one."""
+        """Listen at the given port; 0 means any free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), "127.0.0.1", port)
         self.addr = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
         self.started = loop.time()
 
     def stop(self) -> None:
-        """End at once, as a process that is killed."""
+        """Stop abruptly, as a killed process does."""
         assert self._server is not None
         self._server.close()
         for connection in list(self._open):
             connection.transport.abort()
 
     def drain(self) -> None:
-        """From now on whatever comes is noted in `late`; it is served all the same."""
+        """Record all requests from now on in `late`; they are still served."""
         self.drained_at = asyncio.get_running_loop().time()
 
     def restart(self) -> None:
-        """Restart it: it is warming up."""
+        """Reset the start time, so that the node is cold, and end a drain."""
         self.drained_at = 0.0
         self.started = asyncio.get_running_loop().time()
 
@@ -173,9 +173,9 @@
             self._enqueue(lambda: self._work(connection, name, key, fault))
 
     def _is_outdated(self, version: bytes) -> bool:
-        """Return whether it was sent under rules that do not hold any more.
+        """Return whether a request was sent under a version that is no longer valid.
 
-        `Tier-Version: 7, 8`: serial 7 is active, and it is allowed by serial 8 too.
+        `Tier-Version: 7, 8` means that serial 7 is active and serial 8 also permits the request.
         """
         if not self.compares or not version:
             return False
@@ -184,9 +184,9 @@
         return max(serials) < self.newest
 
     def _enqueue(self, work: Callable[[], None]) -> None:
-        self._held += 1
-        self.peak = max(self.peak, self._held)
-        self._strain()
+        self._held_count += 1
+        self.peak = max(self.peak, self._held_count)
+        self._check_overload()
         if self.overloaded_at:
             return
         if self.workers and self._working >= self.workers:
@@ -199,18 +199,18 @@
         loop = asyncio.get_running_loop()
         time = self.delay / self._speed(loop.time() - self.started)
         time += self.slow if fault == Fault.SLOW else 0.0
-        loop.call_later(time, self._done, connection, name, key, fault)
+        loop.call_later(time, self._finish, connection, name, key, fault)
 
-    def _strain(self) -> None:
-        """Fall over where too much has been held for too long, and not for a burst."""
+    def _check_overload(self) -> None:
+        """Fail if too many requests have been held for too long; a short burst is tolerated."""
         now = asyncio.get_running_loop().time()
         age = now - self.started
         most = self.breaks_at * self._speed(age) / self.cold_share
-        if not self.breaks_at or age >= self.cold or self._held <= most:
-            self._over_since = 0.0
-        elif not self._over_since:
-            self._over_since = now
-        elif now - self._over_since > self.breaks_after:
+        if not self.breaks_at or age >= self.cold or self._held_count <= most:
+            self._overload_since = 0.0
+        elif not self._overload_since:
+            self._overload_since = now
+        elif now - self._overload_since > self.breaks_after:
             self.overloaded_at = True
 
     def _speed(self, age: float) -> float:
@@ -218,10 +218,12 @@
             return 1.0
         return self.cold_share + (1.0 - self.cold_share) * age / self.cold
 
-    def _done(self, connection: _Connection, name: bytes, key: bytes, fault: Fault | None) -> None:
+    def _finish(
+        self, connection: _Connection, name: bytes, key: bytes, fault: Fault | None
+    ) -> None:
         self._working -= 1
-        self._held -= 1
-        self._strain()
+        self._held_count -= 1
+        self._check_overload()
         self._have_effect(connection, name, key)
         if fault == Fault.RESET_AFTER:
             connection.transport.abort()
@@ -235,7 +237,7 @@
     def _have_effect(self, connection: _Connection, name: bytes, key: bytes) -> None:
         now = asyncio.get_running_loop().time()
         if key and self.memory is not None:
-            if self.memory.knows(key, now):
+            if self.memory.contains(key, now):
                 return
             self.memory.note(key, now)
         self.effects[name] += 1
@@ -243,7 +245,7 @@
 
     def _answer(self, name: bytes, fault: Fault | None) -> bytes:
         if fault == Fault.ERROR:
-            return WRONG
+            return SERVER_ERROR
         if fault == Fault.SPOILT:
             return b"\x00\x01 this is no answer\r\n\r\n"
         body = (name + b" ").ljust(self.size, b".")
@@ -251,7 +253,7 @@
         if self.reports:
             load = b"Srv-Load: queue=%d, inflight=%d, mean_ms=%.3f\r\n" % (
                 len(self._queue),
-                self._held,
+                self._held_count,
                 self.delay * 1000,
             )
         whole = b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (load, len(body), body)
@@ -263,7 +265,7 @@
         self.node = node
         self.parser = httptools.HttpRequestParser(self)
         self.name = self.key = self.version = b""
-        self.wait_ms = 0  # how long its gateway says that it waits
+        self.wait_ms = 0  # from Req-Deadline-Ms
         self.safe = True
         self.transport: asyncio.Transport
 
@@ -309,7 +311,7 @@
 
 
 def doubled(nodes: list[Node]) -> list[bytes]:
-    """Request ids, and keys where there are some, whose effect happened more than once.
+    """Return the keys, or ids without a key, of requests executed more than once.
 
     Safe requests do not count.
     """
--- a/sailhitch/lab/operator_file.py
+++ b/sailhitch/lab/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file of a lab's daemon, as the value that its TOML text is made from."""
+"""Builds the operator file of a lab daemon as a plain value, to be written as TOML."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
     """Return a daemon's operator file.
 
     Args:
-        scenario: What is played.
+        scenario: The scenario to play.
         name: The daemon's name.
-        folder: Where its state and its admin socket are.
-        port: Where its clients connect.
-        key_file: The tier's keys.
+        folder: The folder of its state and its admin socket.
+        port: The port for its clients.
+        key_file: The file with the tier's keys.
         member_ports: The port at which it reaches each member, and its own.
         node_addresses: The nodes' addresses by name, those of the spare pool last.
     """
--- a/sailhitch/lab/run_time.py
+++ b/sailhitch/lab/run_time.py
@@ -1,4 +1,4 @@
-"""How long other processes have kept this one from running (Linux, proc_pid_schedstat)."""
+"""Time for which this process was runnable but waited for a CPU (Linux, proc_pid_schedstat)."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from typing import Final
 
 _SCHEDSTAT: Final = Path("/proc/self/schedstat")
-_RUN_DELAY_FIELD: Final = 1  # ns for which the main thread was ready to run and waited for a CPU
+_RUN_DELAY_FIELD: Final = 1  # ns for which the main thread was runnable and waited for a CPU
 
 
 def run_delay() -> float:
-    """Return for how long (s) the main thread has waited for a CPU; 0 where that isn't told."""
+    """Return how long (s) the main thread has waited for a CPU; 0 if that is unavailable."""
     try:
         return int(_SCHEDSTAT.read_text().split()[_RUN_DELAY_FIELD]) / 1e9
     except (OSError, IndexError, ValueError):
@@ -19,9 +19,9 @@
 
 
 def run_time() -> float:
-    """Return a monotonic time (s) that stands still while the main thread waits for a CPU.
+    """Return a monotonic time (s) that stops while the main thread waits for a CPU.
 
-    It goes on while the thread runs or sleeps. A load generator that shares a process with what it
-    measures keeps its rate by it: caught up with at once, a wait for a CPU would become a burst.
+    It advances while the thread runs or sleeps. A load generator in the process that it measures
+    paces its requests by it: on wall time, it would send a burst to catch up after each wait.
     """
     return time.monotonic() - run_delay()
--- a/sailhitch/lab/scenario.py
+++ b/sailhitch/lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of a tier as data: a TOML file of steps, checked with the field that is wrong."""
+"""Scenario files for a tier: TOML with a list of steps; errors name the invalid field."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario file can't be used; the text has a line for each thing wrong."""
+    """A scenario file is invalid; the message has a line for each error."""
 
 
 class _Part(BaseModel):
@@ -18,15 +18,15 @@
 
 
 class StepPart(_Part):
-    """Something that happens once the one before it is done, and not before `at` (s).
-
-    `await` is done when all commands have ended; `agree` when all gateways that run, or those in
-    `who`, are in and act by the same turn, with nothing pending, and all voters among them vote
-    (one whose disk was lost is mended by the others first); `dead` when those in `who` take all in
-    `to` for dead; `back` when the zone `node` is in use as a whole by the word of those in `who`,
-    `left` when none of it is, which has to be within `value` seconds.
-    `leave`, `return`, `hold` and `release` are operators' commands about the zone `node`; `freeze`
-    has the zone's nodes run what comes and answer nothing, until `thaw`.
+    """A step of a scenario, carried out once the one before it is done, and not before `at` (s).
+
+    `await` waits until all commands have ended. `agree` waits until all running gateways, or those
+    in `who`, are active members at the same revision, with nothing pending, and all voters among
+    them vote (one whose disk was lost is first restored by the others). `dead` waits until those in
+    `who` have declared all in `to` dead. `back` waits until those in `who` report the zone `node`
+    fully in use, `left` until they report it unused, which must be within `value` seconds.
+    `leave`, `return`, `hold` and `release` are operators' commands about the zone `node`. `freeze`
+    makes the zone's nodes execute requests without answering them, until `thaw`.
     """
 
     at: Annotated[float, Field(ge=0, le=600)]
@@ -68,47 +68,48 @@
         "thaw",
     ]
     who: list[str] = []  # gateways
-    # Of a cut: whom they are not heard by any more; nobody named: everybody. Of `join`: who joins.
+    # `cut`: gateways that no longer receive from those in `who`; empty: all. `join`: who joins.
     to: list[str] = []
     node: str = ""  # or zone
     value: float = 0.0
-    ends: Literal["active", "pending", "stale", "refused", ""] = ""  # what the command must say
+    ends: Literal["active", "pending", "stale", "refused", ""] = ""  # required result
 
 
 class Scenario(_Part):
-    """What is played."""
+    """A scenario: the tier, its load, and the steps to play."""
 
     name: str
     promise: str = ""
     gateways: Annotated[int, Field(ge=1, le=25)] = 3
     voters: Annotated[int, Field(ge=1, le=7)] = 3
-    late: list[str] = []  # gateways that no other's file has, started by a step
+    late: list[str] = []  # gateways missing in the others' files, started by a step
     nodes: Annotated[int, Field(ge=1, le=20)] = 4
-    zones: Annotated[int, Field(ge=0, le=5)] = 0  # z1, z2, ..., with equal parts of all
-    step: str = "600ms"  # how long a step of a way back into a zone lasts
-    mode: Literal["off", "advise", "act"] = "advise"  # of gateways, about zones
+    zones: Annotated[int, Field(ge=0, le=5)] = 0  # z1, z2, ..., of equal size
+    step: str = "600ms"  # duration of a step of a zone's return
+    mode: Literal["off", "advise", "act"] = "advise"  # the gateways' zone mode
     cold_time: str = "100ms"
-    spare: Annotated[int, Field(ge=0, le=19)] = 0  # the last so many nodes are a pool of their own
+    spare: Annotated[int, Field(ge=0, le=19)] = 0  # how many of the last nodes form the spare pool
     clients: Annotated[int, Field(ge=0, le=20)] = 3
     lease: str | None = None
     agree_within: str = "4s"
-    compares: bool = False  # whether nodes refuse what was sent under older rules
+    compares: bool = False  # whether nodes decline requests sent under outdated versions
     seconds: Annotated[float, Field(gt=0, le=600)] = 8.0
-    served: Annotated[float, Field(ge=0, le=1)] = 0.0  # least part of each running gateway's
+    # Minimum served share of each gateway that stays up.
+    served: Annotated[float, Field(ge=0, le=1)] = 0.0
     seed: int = 1
     steps: list[StepPart] = []
 
     def names(self) -> list[str]:
-        """Return the gateways."""
+        """Return the names of all gateways."""
         return [f"g{i + 1}" for i in range(self.gateways)]
 
     def zone_of(self, name: str) -> str:
-        """Return the zone of a gateway or node; none where there are none."""
+        """Return the zone of a gateway or node; empty if there are no zones."""
         count = self.gateways if name.startswith("g") else self.nodes
         return f"z{(int(name[1:]) - 1) * self.zones // count + 1}" if self.zones else ""
 
     def spares(self) -> list[str]:
-        """Nodes of the second pool, to which `reroute` with a value leads payouts."""
+        """Return the nodes of the spare pool, to which `reroute` with a value sends payouts."""
         return [f"n{i + 1}" for i in range(self.nodes - self.spare, self.nodes)]
 
 
@@ -116,24 +117,24 @@
     """Read a scenario; raises ScenarioError."""
     try:
         value = tomllib.loads(Path(path).read_text())
-        made = Scenario.model_validate(value)
+        scenario = Scenario.model_validate(value)
     except OSError as error:
         raise ScenarioError(f"{path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ScenarioError(f"{path}: {error}") from None
     except ValidationError as error:
-        said = [f"{path}: {_where(one['loc'])}: {one['msg']}" for one in error.errors()]
-        raise ScenarioError("\n".join(said)) from None
-    names = made.names()
-    for who in made.late:
-        if who not in names or who in names[: made.voters]:
-            raise ScenarioError(f"{path}: late: {who!r} is no gateway, or one of the voters")
-    for i, step in enumerate(made.steps):
+        messages = [f"{path}: {_field_path(one['loc'])}: {one['msg']}" for one in error.errors()]
+        raise ScenarioError("\n".join(messages)) from None
+    names = scenario.names()
+    for who in scenario.late:
+        if who not in names or who in names[: scenario.voters]:
+            raise ScenarioError(f"{path}: late: {who!r} is not a gateway, or is a voter")
+    for i, step in enumerate(scenario.steps):
         for who in (*step.who, *step.to):
             if who not in names:
-                raise ScenarioError(f"{path}: steps[{i}]: no gateway is called {who!r}")
-    return made
+                raise ScenarioError(f"{path}: steps[{i}]: no gateway is named {who!r}")
+    return scenario
 
 
-def _where(loc: tuple[int | str, ...]) -> str:
+def _field_path(loc: tuple[int | str, ...]) -> str:
     return "".join(f"[{one}]" if isinstance(one, int) else f".{one}" for one in loc).lstrip(".")
--- a/sailhitch/lab/tier.py
+++ b/sailhitch/lab/tier.py
@@ -1,7 +1,8 @@
-"""A tier of real processes on loopback, with faults between them by a script.
+"""A tier of real processes on loopback, with scripted faults.
 
-Daemons of their own, stand-in nodes in this process, a relay on each link between two daemons, and
-clients at each daemon. `play` carries out a scenario (`deploy/lab/*.toml`) and has it judged.
+Each daemon is a process of its own; simulated nodes run in this process, with a relay on each link
+between two daemons, and clients at each daemon. `play` runs a scenario (`deploy/lab/*.toml`) and
+checks its result.
 """
 
 from __future__ import annotations
@@ -33,9 +34,9 @@
 from .scenario import Scenario, ScenarioError, StepPart
 
 TRACEBACK: Final = "Traceback (most recent call last)"
-START: Final = 20.0  # s for daemons to find each other
-# Steps that set what all links do, and by which of a relay's rates.
-LINKS: Final = {
+START_TIMEOUT: Final = 20.0  # s until all members are in
+# Steps that configure all relays, and the relay attribute that each sets.
+RELAY_ATTRIBUTES: Final = {
     "loss": "loss",
     "delay": "delay",
     "double": "doubled",
@@ -54,20 +55,20 @@
     "reroute",
     *ZONES,
 )
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 class DaemonPorts(NamedTuple):
-    """The ports of daemons, by their names."""
+    """The daemons' ports, by daemon name."""
 
-    datagrams: dict[str, int]  # of the tier
+    datagrams: dict[str, int]  # for the tier's datagrams
     clients: dict[str, int]
 
 
 class Lab:
-    """All the processes of a scenario."""
+    """Runs the processes, nodes, relays and clients of a scenario."""
 
-    def __init__(self, scenario: Scenario, folder: Path, say: Say) -> None:
+    def __init__(self, scenario: Scenario, folder: Path, say: ProgressCallback) -> None:
         self.scenario = scenario
         self.folder = folder
         self.say = say
@@ -77,13 +78,13 @@
         self.relays: dict[tuple[str, str], Relay] = {}
         self.loads: dict[str, Load] = {}
         self.result = Result(scenario)
-        self._copies: dict[str, Path] = {}
+        self._disk_copies: dict[str, Path] = {}
         self._commands: list[asyncio.Task[None]] = []
 
-    # --- Building
+    # --- Setup
 
     async def start(self) -> None:
-        """Start everything, and wait until all members are in."""
+        """Start everything, and wait until all members are active."""
         scenario = self.scenario
         memory = Memory()
         for node in self.nodes.values():
@@ -107,17 +108,17 @@
             folder = self.folder / name
             folder.mkdir()
             value = self._operator_file(name, ports, keys)
-            parse_value(value)  # a wrong file is better found here than in three logs
+            parse_value(value)  # an invalid file fails here rather than in each daemon's log
             self.gateways[name] = GatewayProcess(name, folder, value, ports.clients[name])
         first = [one for name, one in self.gateways.items() if name not in scenario.late]
         await asyncio.gather(*(one.start() for one in first))
-        await self._until("all members are in", self._all_in)
+        await self._wait_until("all members are in", self._all_active)
         now = asyncio.get_running_loop().time()
         for gateway in first:
-            gateway.back(now)
+            gateway.mark_up(now)
 
     def _operator_file(self, name: str, ports: DaemonPorts, keys: Path) -> dict[str, Any]:
-        """Return a member's operator file; others are reached by the relays of its own links."""
+        """Return a member's operator file; it reaches other members through relays."""
         members = {
             other: ports.datagrams[other] if other == name else self.relays[name, other].port
             for other in self.names
@@ -127,60 +128,62 @@
         folder = self.folder / name
         return operator_file(self.scenario, name, folder, ports.clients[name], keys, members, nodes)
 
-    async def _all_in(self) -> bool:
+    async def _all_active(self) -> bool:
         running = [one for one in self.gateways.values() if one.runs()]
-        said = await asyncio.gather(*(one.status() for one in running))
-        return all(one.get("standing") == "in" for one in said)
+        replies = await asyncio.gather(*(one.status() for one in running))
+        return all(one.get("standing") == "in" for one in replies)
 
-    async def _zone(self, step: StepPart) -> list[dict[str, Any]]:
-        """Return what each of those named says of a zone."""
+    async def _zone_statuses(self, step: StepPart) -> list[dict[str, Any]]:
+        """Return the status of the step's zone from each gateway in `who`."""
         asked = (self.gateways[name].ask({"op": "zones", "act": "status"}) for name in step.who)
         return [one["zones"][step.node] for one in await asyncio.gather(*asked)]
 
     async def _is_back(self, step: StepPart) -> bool:
-        return all(one["phase"] == "in use" for one in await self._zone(step))
+        return all(one["phase"] == "in use" for one in await self._zone_statuses(step))
 
     async def _is_left(self, step: StepPart) -> bool:
-        return all(not one["in_use"] for one in await self._zone(step))
+        return all(not one["in_use"] for one in await self._zone_statuses(step))
 
     async def _all_tell_dead(self, step: StepPart) -> bool:
-        said = await asyncio.gather(*(self.gateways[name].status() for name in step.who))
+        replies = await asyncio.gather(*(self.gateways[name].status() for name in step.who))
         dead = [
-            {m["name"] for m in one.get("members", ()) if m["health"] == "dead"} for one in said
+            {m["name"] for m in one.get("members", ()) if m["health"] == "dead"} for one in replies
         ]
         return all(set(step.to) <= one for one in dead)
 
     async def _all_agree(self, names: list[str]) -> bool:
         running = [self.gateways[name] for name in names if self.gateways[name].runs()]
-        said = await asyncio.gather(*(one.status() for one in running))
-        turns = {one.get("turn") for one in said}
-        good = all(
+        replies = await asyncio.gather(*(one.status() for one in running))
+        turns = {one.get("turn") for one in replies}
+        settled = all(
             one.get("standing") == "in"
             and one["pending"] is None
             and one["voter"] in (None, "voting")
-            for one in said
+            for one in replies
         )
         confirmed = all(
             member["confirmed"] == one["turn"]
-            for one in said
+            for one in replies
             for member in one.get("members", ())
             if member["name"] == one["name"]
         )
-        return good and confirmed and len(turns) == 1
+        return settled and confirmed and len(turns) == 1
 
-    async def _until(self, what: str, good: Callable[[], Any], patience: float = START) -> None:
+    async def _wait_until(
+        self, what: str, condition: Callable[[], Any], patience: float = START_TIMEOUT
+    ) -> None:
         try:
             async with asyncio.timeout(patience):
-                while not await good():
+                while not await condition():
                     await asyncio.sleep(0.05)
         except TimeoutError:
             logs = "\n".join(
                 f"--- {name}\n{one.log.read_text()[-1500:]}" for name, one in self.gateways.items()
             )
-            raise ScenarioError(f"not within {patience:g} s: {what}\n{logs}") from None
+            raise ScenarioError(f"timed out after {patience:g} s: {what}\n{logs}") from None
 
     async def stop(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         for task in self._commands:
             task.cancel()
         await asyncio.gather(*(one.end() for one in self.gateways.values()))
@@ -193,57 +196,57 @@
     # --- Playing
 
     async def play(self) -> Result:
-        """Have everything happen, then judge."""
+        """Play all steps, then check the result."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         for gateway in self.gateways.values():
             if gateway.name not in self.scenario.late:
                 await self.ask_steadily(gateway)
         for step in self.scenario.steps:
-            await asyncio.sleep(max(0.0, began + step.at - loop.time()))
+            await asyncio.sleep(max(0.0, started_at + step.at - loop.time()))
             self.say(f"{step.at:6.2f} s  {step.do} {' '.join(step.who)} {step.node}".rstrip())
             await self.do(step)
-        await asyncio.sleep(max(0.0, began + self.scenario.seconds - loop.time()))
+        await asyncio.sleep(max(0.0, started_at + self.scenario.seconds - loop.time()))
         await asyncio.gather(*self._commands)
         ended = loop.time()
         for gateway in self.gateways.values():
             gateway.send(signal.SIGCONT)
         await asyncio.gather(*(load.finish() for load in self.loads.values()))
-        Judge(self.result, self.nodes, self.gateways, self.loads).judge(began, ended)
+        Judge(self.result, self.nodes, self.gateways, self.loads).judge(started_at, ended)
         self._report_tracebacks()
         return self.result
 
     def _report_tracebacks(self) -> None:
-        """Count a gateway as broken whose event loop logged an exception that nothing handled."""
+        """Report gateways whose log has tracebacks, of unhandled exceptions, as broken."""
         for name, gateway in self.gateways.items():
             count = gateway.log.read_text().count(TRACEBACK) if gateway.log.exists() else 0
             if count:
                 self.result.broken.append(f"{name}: {count} tracebacks in its log")
 
     async def ask_steadily(self, gateway: GatewayProcess) -> None:
-        """Have clients of its own ask a gateway from now on."""
+        """Start clients that send requests to a gateway until the play ends."""
         seed = self.scenario.seed + self.names.index(gateway.name)
         name = gateway.name
         load = Load(gateway.addr, self.scenario.clients, MIX, 0.02, seed, f"{name}-")
         self.loads[name] = await load.__aenter__()
 
     async def do(self, step: StepPart) -> None:
-        """Have one step happen; raises ScenarioError where what it waits for does not come."""
+        """Carry out a step; raises ScenarioError if a condition is not met in time."""
         chosen = [self.gateways[name] for name in step.who]
         now = asyncio.get_running_loop().time()
         if step.do in COMMANDS:
             loop = asyncio.get_running_loop()
-            self._commands += [loop.create_task(self._command(step, one)) for one in chosen]
+            self._commands += [loop.create_task(self._issue_command(step, one)) for one in chosen]
         elif step.do == "await":
             await asyncio.gather(*self._commands)
         elif step.do == "agree":
-            await self._until("all agree", lambda: self._all_agree(step.who or self.names))
+            await self._wait_until("all agree", lambda: self._all_agree(step.who or self.names))
         elif step.do == "dead":
-            await self._until(f"{step.to} told dead", lambda: self._all_tell_dead(step))
+            await self._wait_until(f"{step.to} declared dead", lambda: self._all_tell_dead(step))
         elif step.do == "back":
-            await self._until(f"{step.node} is back", lambda: self._is_back(step))
+            await self._wait_until(f"{step.node} is back", lambda: self._is_back(step))
         elif step.do == "left":
-            await self._until(f"{step.node} is left", lambda: self._is_left(step))
+            await self._wait_until(f"{step.node} is left", lambda: self._is_left(step))
             took = asyncio.get_running_loop().time() - now
             if took > step.value:
                 self.result.broken.append(f"{step.node} was left after {took:.2f} s")
@@ -253,55 +256,55 @@
                 if self.scenario.zone_of(name) == step.node:
                     node.script = script
         elif step.do in ("cut", "heal"):
-            self._cut(step)
-        elif step.do in LINKS:
+            self._set_cuts(step)
+        elif step.do in RELAY_ATTRIBUTES:
             for relay in self.relays.values():
-                setattr(relay, LINKS[step.do], step.value)
+                setattr(relay, RELAY_ATTRIBUTES[step.do], step.value)
         else:
             for one in chosen:
-                await self._fault(step, one, now)
+                await self._inject_fault(step, one, now)
 
-    async def _fault(self, step: StepPart, one: GatewayProcess, now: float) -> None:
+    async def _inject_fault(self, step: StepPart, one: GatewayProcess, now: float) -> None:
         state = one.folder / "state"
         if step.do == "pause":
-            one.out(now)
+            one.mark_down(now)
             one.send(signal.SIGSTOP)
         elif step.do == "wake":
             one.send(signal.SIGCONT)
-            one.back(now + 0.5)
+            one.mark_up(now + 0.5)
         elif step.do in ("kill", "stop"):
-            one.out(now)
+            one.mark_down(now)
             one.restarted = True
             await one.end(signal.SIGKILL if step.do == "kill" else signal.SIGTERM)
         elif step.do == "full_disk":
             assert one.program is not None
-            # No file of this process can grow from here on; a restart has room again.
+            # The process can't grow any file from now on; a restarted one can.
             resource.prlimit(one.program.pid, resource.RLIMIT_FSIZE, (0, 0))
         elif step.do == "copy_disk":
-            self._copies[one.name] = copy = self.folder / f"{one.name}-copy"
+            self._disk_copies[one.name] = copy = self.folder / f"{one.name}-copy"
             shutil.copytree(state, copy)
         elif step.do in ("old_disk", "lost_disk"):
             shutil.rmtree(state)
             if step.do == "old_disk":
-                shutil.copytree(self._copies[one.name], state)
+                shutil.copytree(self._disk_copies[one.name], state)
         elif step.do == "start":
             await one.start()
-            one.back(now + 2.0)
+            one.mark_up(now + 2.0)
             if one.name not in self.loads:
                 await self.ask_steadily(one)
 
-    def _cut(self, step: StepPart) -> None:
+    def _set_cuts(self, step: StepPart) -> None:
         for (a, b), relay in self.relays.items():
             if a in step.who and (not step.to or b in step.to):
                 relay.cut = step.do == "cut"
             elif step.do == "heal" and not step.who:
                 relay.cut = False
 
-    async def _command(self, step: StepPart, gateway: GatewayProcess) -> None:
+    async def _issue_command(self, step: StepPart, gateway: GatewayProcess) -> None:
         loop = asyncio.get_running_loop()
         asked = loop.time()
         try:
-            answer = await self._carry_out(step, gateway)
+            answer = await self._run_command(step, gateway)
         except AdminError as error:
             answer = {"ok": False, "code": "unreachable", "error": str(error)}
         end = "refused"
@@ -315,7 +318,7 @@
         self.say(f"          {step.do} {step.node} at {gateway.name}: {end} {text}".rstrip())
 
     async def _join(self, step: StepPart, gateway: GatewayProcess) -> dict[str, Any]:
-        """Have the tier look for one elsewhere: a newcomer, or another machine under its name."""
+        """Admit members at new addresses: new ones, or ones that moved to another machine."""
         answer: dict[str, Any] = {}
         for name in step.to:
             port = free_port(socket.SOCK_DGRAM)
@@ -327,7 +330,7 @@
             answer = await gateway.ask(place)
         return answer
 
-    async def _carry_out(self, step: StepPart, gateway: GatewayProcess) -> dict[str, Any]:
+    async def _run_command(self, step: StepPart, gateway: GatewayProcess) -> dict[str, Any]:
         if step.do in ("ban", "unban"):
             return await gateway.ask(
                 {"op": "ban", "node": f"claims/{step.node}", "out": step.do == "ban", "why": "lab"}
@@ -355,8 +358,8 @@
         return await gateway.ask({"op": "apply", "plan": plan.dump()})
 
 
-async def play(scenario: Scenario, say: Say = lambda text: None) -> Result:
-    """Play a scenario; raises ScenarioError where it can't be."""
+async def play(scenario: Scenario, say: ProgressCallback = lambda text: None) -> Result:
+    """Play a scenario; raises ScenarioError if it can't be carried out."""
     with tempfile.TemporaryDirectory(prefix="sailhitch-") as folder:
         lab = Lab(scenario, Path(folder), say)
         try:
