--- a/sailhitch/daemon/endpoint_registry.py
+++ b/sailhitch/daemon/endpoint_registry.py
@@ -122,7 +122,7 @@
 
     # --- Releasing drained nodes and pools
 
-    def release_soon(self) -> None:
+    def schedule_release(self) -> None:
         """Schedule a check of the draining nodes, repeated until there are none."""
         if self._release_handle is None and (
             self.draining or len(self.core.pools) > len(self.pools)
@@ -138,7 +138,7 @@
             self._release()
         except Exception as error:
             self.core.fault("the release of drained nodes", error)
-        self.release_soon()
+        self.schedule_release()
 
     def _release(self) -> None:
         in_flight: set[tuple[Pool | None, str]] = set()
--- a/sailhitch/daemon/state_applier.py
+++ b/sailhitch/daemon/state_applier.py
@@ -251,7 +251,7 @@
         self.applied = applied
         if self.store is None:
             self.history.append(applied)
-        self.endpoints.release_soon()
+        self.endpoints.schedule_release()
 
     def _switch_maintenance(self, prepared: PreparedSwitch) -> None:
         """Take banned and inactive nodes out, and those to be retried out and in again."""
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -234,11 +234,11 @@
         _write_format_1(store.path, one)
     real, read = Store._manifest, list[int]()
 
-    def watched(one: Store, serial: int) -> dict[str, Any]:
+    def record_read(one: Store, serial: int) -> dict[str, Any]:
         read.append(serial)
         return real(one, serial)
 
-    monkeypatch.setattr(Store, "_manifest", watched)
+    monkeypatch.setattr(Store, "_manifest", record_read)
     assert store.last() == states[2]
     assert read == [3]
     for one in states[3:]:
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -250,7 +250,7 @@
     refused: list[ValueError] = []
     propose = Member.propose
 
-    def watched(member: Member, content: bytes | Tree, *more: Any) -> int:
+    def record_refusals(member: Member, content: bytes | Tree, *more: Any) -> int:
         try:
             return propose(member, content, *more)
         except ValueError as error:
@@ -275,7 +275,7 @@
                 return made_tree
 
             monkeypatch.setattr(tier.changes, "_tree", tree)
-            monkeypatch.setattr(Member, "propose", watched)
+            monkeypatch.setattr(Member, "propose", record_refusals)
             with pytest.raises(MovedError, match=f"against serial {base.serial}, and .* is 15"):
                 await tier.ban("p/n99", _ban(), "late")
             assert len(refused) == 1
