--- a/sailhitch/model/__init__.py
+++ b/sailhitch/model/__init__.py
@@ -1,17 +1,17 @@
-"""The fleet model: processes, clocks, disks and a network in virtual time.
+"""A model of the fleet: processes, clocks, disks and a network in virtual time.
 
-    kernel         events in the order of their times; streams of random numbers by name
-    network        datagrams between processes: lost, late, duplicated, cut one way or both
-    process        a process: a clock of its own rate, a disk, pauses and crashes
-    contents       versions as trees of several pages
-    tier_process   a member of a tier, by the same core as the daemon's
-    tier           the world: a tier of such members, its network and its checks
-    invariants     checks the promises against what was really chosen and written
+    kernel         the event queue in virtual time, and named streams of random numbers
+    network        datagrams between processes, with loss, delay, duplicates and cut links
+    process        a process with its own clock rate and disk, which pauses and crashes
+    contents       the contents of versions, as trees of several pages
+    tier_process   a member of a tier, which runs the daemon's core
+    tier           the world: a tier of such members, its network and the checks
+    invariants     checks the promises against the states chosen and the writes made
     events         scenarios as data
-    player         plays a scenario's events
-    scenario       draws scenarios from a seed, plays, shrinks and formats them
-    explore        every order of events in small worlds of the register
+    player         applies a scenario's events to a world
+    scenario       draws scenarios from a seed; plays, shrinks and formats them
+    explore        exhaustive search of small worlds of the register
 
-A run is a pure function of its scenario and seed. An extra, `[lab]`; no part of the gateway
-imports it.
+A run is a pure function of its scenario and seed. The package belongs to the `[lab]` extra; no part
+of the gateway imports it.
 """
--- a/sailhitch/model/events.py
+++ b/sailhitch/model/events.py
@@ -1,4 +1,4 @@
-"""Scenarios of the tier as data: which fault or request happens when."""
+"""Scenarios of a tier as data: which fault or request happens when."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import msgspec
 
 SECOND: Final = 1_000_000  # us
-FIRST_FAULT_AT: Final = 4 * SECOND  # a tier has bootstrapped by then
-FAULT_PERIOD: Final = 12 * SECOND  # in which all events begin
+FIRST_FAULT_AT: Final = 4 * SECOND  # the tier has bootstrapped by then
+FAULT_PERIOD: Final = 12 * SECOND  # all events begin within it
 
 
 class Event(msgspec.Struct, frozen=True):
@@ -26,7 +26,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """A tier, and the events in it by their times."""
+    """The size of a tier, and its events in the order of their times."""
 
     seed: int
     members: int
--- a/sailhitch/model/explore.py
+++ b/sailhitch/model/explore.py
@@ -1,18 +1,23 @@
-"""Explores every order of events in small worlds of the register, instead of a random sample.
+"""Exhaustive search: every order of events in small worlds of the register.
 
 A world has three voters and two proposers with one change each, made from the same version. In each
-step a request in flight arrives, and its reply arrives or is lost; or it arrives and stays in
-flight (duplicated); or a voter is killed and restarts with what it had synced; or a proposer starts
-its next ballot. A lost request is one that has not arrived when a state is checked, which is done
-for every state. The search visits all distinct states; `Exploration` has their number.
-
-A reply arrives at once or never: a late one makes no difference to its voter, and to the proposer
-the same as if the proposer acted late on it, which is explored. All stamps are the same: disks that
-lose votes are covered by random scenarios (`scenario`).
-
-The cores are those of the daemon, `Acceptor` and `Round`. What surrounds them there (timers, whom
-to ask again) is left open, so that whatever it may do is explored. Each core's step from one state
-by one message is computed once and cached.
+step, one of these happens:
+
+- a request in flight is delivered, and its reply is delivered or lost;
+- a request is duplicated: delivered, and left in flight;
+- a voter is killed and restarts with the vote that it had synced;
+- a proposer starts its next ballot.
+
+Lost requests need no step of their own: every state is checked, also while requests are in flight.
+The search visits all distinct states; `Exploration` has their number.
+
+A reply is delivered at once or never. A late reply makes no difference to its voter, and for the
+proposer it is the same as acting late on a reply, which is explored. All stamps are the same: disks
+that lose votes are covered by random scenarios (`scenario`).
+
+The search runs the daemon's cores, `Acceptor` and `Round`. It does not model the timers and resends
+around them but lets every step happen at any time, which covers whatever they may do. The step of a
+core from one state by one message is computed once and cached.
 """
 
 from __future__ import annotations
@@ -46,11 +51,11 @@
 
 
 class LostUpdateError(AssertionError):
-    """Two changes made from the same version both took effect."""
+    """Both of two changes made from the same version took effect."""
 
 
 def change_of(name: str) -> StateChange:
-    """Return a change made from the first version, whose result shows whether it took effect."""
+    """Return a change made from the first version; its result shows whether it took effect."""
 
     def change(now: RegisterState | None) -> Transition | None:
         if now is None:
@@ -75,12 +80,14 @@
     """The outcome of a search."""
 
     states: int = 0
-    results: set[tuple[str, ...]] = field(default_factory=set)  # of both changes, where known
+    results: set[tuple[str, ...]] = field(
+        default_factory=set
+    )  # of both changes, once both are known
     complete: bool = True  # whether the search visited all states
 
 
 class _Interned(Generic[T]):
-    """Numbers for values, the same for equal keys."""
+    """Numbers values; those with equal keys get the same number."""
 
     def __init__(self) -> None:
         self.values: list[T] = []
@@ -103,12 +110,12 @@
 
 
 class _WorldState(NamedTuple):
-    """A state of the world; votes, rounds and datagrams by their numbers."""
+    """A state of the world; votes, rounds and datagrams are interned numbers."""
 
-    votes: tuple[int, ...]
-    synced: tuple[int, ...]
-    rounds: tuple[int, ...]  # -1: none begun
-    ballots_left: tuple[int, ...]  # by proposer
+    votes: tuple[int, ...]  # of each voter
+    synced: tuple[int, ...]  # the vote on each voter's disk
+    rounds: tuple[int, ...]  # of each proposer; -1: none has begun
+    ballots_left: tuple[int, ...]  # of each proposer
     in_flight: frozenset[int]
     crashes_left: int
     duplicates_left: int
@@ -125,7 +132,7 @@
 
 
 class Explorer:
-    """A search; mutation tests replace `acceptor_type` or `syncs_votes`."""
+    """The search. Mutation tests replace `acceptor_type` or `syncs_votes`."""
 
     acceptor_type = Acceptor
     syncs_votes = True  # whether a vote is synced before its reply is sent
@@ -141,9 +148,9 @@
     def explore(
         self, ballots: int = 1, crashes: int = 0, duplicates: int = 0, max_states: int = 5_000_000
     ) -> Exploration:
-        """Search a world completely, or `max_states` of it; raises LostUpdateError.
+        """Search a world completely, or up to `max_states` states; raises LostUpdateError.
 
-        `ballots` are for each proposer, `crashes` and `duplicates` in total.
+        `ballots` is per proposer; `crashes` and `duplicates` are for the whole world.
         """
         exploration = Exploration()
         first = self._first_state(ballots, crashes, duplicates)
@@ -184,7 +191,9 @@
         states = [round_.chosen.state for round_ in chosen if round_.chosen is not None]
         differ = any(a.revision == b.revision and a != b for a in states for b in states)
         if differ or results.count(ProposalResult.ACTIVE) > 1:
-            raise LostUpdateError(f"both won: {[round_.chosen for round_ in chosen]}")
+            raise LostUpdateError(
+                f"both changes took effect: {[round_.chosen for round_ in chosen]}"
+            )
         if len(results) == len(PROPOSERS):
             exploration.results.add(tuple(result.value for result in results))
 
@@ -219,7 +228,7 @@
                 )
 
     def _begin(self, name: str, ballots_left: int) -> _ProposerStep:
-        """Start a proposer's next ballot; the ballots of the two proposers alternate."""
+        """Start a proposer's next ballot; the numbers of the two proposers' ballots alternate."""
         step = self._begin_steps.get((name, ballots_left))
         if step is None:
             ballot = Ballot(100 - 2 * ballots_left + PROPOSERS.index(name), name, 0)
@@ -247,7 +256,7 @@
         return tuple(self._datagrams.number(request, request) for request in requests)
 
     def _deliver(self, state: _WorldState, request: int) -> Iterator[_WorldState]:
-        """Deliver a request to its voter, and the reply to its proposer or to nobody."""
+        """Deliver a request to its voter; yield the states with its reply lost and delivered."""
         sender, to, _ = self._datagrams.values[request]
         voter = VOTERS.index(to)
         proposer = PROPOSERS.index(sender)
@@ -293,8 +302,8 @@
                 round_.on_accepted(sender, message)
             requests: tuple[int, ...] = ()
             if round_.phase is Phase.ACCEPT and isinstance(message, Promise):
-                # A voter whose promise comes late is sent the request alone: sending it to the
-                # others again, as the daemon would, adds nothing to a duplicated request.
+                # After a late promise the request is sent only to its voter. The daemon also
+                # resends it to the others, which a duplicated request covers already.
                 voters = VOTERS if phase_before is not round_.phase else (sender,)
                 requests = self._intern_requests(to, round_, voters)
             step = _ProposerStep(self._intern_round(round_), requests)
--- a/sailhitch/model/invariants.py
+++ b/sailhitch/model/invariants.py
@@ -1,6 +1,6 @@
-"""Checks the design note's promises against what was really chosen and written.
+"""Checks the design note's promises against the states chosen and the writes made.
 
-It inspects disks and writes, never what a member reports about itself.
+The evidence is what is on the disks and what was written, never a member's own report.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from ..tier.voter import content_digests
 
 MAX_RECOVERY = 10_000_000  # us; promise 5
-Allows = Callable[[str, int], bool]  # whether the version with a digest permits an act
+Allows = Callable[[str, int], bool]  # whether the version of a digest permits an act
 
 
 class InvariantViolationError(AssertionError):
-    """A promise was broken; the text says which one and how."""
+    """A promise was broken; the text starts with its number and says how."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteEvent:
-    """An act of a member that rules may forbid."""
+    """A write of a member: an act that its rules must permit."""
 
     at: int
     member: str
@@ -36,17 +36,17 @@
 
 
 class InvariantChecker:
-    """Checks the design note's promises, by its numbers, at every event."""
+    """Checks the design note's promises, which it numbers, at every event."""
 
     def __init__(self, voters: tuple[str, ...], allows: Allows) -> None:
         self.quorum = majority(len(voters))
         self.allows = allows
-        self.votes: dict[Ballot, set[str]] = {}
+        self.votes: dict[Ballot, set[str]] = {}  # the voters that accepted each ballot's state
         self.states: dict[Ballot, RegisterState] = {}
         self.chosen: dict[int, RegisterState] = {}  # by revision
-        self._ballots: list[Ballot] = []  # of the chosen states, lowest first
+        self._ballots: list[Ballot] = []  # of the chosen states, in order
         self.latest: RegisterState | None = None
-        self.in_force: Version | None = None  # active, and applied by a member
+        self.in_force: Version | None = None  # the latest active version that a member has applied
         self.in_force_at = 0
         self.in_force_revision = 0
         self.write_count = 0
@@ -54,7 +54,7 @@
     # --- Promise 1: one sequence of states
 
     def on_vote(self, voter: str, encoded: bytes, has: Callable[[str], bool]) -> None:
-        """Record a vote on a disk; `has` returns whether a complete content is there too."""
+        """Record a vote on a disk; `has` tells whether a content is on it, complete."""
         vote = msgspec.msgpack.decode(encoded, type=Vote)
         if vote.accepted is None:
             return
@@ -63,7 +63,7 @@
         missing = [digest for digest in content_digests(state) if not has(digest)]
         if missing:
             raise InvariantViolationError(
-                f"1: {voter} has accepted revision {state.revision} without {missing}"
+                f"1: {voter} accepted revision {state.revision} without the contents {missing}"
             )
         if self.states.setdefault(ballot, state) != state:
             raise InvariantViolationError(f"1: two states under one ballot {ballot}")
@@ -73,7 +73,7 @@
             self._choose(ballot, state)
 
     def _choose(self, ballot: Ballot, state: RegisterState) -> None:
-        """Insert a chosen state in the order of ballots; a low ballot may be chosen late."""
+        """Insert a chosen state by its ballot, which may be lower than those already chosen."""
         index = bisect.bisect(self._ballots, ballot)
         self._ballots.insert(index, ballot)
         if index:
@@ -89,12 +89,12 @@
             state.revision == previous.revision and state != previous
         ):
             raise InvariantViolationError(
-                f"1: revision {previous.revision} was decided, and then another "
+                f"1: revision {previous.revision} was chosen, and then a different "
                 f"revision {state.revision}"
             )
         if state.revision == previous.revision + 1 and not _is_successor(previous, state):
             raise InvariantViolationError(
-                f"1: revision {state.revision} does not follow from the one before: {state}"
+                f"1: revision {state.revision} is not a permitted change of the previous: {state}"
             )
 
     def on_result(self, member: str, completed: JobCompleted, change: str) -> None:
@@ -102,7 +102,7 @@
         state = completed.state
         if self.chosen.get(state.revision) != state:
             raise InvariantViolationError(
-                f"1: {member} was told of revision {state.revision}, which was not decided so"
+                f"1: {member} received revision {state.revision} in a result, but it was not chosen"
             )
         changes = (
             (state.active, state.traffic_policy)
@@ -114,22 +114,22 @@
         )
         if completed.result in (ProposalResult.ACTIVE, ProposalResult.PENDING) and not is_contained:
             raise InvariantViolationError(
-                f"1: {member} was told that {change} is {completed.result.value}, and it is not"
+                f"1: {member} received {change} as {completed.result.value}, but it is not"
             )
 
     # --- Promise 2: no contradicting writes
 
     def on_apply_requested(self, member: str, versions: AppliedVersions) -> None:
-        """Check the versions that a process is requested to apply."""
+        """Check the versions that a core asks its process to apply."""
         state = self.chosen.get(versions.revision)
         requested = (versions.active, versions.pending, versions.traffic_policy)
         if state is None or (state.active, state.pending, state.traffic_policy) != requested:
             raise InvariantViolationError(
-                f"1: {member} acts by revision {versions.revision}, which was not decided"
+                f"1: {member} applies revision {versions.revision}, which was not chosen"
             )
 
     def on_applied(self, now: int, versions: AppliedVersions) -> None:
-        """Record the versions that a process applies from now on."""
+        """Record the versions that a process now applies, unless another applied newer ones."""
         if versions.revision > self.in_force_revision:
             self.in_force_revision = versions.revision
             if self.in_force is None or self.in_force.serial != versions.active.serial:
@@ -142,20 +142,23 @@
         if self.in_force is not None and not self.allows(self.in_force.digest, write.act):
             seconds_after = (write.at - self.in_force_at) / 1e6
             raise InvariantViolationError(
-                f"2: {write.member} did {write.act} under revision {write.revision}, "
+                f"2: {write.member} performed act {write.act} under revision {write.revision}, "
                 f"{seconds_after:.3f} s after serial {self.in_force.serial}, which forbids it, "
-                "was in force"
+                "took effect"
             )
 
     # --- Promise 5: liveness
 
     def on_declared_dead(self, now: int, observer: str, name: str, last_unreachable: int) -> None:
-        """Check a declaration of death; `last_unreachable` is of either of the two members."""
+        """Check that a member may be declared dead.
+
+        `last_unreachable` is the last time at which it or the observer could not be reached.
+        """
         if now - last_unreachable > MAX_RECOVERY:
             seconds_after = (now - last_unreachable) / 1e6
             raise InvariantViolationError(
-                f"5: {observer} takes {name} for dead, {seconds_after:.1f} s after either of "
-                "them was out of reach"
+                f"5: {observer} declares {name} dead, {seconds_after:.1f} s after either of "
+                "them was last unreachable"
             )
 
     def check_liveness(
@@ -165,7 +168,7 @@
         wrong = dead ^ {name for name in members if name not in up}
         if wrong:
             raise InvariantViolationError(
-                f"5: {observer} is wrong about {', '.join(sorted(wrong))}"
+                f"5: {observer} is wrong about which members are dead: {', '.join(sorted(wrong))}"
             )
 
     # --- Promise 4: termination
@@ -175,13 +178,13 @@
         for name, revision in revisions.items():
             if self.latest is not None and revision < self.latest.revision:
                 raise InvariantViolationError(
-                    f"4: {name} knows revision {revision}; {self.latest.revision} was decided"
+                    f"4: {name} knows revision {revision}, but {self.latest.revision} was chosen"
                 )
 
     def check_ended(self, statuses: dict[str, MemberStatus], revisions: dict[str, int]) -> None:
         """Check, long after the last fault, that nothing is pending and all apply one state."""
         if self.latest is None:
-            raise InvariantViolationError("4: nothing was ever decided")
+            raise InvariantViolationError("4: no state was ever chosen")
         if self.latest.pending is not None:
             raise InvariantViolationError(
                 f"4: serial {self.latest.pending.serial} is still pending"
@@ -195,7 +198,7 @@
 
 
 def _is_successor(previous: RegisterState, state: RegisterState) -> bool:
-    """Return whether a permitted change makes one state from the other."""
+    """Return whether one permitted change leads from the previous state to this one."""
     keeps_active = state.active == previous.active
     if state.traffic_policy != previous.traffic_policy:
         base = 0 if previous.traffic_policy is None else previous.traffic_policy.serial
--- a/sailhitch/model/kernel.py
+++ b/sailhitch/model/kernel.py
@@ -1,7 +1,7 @@
-"""Virtual time: events in the order of their times, and random numbers in named streams.
+"""Virtual time: a queue of events in the order of their times, and named random streams.
 
-A heap of callbacks. simpy's processes are generators; the cores modelled here are called with
-events, and each would need a generator around it.
+A heap of callbacks is used instead of simpy, whose processes are generators: the cores modelled
+here are called with events, so each would need a generator around it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Kernel:
-    """A clock in microseconds, and the callbacks scheduled by it."""
+    """A virtual clock in microseconds, and the callbacks scheduled on it."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -26,26 +26,26 @@
         self._streams: dict[str, np.random.Generator] = {}
 
     def after(self, delay: int, callback: Callable[..., None], *args: Any) -> None:
-        """Call `work` so much later."""
+        """Call `callback` after a delay, at once if it is negative."""
         self._scheduled_count += 1
         heapq.heappush(
             self._heap, (self.now + max(0, delay), self._scheduled_count, callback, args)
         )
 
     def at(self, time: int, callback: Callable[..., None], *args: Any) -> None:
-        """Call `work` at that time."""
+        """Call `callback` at a time."""
         self.after(time - self.now, callback, *args)
 
     def run(self, until: int) -> None:
-        """Run all callbacks that are due by then."""
+        """Run all callbacks due by a time, and set the clock to it."""
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, work, args = heapq.heappop(self._heap)
+            self.now, _, callback, args = heapq.heappop(self._heap)
             self.event_count += 1
-            work(*args)
+            callback(*args)
         self.now = max(self.now, until)
 
     def stream(self, name: str) -> np.random.Generator:
-        """Return the random generator of one purpose, independent of all others."""
+        """Return the random generator of a name; each is independent of all others."""
         generator = self._streams.get(name)
         if generator is None:
             key = zlib.crc32(name.encode())
--- a/sailhitch/model/player.py
+++ b/sailhitch/model/player.py
@@ -1,4 +1,4 @@
-"""Plays the events of a scenario in a modelled tier."""
+"""Applies the events of a scenario to a modelled tier."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from .process import Disk
 from .tier import TierProcess, World
 
-EVICTABLE_AFTER: Final = 5 * SECOND  # without a sign of life, after which an operator may evict
+EVICTABLE_AFTER: Final = 5 * SECOND  # silence after which an operator may evict a member
 SNAPSHOT_INTERVAL: Final = 2 * SECOND
-SNAPSHOTS: Final = 7  # of each disk, at that interval
+SNAPSHOTS: Final = 7  # of each disk
 RESTART_AFTER_FULL_DISK: Final = SECOND // 10
 RESTART_AFTER_LEAVE: Final = SECOND // 2
 
@@ -32,12 +32,14 @@
     """Schedules a scenario's events in a world and applies each at its time."""
 
     world: World
-    cut_depth: dict[tuple[str, str], int] = field(default_factory=dict)  # overlapping cuts by link
+    cut_depth: dict[tuple[str, str], int] = field(
+        default_factory=dict
+    )  # number of overlapping cuts of each link
     last_event_end: int = FIRST_FAULT_AT
     permanently_dead: set[str] = field(default_factory=set)  # killed and never started again
 
     def schedule(self, scenario: Scenario) -> None:
-        """Put all events of a scenario on the world's clock."""
+        """Schedule all events of a scenario, and the snapshots of the disks."""
         for event in scenario.events:
             self.world.kernel.at(event.at, self._apply, event)
             self.last_event_end = max(self.last_event_end, event.at + event.duration)
@@ -69,7 +71,7 @@
         self._process_of(event).withdraw()
 
     def _evict(self, event: Event) -> None:
-        """Evict the next member, whether it is down or not."""
+        """Have a member evict the one after it, whether that is down or not."""
         process = self._process_of(event)
         if process.up and not process.paused:
             assert process.member is not None
@@ -77,7 +79,7 @@
             process.member.evict(target)
 
     def _leave(self, event: Event) -> None:
-        """Have a member leave the tier, and come back."""
+        """Have a member leave the tier; restart it after the event's duration."""
         process = self._process_of(event)
         if process.up and not process.paused:
             assert process.member is not None
@@ -110,14 +112,14 @@
             self._kill(msgspec.structs.replace(event, members=(i,)))
 
     def _kill_permanently(self, event: Event) -> None:
-        """Kill a process for good; an operator evicts the member after the event's duration."""
+        """Kill a process for good; an operator evicts its member after the event's duration."""
         process = self._process_of(event)
         self.permanently_dead.add(process.name)
         process.kill()
         self._after_duration(event, lambda: self._evict_dead(process.name))
 
     def _evict_dead(self, name: str) -> None:
-        """Evict a dead member, and again for as long as a member's configuration has it."""
+        """Evict a dead member, every second for as long as a member's configuration has it."""
         for process in self.world.processes.values():
             is_running = process.up and not process.paused
             if is_running and process.evict_if_allowed(name, EVICTABLE_AFTER):
@@ -127,7 +129,7 @@
     # --- Faults of disks
 
     def _restore_old_disk(self, event: Event) -> None:
-        """Kill a process and put its disk back from an earlier snapshot."""
+        """Kill a process and restore its disk from an earlier snapshot."""
 
         def restore(disk: Disk) -> None:
             if disk.snapshots:
@@ -140,7 +142,7 @@
         self._kill(event, Disk.erase)
 
     def _fill_disk(self, event: Event) -> None:
-        """Fill a disk, until space is freed or the process is restarted as well."""
+        """Fill a disk; after the event's duration free space on it or also restart the process."""
         process = self._process_of(event)
         process.disk.full = True
 
@@ -168,7 +170,7 @@
         self.world.kernel.after(duration, heal)
 
     def _cut(self, event: Event) -> None:
-        """Cut the links from the first member, in one direction, to the second or to all."""
+        """Cut the links from the first member to the second or to all, in this direction only."""
         names = self.world.names
         sender = names[event.members[0]]
         receivers = names if event.value < 0.5 else (names[event.members[1]],)
--- a/sailhitch/model/process.py
+++ b/sailhitch/model/process.py
@@ -1,6 +1,7 @@
-"""A modelled process: a clock of its own rate, a disk that loses unsynced writes, pauses, crashes.
+"""A modelled process, with its own clock rate and a disk that loses unsynced writes.
 
-Effects of a core are performed in order, each after the writes before it are synced.
+It can be paused, and crash. The effects of a core are performed in order, each once the writes
+before it are synced.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 from ..tier.effects import ApplyVersions, Effect, JobCompleted, LogEvent, Persist, Send
 from .kernel import Kernel
 
-SYNC_DURATION_RANGE = (200, 6_000)  # us that a sync takes, at least and at most
-WRITE_RETRY = 100_000  # us until a write that failed is tried again
+SYNC_DURATION_RANGE = (200, 6_000)  # us, shortest and longest
+WRITE_RETRY = 100_000  # us until a failed write is retried
 
 
 class Disk:
-    """The synced values, and snapshots of earlier times."""
+    """The synced values, and earlier snapshots of them."""
 
     def __init__(self) -> None:
         self.synced: dict[str, bytes] = {}
-        self.snapshots: list[dict[str, bytes]] = []  # snapshots, oldest first
+        self.snapshots: list[dict[str, bytes]] = []  # oldest first
         self.full = False
 
     def write(self, items: dict[str, bytes | None]) -> None:
-        """Write values as synced; None deletes one."""
+        """Write and sync values; None deletes one."""
         for name, value in items.items():
             if value is None:
                 self.synced.pop(name, None)
@@ -36,7 +37,7 @@
         self.synced = {}
 
     def take_snapshot(self) -> None:
-        """Take a snapshot."""
+        """Add a snapshot of the synced values."""
         self.snapshots.append(dict(self.synced))
 
 
@@ -55,15 +56,15 @@
         self._offset = int(kernel.stream(f"clock {name}").integers(1, 1 << 40))
         self._effects: deque[Effect] = deque()
         self._is_syncing = False
-        self._deferred: list[Callable[[], None]] = []  # what comes while it is paused
+        self._deferred: list[Callable[[], None]] = []  # due while it was paused
         self._rng = kernel.stream(f"process {name}")
 
     def clock(self) -> int:
-        """Return the monotonic time, of the process's own rate and start; it runs in pauses too."""
+        """Return the monotonic time, by the process's own rate and origin; pauses don't stop it."""
         return self._offset + int(self.kernel.now * self.rate)
 
     def guarded(self, callback: Callable[[], None]) -> Callable[[], None]:
-        """`work` as this life would do it: not after its end, and after a pause once it is over."""
+        """Bind a callback to this incarnation: dropped after its end, deferred during a pause."""
         incarnation = self.incarnation
 
         def run() -> None:
@@ -99,15 +100,15 @@
         if not (self.up and self.paused):
             return
         self.paused = False
-        waiting = self._deferred
+        callbacks = self._deferred
         self._deferred = []
-        for work in waiting:
-            work()
+        for callback in callbacks:
+            callback()
 
     # --- Effects
 
     def enqueue(self, effects: list[Effect]) -> None:
-        """Perform effects in order; while the disk fails, messages are lost."""
+        """Queue effects, to be performed in order; while the disk fails, messages are dropped."""
         self._effects.extend(
             e for e in effects if not (self.disk_is_failing and isinstance(e, Send))
         )
@@ -126,23 +127,23 @@
                 self.perform(effect)
 
     def _on_sync_complete(
-        self, incarnation: int, persist: Persist, medium: dict[str, bytes]
+        self, incarnation: int, persist: Persist, storage: dict[str, bytes]
     ) -> None:
         # A write to a disk that was replaced does not reach the new one.
-        if self.incarnation != incarnation or self.disk.synced is not medium:
+        if self.incarnation != incarnation or self.disk.synced is not storage:
             return
         if not self.up:
-            # Killed during the sync: it may have completed all the same.
+            # Killed during the sync, which may have completed nevertheless.
             if self._rng.random() < 0.5 and not self.disk.full:
                 self.on_synced(persist)
             return
         self.disk_is_failing = self.disk.full
         if self.disk_is_failing:
-            # No message that depends on the write may be sent; messages are lost meanwhile.
+            # Messages that depend on the write must not be sent: all are dropped while it fails.
             self._effects = deque(
                 effect for effect in self._effects if not isinstance(effect, Send)
             )
-            self.kernel.after(WRITE_RETRY, self._on_sync_complete, incarnation, persist, medium)
+            self.kernel.after(WRITE_RETRY, self._on_sync_complete, incarnation, persist, storage)
             return
         self.on_synced(persist)
         self.guarded(self._resume_effects)()
@@ -156,5 +157,5 @@
         self.disk.write(persist.items)
 
     def perform(self, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
-        """Perform an effect that needs no disk."""
+        """Perform an effect other than a write to the disk."""
         raise NotImplementedError
--- a/sailhitch/model/scenario.py
+++ b/sailhitch/model/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios of the tier: drawn from a seed, played, shrunk and formatted.
+"""Scenarios of a tier: drawn from a seed, played, shrunk and formatted.
 
-`play` ends with the first violation of an invariant. `shrink` removes the events that a violation
-does not need, and `format_scenario` formats the rest for people.
+`play` stops at the first violation of an invariant. `shrink` removes the events that a violation
+does not need, and `format_scenario` describes what is left in readable text.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 SETTLE_TIME: Final = 20 * SECOND  # promise 4: from the last fault until the tier has settled
 DEATH_KNOWN_WITHIN: Final = 30 * SECOND  # promise 5: from the last fault
 EVICTED_AFTER: Final = 12 * SECOND  # from a member's death until an operator evicts it
-# us from a member's request to its death: the rounds of a change take about that long.
+# us from a member's request to its death; a change's rounds take about as long.
 DEATH_DELAY_RANGE: Final = (1_000, 120_000)
 CHANGE_KINDS: Final = ("propose", "pose", "withdraw", "leave")
 KINDS_WITHOUT_DURATION: Final = ("propose", "pose", "withdraw")
@@ -40,7 +40,7 @@
 def draw_scenario(seed: int) -> Scenario:
     """Return a random scenario, a pure function of the seed.
 
-    Only the first voter, a minority, loses its disk or has it put back from an earlier snapshot.
+    Only the first voter, a minority, may lose its disk or have it restored from an old snapshot.
     """
     rng = np.random.default_rng([seed, 7])
     members = int(rng.integers(3, 7))
@@ -68,7 +68,7 @@
 
 
 def _drawn_kinds(with_lease: bool) -> list[str]:
-    """Return the kinds of events to draw from, each as often as its weight."""
+    """Return the kinds of events to draw from, each repeated by its weight."""
     kinds = ["propose"] * 5 + ["pose"] * 2
     kinds += ["pause", "kill", "cut", "part", "loss", "double", "withdraw"] * 2
     kinds += ["old", "lost", "all", "leave", "full"]
@@ -78,9 +78,9 @@
 
 
 def draw_scenario_with_death(seed: int) -> Scenario:
-    """Return a scenario in which a member dies for good, most likely during its own change.
+    """Return a scenario in which a member dies for good, in most cases during its own change.
 
-    At most one voter is lost for good: where one of three dies, none loses its disk.
+    At most one of three voters may be lost: if one of them dies, none loses its disk.
     """
     scenario = draw_scenario(seed)
     rng = np.random.default_rng([seed, 8])
@@ -117,7 +117,7 @@
 
 
 def find_violation(scenario: Scenario) -> str | None:
-    """Return which promise a scenario violates, and how; None if it holds all."""
+    """Return which promise a scenario breaks, and how; None if it breaks none."""
     try:
         play(scenario)
     except InvariantViolationError as error:
@@ -126,7 +126,7 @@
 
 
 def shrink(scenario: Scenario) -> tuple[Scenario, str]:
-    """Return a failing scenario without the events that the same violation does not need."""
+    """Return the scenario without the events that its violation does not need, and that."""
     violation = find_violation(scenario)
     assert violation is not None
     for smaller in _smaller_scenarios(scenario):
@@ -144,7 +144,7 @@
 
 
 def format_scenario(scenario: Scenario, violation: str) -> str:
-    """Return a scenario and its violation as text for people."""
+    """Return a readable description of a scenario and its violation."""
     lease = f"lease {scenario.lease / SECOND:g} s" if scenario.lease else "no lease"
     lines = [f"seed {scenario.seed}: {scenario.members} members, {scenario.voters} voters, {lease}"]
     for event in scenario.events:
@@ -157,4 +157,4 @@
         lines.append(
             f"  {event.at / SECOND:7.3f} s  {event.kind} {names}{time} ({event.value:.2f})"
         )
-    return "\n".join([*lines, f"  broken: {violation}"])
+    return "\n".join([*lines, f"  violation of promise {violation}"])
--- a/sailhitch/model/tier.py
+++ b/sailhitch/model/tier.py
@@ -1,4 +1,4 @@
-"""The model's world: a tier of processes, its network, and the checks of its promises."""
+"""The model's world: a tier of processes, its network, and the checks of the promises."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 __all__ = ["ACT_COUNT", "TierProcess", "World"]
 
 REACHABILITY_CHECK_INTERVAL: Final = 50_000  # us
-MAX_RELIABLE_LOSS: Final = 0.3  # of datagrams: above it members may declare each other dead
+MAX_RELIABLE_LOSS: Final = 0.3  # of datagrams; above it, members may declare live ones dead
 
 
 class World:
@@ -43,19 +43,19 @@
         """Create the processes.
 
         Args:
-            seed: Of all random numbers.
-            members: Their number.
-            voters: The number of those that vote.
-            lease: Its length in microseconds, if members hold one.
+            seed: The seed of all random numbers.
+            members: The number of members.
+            voters: The number of members that vote.
+            lease: The length of a member's lease in microseconds, if members hold one.
             beat: Microseconds between two ticks of a member's core.
             write_interval: Microseconds between two writes of a process.
-            late: Members that no other's configuration file has; the caller starts them.
+            late: Members that are in no other's configuration file; the caller starts them.
             first: The acts that the first version permits.
             acts: The number of different acts.
-            zones: The zone of each act, by its number as text, that sends to a node.
-            step: Microseconds of a step of a zone's recovery ramp.
+            zones: The zone of each act that sends to a node, by the act's number as text.
+            step: Microseconds that a step of a zone's recovery ramp takes.
             act: Whether members stop sending to a zone that the fleet considers down.
-            contents: Builds the versions' trees.
+            contents: The builder of the versions' trees.
         """
         self.kernel = Kernel(seed)
         self.network = Network(self.kernel, self._deliver)
@@ -68,8 +68,8 @@
         self.zones = dict(zones or {})
         self.step = step
         self.act = act
-        self.failed_zones: set[str] = set()  # zones whose nodes don't answer
-        self._last_unreachable = dict.fromkeys(self.names, 0)  # times
+        self.failed_zones: set[str] = set()  # zones whose nodes fail every request
+        self._last_unreachable = dict.fromkeys(self.names, 0)  # time, by member
         self.initially_permitted = frozenset(first)
         self.acts = acts
         self.contents = contents
@@ -90,19 +90,19 @@
         return TierConfig(name, self.voters, peers, self.lease)
 
     def zone_of(self, name: str) -> str:
-        """Return a member's zone; members are spread over the zones by turns."""
+        """Return a member's zone; members are assigned to the zones in turn."""
         zones = sorted(set(self.zones.values()))
         return zones[self.names.index(name) % len(zones)]
 
     def permitted(self, digest: str) -> frozenset[int]:
-        """Return what a version permits."""
+        """Return the acts that a version permits."""
         return self.acts_by_digest[digest]
 
     def _deliver(self, sender: str, to: str, message: Message) -> None:
         self.processes[to].receive(sender, message)
 
     def start(self) -> None:
-        """Start all processes, within half a second and in random order."""
+        """Start all processes but the late ones, within half a second and in random order."""
         self._track_reachability()
         for name, process in self.processes.items():
             delay = int(self.kernel.stream(f"start {name}").integers(500_000))
@@ -110,7 +110,7 @@
                 self.kernel.after(delay, process.start)
 
     def _track_reachability(self) -> None:
-        """Record the members that can't be expected to communicate now."""
+        """Record which members can't be expected to communicate now."""
         now = self.kernel.now
         network = self.network
         for name, process in self.processes.items():
--- a/sailhitch/model/tier_process.py
+++ b/sailhitch/model/tier_process.py
@@ -1,8 +1,8 @@
-"""A member of a tier in the model: the daemon's core, and writes that the applied rules permit.
+"""A modelled member of a tier: the daemon's core, and the writes that the applied versions permit.
 
 A version's content is a tree of pages with the acts that it permits, and a weight that contradicts
-nothing. Each process makes the writes that it is free to make, many times a second; `invariants`
-checks each of them.
+no other version. Many times a second each process tries a random act and performs it if it is
+permitted; `invariants` checks each of these writes.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 if TYPE_CHECKING:
     from .tier import World
 
-ACT_COUNT: Final = 6  # different acts that rules permit or forbid
+ACT_COUNT: Final = 6  # number of acts, each permitted or forbidden by a version
 WRITE_INTERVAL: Final = 20_000  # us between two writes of a process
 APPLY_DURATION_RANGE = (500, 40_000)  # us
 
 
 class TierProcess(Process):
-    """A member with a disk and a clock, and its writes."""
+    """A process that runs a member's core and makes writes."""
 
     def __init__(self, world: World, name: str, rate: float) -> None:
         super().__init__(world.kernel, name, rate)
         self.world = world
         self.member: Member | None = None
-        self.applied_versions: AppliedVersions | None = None  # those that it applies
+        self.applied_versions: AppliedVersions | None = None
         self.permitted_acts: frozenset[int] = frozenset()
         self.log: list[tuple[int, str]] = []
         self.change_ids: dict[int, str] = {}  # by job
@@ -51,7 +51,7 @@
         self._act_rng = random.Random(world.kernel.seed * 1009 + len(world.processes))
 
     def start(self) -> None:
-        """Start, or restart, from what is on the disk."""
+        """Start or restart the member from its disk."""
         self.begin()
         world = self.world
         rng = random.Random(int(self._rng.integers(1 << 62)))
@@ -104,7 +104,7 @@
 
     def receive(self, sender: str, message: Message) -> None:
         """Receive a datagram."""
-        if self.up and not self.paused:  # a short cut of `guarded` for the hot path
+        if self.up and not self.paused:  # shortcut for `guarded` in the hot path
             self._on_message(sender, message)
         else:
             self.guarded(lambda: self._on_message(sender, message))()
@@ -115,7 +115,7 @@
         self._process_effects()
 
     def _try_write(self) -> None:
-        """Write, if the applied rules permit a random act now."""
+        """Perform a random act if the applied versions permit it now."""
         assert self.member is not None
         act = self._act_rng.randrange(self.world.acts)
         is_permitted = self.applied_versions is not None and act in self.permitted_acts
@@ -135,7 +135,7 @@
     # --- Effects
 
     def perform(self, effect: Send | ApplyVersions | JobCompleted | LogEvent) -> None:
-        """Perform an effect of the core that needs no disk."""
+        """Perform an effect of the core other than a write to the disk."""
         world = self.world
         if isinstance(effect, Send):
             world.network.send(self.name, effect.to, effect.message)
@@ -170,7 +170,7 @@
         self._process_effects()
 
     def _read_permitted(self, version: Version) -> frozenset[int]:
-        """Return what a version permits, from the pages that this member has."""
+        """Return the acts that a version permits, read from this member's pages."""
         assert self.member is not None
         root = root_of(version.digest)
         assert root is not None
@@ -178,7 +178,7 @@
             acts = permitted(self.member.contents, root)
         except KeyError as error:
             raise InvariantViolationError(
-                f"1: {self.name} acts by {version} without its page {error}"
+                f"1: {self.name} applies {version} without its page {error}"
             ) from None
         assert acts == self.world.permitted(version.digest), version
         return acts
@@ -194,7 +194,7 @@
     # --- Operators' requests
 
     def propose(self, flip: int, weight: int) -> None:
-        """Propose to flip whether an act is permitted (`flip` below 0: none)."""
+        """Propose to flip whether an act is permitted; `flip` < 0 only changes the weight."""
         if not self.up or self.paused or self.member is None or self.member.chosen is None:
             return
         active = self.member.chosen.state.active
@@ -205,7 +205,7 @@
         self.propose_version(active, frozenset(new), weight)
 
     def propose_version(self, base: Version, new: frozenset[int], weight: int) -> int:
-        """Propose a version that permits these acts, made from `base`; return the job."""
+        """Propose a version made from `base` that permits these acts; return the job's number."""
         assert self.member is not None
         contents = self.world.contents
         store = self.member.contents
@@ -216,21 +216,23 @@
             root = root_of(base.digest)
         if root is not None:
             changed = contents.updated(store, root, old, new, weight)
-            assert changed.root == tree.root, "the same entries have two roots"
+            assert changed.root == tree.root, (
+                "the updated tree differs from the one built from the same entries"
+            )
             tree = changed
         self.world.acts_by_digest[tree_digest(tree.root)] = new
         waits = new != old
         return self._record_change(self.member.propose(tree, base.serial, waits, "model", 0))
 
     def _record_change(self, job: int) -> int:
-        """Record the id that the core gave a job's change, for the checker."""
+        """Record the id that the core gave to a job's change, for the checker; return the job."""
         assert self.member is not None
         self.change_ids[job] = f"{self.name}-{self.member.boot:x}-{job - 1}"
         self._process_effects()
         return job
 
     def propose_traffic_policy(self, weight: int) -> None:
-        """Propose another traffic policy; it permits and forbids nothing."""
+        """Propose another traffic policy, which neither permits nor forbids an act."""
         if not self.up or self.paused or self.member is None or self.applied_versions is None:
             return
         current = self.applied_versions.traffic_policy
@@ -242,24 +244,24 @@
         )
 
     def propose_zone_policy(self, policy: TrafficPolicy) -> int:
-        """Propose a traffic policy of zones; return the job."""
+        """Propose a traffic policy for the zones; return the job's number."""
         assert self.member is not None
         assert self.controller is not None
         return self._record_change(
             self.member.propose_traffic_policy(policy.encode(), self.controller.serial, "model", 0)
         )
 
-    def begin_job(self, what: Callable[[Member], int | None]) -> int | None:
-        """Have the core begin a job; return its number, or None where it can't now."""
+    def begin_job(self, begin: Callable[[Member], int | None]) -> int | None:
+        """Have the core begin a job; return its number, or None if it can't begin one now."""
         assert self.member is not None
-        job = what(self.member)
+        job = begin(self.member)
         self._process_effects()
         return job
 
     def evict_if_allowed(self, name: str, min_silence: int) -> bool:
-        """Evict a member as an operator; return whether the configuration has it and allows it.
+        """Evict a member as an operator, if it is configured and evictable; return whether it was.
 
-        `min_silence` is how long it must have given no sign of life, in microseconds.
+        `min_silence` is how long it must have been silent, in microseconds.
         """
         assert self.member is not None
         if not self.member.is_caught_up() or name not in self.member.configuration.members:
--- a/tests/test_tier_probes.py
+++ b/tests/test_tier_probes.py
@@ -248,5 +248,5 @@
 def test_a_violation_of_promise_5_is_reported_with_its_number() -> None:
     world = _world(3)
     _advance(world, 20)
-    with pytest.raises(InvariantViolationError, match="5: g1 takes g2 for dead"):
+    with pytest.raises(InvariantViolationError, match="5: g1 declares g2 dead"):
         world.check_declared_dead("g1", "g2")
