--- a/benchmarks/apply.py
+++ b/benchmarks/apply.py
@@ -1,11 +1,11 @@
-"""Plan and apply by the number of nodes, and what live requests feel of it.
+"""The cost of plan and apply by the number of nodes, and their effect on live requests.
 
     python benchmarks/apply.py [--sizes 100 1000 10000] [--json]
 
-For each size: the time to read the file, to make a plan that alters a tenth of the nodes and to
-apply it, and the daemon's memory. Then p50 and p99 of live requests on five real nodes, with a
-hundred others that only stand in the list, while an apply runs every 100 ms, and with none
-running. Exit code 0.
+For each size: the time to read the file, to make a plan that changes a tenth of the nodes and to
+apply it, and the daemon's memory. Then p50 and p99 of live requests to five real nodes, with a
+hundred configured nodes that don't exist beside them, while an apply runs every 100 ms, and with
+none running. Exit code 0.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 SECONDS = 8.0
 
 
-def listed(count: int, weight: float) -> list[dict[str, Any]]:
-    """Nodes that nobody is at; every tenth has this weight."""
+def missing_nodes(count: int, weight: float) -> list[dict[str, Any]]:
+    """Return the configuration of nodes that don't exist; every tenth has this weight."""
     return [
         part(
             f"x{i}",
@@ -47,48 +47,54 @@
 
 
 def memory_of(pid: int) -> float:
-    """Resident megabytes of a process."""
+    """Return the resident memory of a process in megabytes."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
 
-async def by_size(folder: Path, count: int) -> dict[str, float]:
+async def measure_size(folder: Path, count: int) -> dict[str, float]:
     port = free_port()
-    value = file_value([{"name": "p", "nodes": listed(count, 1.0)}], port, {"memory_mb": 512})
+    value = file_value(
+        [{"name": "p", "nodes": missing_nodes(count, 1.0)}], port, {"memory_mb": 512}
+    )
     value["gateway"] |= {"state_dir": str(folder / "state"), "admin": str(folder / "g1.sock")}
     daemon = Outside(folder, value)
     other = folder / "other.toml"
-    other.write_text(toml_text({**value, "pools": [{"name": "p", "nodes": listed(count, 2.0)}]}))
-    started = time.perf_counter()
+    other.write_text(
+        toml_text({**value, "pools": [{"name": "p", "nodes": missing_nodes(count, 2.0)}]})
+    )
+    starting_at = time.perf_counter()
     await daemon.start()
     assert daemon.program is not None
     try:
-        up = time.perf_counter()
-        before = memory_of(daemon.program.pid)
+        started_at = time.perf_counter()
+        memory_before = memory_of(daemon.program.pid)
         wanted = from_file(load_file(other))
-        read = time.perf_counter()
-        live = await daemon.ask({"op": "state"})
-        asked = time.perf_counter()
-        plan = make_plan("g1", live["serial"], live["state"], wanted, live["identity"]).dump()
-        planned = time.perf_counter()
+        read_at = time.perf_counter()
+        current = await daemon.ask({"op": "state"})
+        state_at = time.perf_counter()
+        plan = make_plan(
+            "g1", current["serial"], current["state"], wanted, current["identity"]
+        ).dump()
+        planned_at = time.perf_counter()
         answer = await daemon.ask({"op": "apply", "plan": plan})
-        done = time.perf_counter()
+        applied_at = time.perf_counter()
         assert answer["ok"], answer
         return {
-            "start_s": up - started,
-            "read_s": read - up,
-            "state_s": asked - read,
-            "plan_s": planned - asked,
-            "apply_s": done - planned,
+            "start_s": started_at - starting_at,
+            "read_s": read_at - started_at,
+            "state_s": state_at - read_at,
+            "plan_s": planned_at - state_at,
+            "apply_s": applied_at - planned_at,
             "plan_kb": len(plan) / 1e3,
-            "memory_mb": before,
+            "memory_mb": memory_before,
             "memory_after_mb": memory_of(daemon.program.pid),
         }
     finally:
         await daemon.stop()
 
 
-async def live(folder: Path, applies: bool) -> dict[str, float]:
+async def measure_requests(folder: Path, applies: bool) -> dict[str, float]:
     memory = Memory()
     nodes = [Node(0.01, memory=memory, reports=True) for _ in range(5)]
     for node in nodes:
@@ -97,11 +103,11 @@
 
     def value(weight: float) -> dict[str, Any]:
         real = [part(f"n{i}", node.addr, weight=weight) for i, node in enumerate(nodes)]
-        # Another pool, so that requests never go to nodes that are not there.
-        pools = [{"name": "p", "nodes": real}, {"name": "q", "nodes": listed(100, weight)}]
-        found = file_value(pools, port)
-        found["gateway"] |= {"state_dir": str(folder / "state"), "admin": str(folder / "g1.sock")}
-        return found
+        # The absent nodes are in a pool of their own, so that no request is sent to them.
+        pools = [{"name": "p", "nodes": real}, {"name": "q", "nodes": missing_nodes(100, weight)}]
+        config = file_value(pools, port)
+        config["gateway"] |= {"state_dir": str(folder / "state"), "admin": str(folder / "g1.sock")}
+        return config
 
     daemon = Outside(folder, value(1.0))
     await daemon.start()
@@ -130,15 +136,15 @@
 
 
 async def run(sizes: list[int]) -> dict[str, dict[str, float]]:
-    found: dict[str, dict[str, float]] = {}
+    results: dict[str, dict[str, float]] = {}
     for size in sizes:
         with tempfile.TemporaryDirectory() as folder:
-            found[f"{size} nodes"] = await by_size(Path(folder), size)
+            results[f"{size} nodes"] = await measure_size(Path(folder), size)
     for applies in (False, True):
         with tempfile.TemporaryDirectory() as folder:
             name = "live, applies every 100 ms" if applies else "live, none"
-            found[name] = await live(Path(folder), applies)
-    return found
+            results[name] = await measure_requests(Path(folder), applies)
+    return results
 
 
 def main() -> int:
@@ -146,11 +152,11 @@
     parser.add_argument("--sizes", type=int, nargs="*", default=[100, 1_000, 10_000])
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
-    found = asyncio.run(run(options.sizes))
+    results = asyncio.run(run(options.sizes))
     if options.json:
-        print(json.dumps(found))
+        print(json.dumps(results))
         return 0
-    for name, values in found.items():
+    for name, values in results.items():
         print(f"{name:28}", "  ".join(f"{k}={v:.3g}" for k, v in values.items()))
     return 0
 
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -1,12 +1,12 @@
-"""Long flows and upgrades of the platform's line: throughput, memory, latency beside them.
+"""The platform's gateway under long transfers and upgrades: throughput, memory and latency.
 
     python benchmarks/daily.py flows [--size MB] [--json]
     python benchmarks/daily.py upgrades [--count N] [--json]
 
-`flows` plays 1, 10 and 50 exchanges at once whose body and answer have 32 MB each, through a
-process with 80 MB, beside short requests. `upgrades` replaces the process again and again under 16
-clients that ask as fast as they are answered: each request is answered once, and one host stays out
-for maintenance all the time. Exit code 1 where anything is lost, doubled or sent to that host.
+`flows` runs 1, 10 and 50 concurrent exchanges, each with a request and a response body of 32 MB,
+through a process with 80 MB of memory, beside short requests. `upgrades` replaces the process again
+and again under a closed loop of 16 clients. Each request must be served exactly once, and one host
+is in maintenance all the time. Exits 1 if a request was lost, served twice or sent to that host.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from benchmarks.overhead import memory_of  # noqa: E402
+from benchmarks.overhead import peak_memory_mb  # noqa: E402
 from tests.generations import call, hosted  # noqa: E402
 from tests.sockets import (  # noqa: E402
     Client,
@@ -42,8 +42,8 @@
 CLIENTS = 16
 
 
-class Sink(Server):
-    """Takes a body in pieces and sends as much back, holding none of it."""
+class StreamingServer(Server):
+    """A host that streams: it reads a body in chunks and returns as many bytes, storing neither."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         self.writers.append(writer)
@@ -63,7 +63,7 @@
 
 
 async def exchange(client: Client, name: str, size: int) -> None:
-    """One long request and its answer, in pieces on this side too."""
+    """Make one long request and read its response, both in chunks."""
     head = request(name, b"", wait_ms=60_000).replace(b"Length: 0", b"Length: %d" % size)
     client.send(head)
     for at in range(0, size, 65536):
@@ -73,15 +73,15 @@
     assert answered.startswith(b"HTTP/1.1 200"), answered
     left = size
     while left:
-        got = len(await client.reader.read(65536))
-        assert got, "the answer broke off"
-        left -= got
+        count = len(await client.reader.read(65536))
+        assert count, "the response is truncated"
+        left -= count
 
 
-async def shorts(addr: str, over: asyncio.Event, times: list[float]) -> None:
-    """Short requests, one after the other."""
+async def send_short_requests(addr: str, finished: asyncio.Event, times: list[float]) -> None:
+    """Send short requests one after another and record their durations."""
     client, n = await dial(addr), 0
-    while not over.is_set():
+    while not finished.is_set():
         n += 1
         begin = time.perf_counter()
         status, _ = await client.ask(request(f"s{id(times)}-{n}", b"x", wait_ms=5000))
@@ -94,21 +94,21 @@
     rows = []
     for count in (1, 10, 50):
         with tempfile.TemporaryDirectory() as folder:
-            async with Sink() as host, Registry(("a", host.addr)) as registry:
-                classes = {"classes": _patient()}
+            async with StreamingServer() as host, Registry(("a", host.addr)) as registry:
+                classes = {"classes": _long_deadlines()}
                 value = config_value(
                     registry.addr, ("a", host.addr), settings=classes, limits={"sockets": 1024}
                 )
                 async with process(Path(folder) / "c.json", value) as (program, addr):
-                    over, times = asyncio.Event(), list[float]()
-                    short = asyncio.create_task(shorts(addr, over, times))
+                    finished, times = asyncio.Event(), list[float]()
+                    short = asyncio.create_task(send_short_requests(addr, finished, times))
                     clients = [await dial(addr) for _ in range(count)]
                     begin = time.perf_counter()
                     await asyncio.gather(
                         *[exchange(c, f"f{i}", size) for i, c in enumerate(clients)]
                     )
                     took = time.perf_counter() - begin
-                    over.set()
+                    finished.set()
                     await short
                     rows.append(
                         {
@@ -116,7 +116,7 @@
                             "size_mb": size // MB,
                             "seconds": round(took, 2),
                             "mb_per_s": round(2 * count * size / MB / took),
-                            "peak_mb": round(memory_of(program.pid), 1),
+                            "peak_mb": round(peak_memory_mb(program.pid), 1),
                             "short_p50_ms": round(1000 * statistics.median(times), 1),
                             "short_p99_ms": round(1000 * _p99(times), 1),
                         }
@@ -124,7 +124,7 @@
     return rows
 
 
-def _patient() -> list[dict[str, Any]]:
+def _long_deadlines() -> list[dict[str, Any]]:
     from tests.fake import BASE
 
     return [{**one, "goalTime": 50_000_000, "deadline": 60_000_000} for one in BASE["classes"]]
@@ -135,29 +135,29 @@
 
 
 async def upgrades(count: int) -> dict[str, Any]:
-    async def prompt(message: bytes, writer: Writer) -> None:
+    async def respond(message: bytes, writer: Writer) -> None:
         await asyncio.sleep(0.01)
         writer.write(answer(b"served"))
 
-    banned, a, b = Server(prompt), Server(prompt), Server(prompt)
+    host_in_maintenance, a, b = Server(respond), Server(respond), Server(respond)
     with tempfile.TemporaryDirectory() as folder:
-        async with hosted(Path(folder), a=a, b=b, out=banned) as site:
-            newest = await site.ready()
-            assert await newest.out("out") == 200
+        async with hosted(Path(folder), a=a, b=b, out=host_in_maintenance) as site:
+            current = await site.ready()
+            assert await current.out("out") == 200
             await asyncio.sleep(0.1)
-            before = len(banned.seen)
-            over, asked = asyncio.Event(), 0
+            before = len(host_in_maintenance.seen)
+            finished, asked = asyncio.Event(), 0
             times: dict[bool, list[float]] = {False: [], True: []}
             upgrading = False
 
             async def load(k: int) -> None:
                 nonlocal asked
                 client = await site.client()
-                while not over.is_set():
+                while not finished.is_set():
                     asked += 1
                     began, during = time.perf_counter(), upgrading
-                    got = await client.ask(request(f"r{k}-{asked}", b"effect"))
-                    assert got == (200, b"served"), got
+                    response = await client.ask(request(f"r{k}-{asked}", b"effect"))
+                    assert response == (200, b"served"), response
                     times[during].append(time.perf_counter() - began)
 
             tasks = [asyncio.create_task(load(k)) for k in range(CLIENTS)]
@@ -165,14 +165,14 @@
             for _ in range(count):
                 await asyncio.sleep(0.3)
                 upgrading, began = True, time.perf_counter()
-                old, newest = newest, await site.ready()
+                old, current = current, await site.ready()
                 ready.append(time.perf_counter() - began)
                 began = time.perf_counter()
-                await call(newest.operator, "/maintenance/enter?target=out")
+                await call(current.operator, "/maintenance/enter?target=out")
                 calls.append(time.perf_counter() - began)
                 assert await old.end() == 0
                 upgrading = False
-            over.set()
+            finished.set()
             await asyncio.gather(*tasks)
             names = [m.split(b"Req-Id: ")[1].split(b"\r")[0] for m in a.seen + b.seen]
             return {
@@ -180,7 +180,7 @@
                 "requests": asked,
                 "doubled": len(names) - len(set(names)),
                 "lost": asked - len(set(names)),
-                "to_the_host_out": len(banned.seen) - before,
+                "to_the_host_out": len(host_in_maintenance.seen) - before,
                 "ready_s": round(statistics.median(ready), 2),
                 "ready_most_s": round(max(ready), 2),
                 "call_most_ms": round(1000 * max(calls), 1),
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,10 +1,10 @@
-"""CPU and memory of the platform's line, as a ratio to a bare forwarder's in the same run.
+"""CPU and memory of the platform's gateway, relative to a bare forwarder in the same run.
 
     python benchmarks/overhead.py [--tree DIR] [--seconds N] [--rounds N] [--json]
 
-32 connections ask as fast as they are answered, 1 KiB answers, four nodes. The forwarder is uvloop
-and nothing else: each client's connection has one to a node, and bytes go from one to the other.
-`--tree` names another checkout, whose program is measured in place of this one's. Exit code 0.
+A closed loop of 32 connections, responses of 1 KiB, four nodes. The forwarder is uvloop only: each
+client connection has its own connection to a node, and bytes are copied between the two. `--tree`
+names another checkout, whose program is measured instead of this one's. Exit code 0.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from benchmarks.front_door import cpu_of  # noqa: E402
+from benchmarks.front_door import cpu_seconds  # noqa: E402
 from sailhitch.lab.crowd import dial  # noqa: E402
 from sailhitch.lab.message import platform  # noqa: E402
 from sailhitch.lab.node import Node  # noqa: E402
@@ -71,7 +71,7 @@
 
 @contextlib.asynccontextmanager
 async def forwarder(nodes: list[Node]) -> AsyncIterator[tuple[asyncio.subprocess.Process, str]]:
-    """Return the bare forwarder, taking connections."""
+    """Run the bare forwarder; yields it and its address once it accepts connections."""
     port = free_port()
     program = await asyncio.create_subprocess_exec(
         sys.executable, "-c", FORWARDER, str(port), *(node.addr for node in nodes)
@@ -88,8 +88,8 @@
         await program.wait()
 
 
-async def ask(addr: str, seconds: float) -> int:
-    """So many requests were answered within that time."""
+async def send_requests(addr: str, seconds: float) -> int:
+    """Send requests in a closed loop for a time; return how many were answered."""
     ends = time.monotonic() + seconds
     count = 0
 
@@ -109,15 +109,15 @@
 
 
 async def measure(pid: int, addr: str, seconds: float) -> tuple[float, float]:
-    """Microseconds of CPU a request, and requests a second."""
-    await ask(addr, 0.5)
-    before = cpu_of(pid)
-    count = await ask(addr, seconds)
-    return (cpu_of(pid) - before) / count * 1e6, count / seconds
+    """Return the microseconds of CPU per request, and the requests per second."""
+    await send_requests(addr, 0.5)
+    before = cpu_seconds(pid)
+    count = await send_requests(addr, seconds)
+    return (cpu_seconds(pid) - before) / count * 1e6, count / seconds
 
 
-def memory_of(pid: int) -> float:
-    """Return the most resident megabytes that a process has had."""
+def peak_memory_mb(pid: int) -> float:
+    """Return the peak resident memory of a process in megabytes."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM:"):
             return int(line.split()[1]) / 1e3
@@ -143,7 +143,7 @@
             "bare_us": bare_us,
             "rate": rate,
             "bare_rate": bare_rate,
-            "memory_mb": memory_of(gateway.pid),
+            "memory_mb": peak_memory_mb(gateway.pid),
         }
 
 
@@ -158,13 +158,13 @@
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
-    found: list[dict[str, Any]] = asyncio.run(run(options.tree, options.seconds, options.rounds))
+    results: list[dict[str, Any]] = asyncio.run(run(options.tree, options.seconds, options.rounds))
     if options.json:
-        print(json.dumps(found))
+        print(json.dumps(results))
         return 0
-    for one in found:
+    for one in results:
         print("  ".join(f"{name}={value:.4g}" for name, value in one.items()))
-    print(f"ratio, median: {statistics.median(one['ratio'] for one in found):.2f}")
+    print(f"median ratio: {statistics.median(one['ratio'] for one in results):.2f}")
     return 0
 
 
--- a/benchmarks/pages.py
+++ b/benchmarks/pages.py
@@ -1,13 +1,13 @@
-"""Trees of pages by leaf size: bytes stored, bytes of a change, time to build, update and compare.
+"""Page trees by leaf size: bytes stored, bytes per change, time to build, update and compare.
 
     python benchmarks/pages.py [--scale 0.1 0.25 0.5 1] [--leaf-size 16384 32768] [--json]
 
 A state of scale 1 has 16,000 nodes in 280 services, 7,500 routes and 150,000 tenants, each an
 entry with its JSON as the operator file's models dump them. Three changes are made to it: the
 weight of one node, the weight of all nodes of one service, and the limits of one tenant. Bytes are
-those of packed pages; times are processor time, the least of a few runs (`--runs`), and include
-reading the pages, unpacked, from a mapping in memory. `--memory` adds the peak of a build beside
-its entries.
+those of packed pages. Times are processor time, the shortest of a few runs (`--runs`), and include
+reading the unpacked pages from a dict. `--memory` adds the peak memory of a build, without that of
+the entries.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class CountingSource:
-    """Pages in memory that counts what is read."""
+    """A page source in memory that counts reads."""
 
     def __init__(self, pages: Mapping[str, bytes]) -> None:
         self.pages = dict(pages)
@@ -89,7 +89,7 @@
 
 
 def tenant_value(number: int, rate: int) -> bytes:
-    """A tenant as the file has it today, and the limits that it will have."""
+    """Return a tenant as the file has it today, plus the limits that it is to have."""
     part = TenantPart(name=f"tenant-{number:06}", share=round(1 / (number + 1), 9) or 1e-9)
     limits = {"rate": rate, "burst": rate * 2, "concurrency": 8 + number % 57}
     return dump(part.model_dump(mode="json") | {"limits": limits})
@@ -127,7 +127,7 @@
 
 
 def least_time(runs: int, act: Callable[[], Result]) -> tuple[float, Result]:
-    """Milliseconds of processor time, and the last result."""
+    """Return the shortest processor time in milliseconds, and the last result."""
     times = []
     for _ in range(runs):
         start = time.process_time()
@@ -180,7 +180,7 @@
         runs, lambda: list(difference(source, root, updated.root))
     )
     if {change.key for change in differing} != changes.keys():
-        raise AssertionError("the difference is not what was changed")
+        raise AssertionError("the difference does not match the changes made")
     return {
         "entries": len(changes),
         "new_pages": len(updated.pages),
--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -1,10 +1,11 @@
-"""How evenly reach shares servers out, what churn moves, and what a decision costs.
+"""How evenly subsetting assigns servers, what churn changes, and the cost of a decision.
 
     python -m benchmarks.reach [--json]
 
-For each size of tier: gateways that have a server in reach (least, mean, most); changes a gateway
-makes beside those that are due while half of the servers are replaced one by one; CPU of a request
-and its answer at one gateway, with reach and with all servers in it (microseconds, best of three).
+For each number of gateways and servers: the number of gateways whose subset contains a server
+(least, mean, most); the ratio of subset changes to the necessary ones while up to half of the
+servers are replaced one by one; the CPU of a request and its response at one gateway, with a subset
+and with all servers (microseconds, best of three).
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 from sailhitch.settings import parse_settings
 
 SIZES = [(5, 12), (40, 60), (214, 12), (214, 145), (1000, 145), (1000, 1000)]
-RATE = 9.0  # requests a second at a gateway
+RATE = 9.0  # requests per second at a gateway
 SETTINGS = {
     "zone": 0,
     "granularity": 1000,
@@ -56,20 +57,20 @@
 
 
 @dataclass(eq=False)
-class Spot:
-    """A server as reach knows it."""
+class ServerStub:
+    """A server as the subsetter sees it, always usable."""
 
     hash: int
 
-    def able(self, now: int) -> bool:
+    def is_available(self, now: int) -> bool:
         return True
 
-    def alive(self) -> bool:
+    def is_responding(self) -> bool:
         return True
 
 
-class Nobody:
-    """A port that does nothing but note where the last request went."""
+class RecordingPort:
+    """A port that only records the server of the last request sent."""
 
     server = ""
 
@@ -84,47 +85,47 @@
     def log(self, text: str) -> None: ...
 
 
-def cover(reaches: list[Subsetter[Spot]]) -> Counter[int]:
-    """In whose reach each server is, by its hash."""
-    return Counter(s.hash for one in reaches for part in one.subset for s in part)
+def subsets_per_server(subsetters: list[Subsetter[ServerStub]]) -> Counter[int]:
+    """Return the number of subsets that contain each server, by its hash."""
+    return Counter(s.hash for one in subsetters for part in one.subset for s in part)
 
 
-def sharing(gateways: int, servers: int) -> dict[str, float]:
-    """Cover at the start, and changes while half of the servers are replaced."""
-    draws = random.Random(1)
-    there = [Spot(draws.getrandbits(64)) for _ in range(servers)]
-    reaches = [Subsetter[Spot](me, gateways) for me in range(gateways)]
+def measure_coverage(gateways: int, servers: int) -> dict[str, float]:
+    """Return the coverage at the start, and the changes while servers are replaced."""
+    rng = random.Random(1)
+    current = [ServerStub(rng.getrandbits(64)) for _ in range(servers)]
+    subsetters = [Subsetter[ServerStub](me, gateways) for me in range(gateways)]
 
-    def tell() -> None:
-        for one in reaches:
-            one.set_servers(there, [])
+    def update_all() -> None:
+        for one in subsetters:
+            one.set_servers(current, [])
             one.select(0)
 
-    tell()
-    counts = cover(reaches)
-    for one in reaches:
+    update_all()
+    counts = subsets_per_server(subsetters)
+    for one in subsetters:
         one.changes = 0
     due = 0
-    for old in draws.sample(there, min(50, servers // 2)):
-        due += cover(reaches)[old.hash]
-        there.remove(old)
-        there.append(Spot(draws.getrandbits(64)))
-        tell()
-        due += cover(reaches)[there[-1].hash]
+    for old in rng.sample(current, min(50, servers // 2)):
+        due += subsets_per_server(subsetters)[old.hash]
+        current.remove(old)
+        current.append(ServerStub(rng.getrandbits(64)))
+        update_all()
+        due += subsets_per_server(subsetters)[current[-1].hash]
     return {
         "least": min(counts[s] for s in counts),
         "mean": sum(counts.values()) / servers,
         "most": max(counts.values()),
-        "changes_by_due": sum(r.changes for r in reaches) / due,
+        "changes_by_due": sum(r.changes for r in subsetters) / due,
     }
 
 
-def cost(gateways: int, servers: int, numbered: bool, count: int = 4000) -> float:
-    """Microseconds of CPU for a request and its answer."""
+def measure_cost(gateways: int, servers: int, with_subset: bool, count: int = 4000) -> float:
+    """Return the microseconds of CPU for a request and its response."""
     best = float("inf")
     for _ in range(3):
-        port = Nobody()
-        value = SETTINGS | {"balancers": gateways, "me": 3 if numbered else gateways}
+        port = RecordingPort()
+        value = SETTINGS | {"balancers": gateways, "me": 3 if with_subset else gateways}
         gateway = Gateway(port, parse_settings(value), seed=1)
         now = 100_000_000
         gateway.start(now)
@@ -134,7 +135,7 @@
             WatchEventKind.RESTORED,
             [Endpoint(n, 1.0, 0, 0, EndpointState.READY, 0, 0) for n in names],
         )
-        begun = time.process_time()
+        start = time.process_time()
         for req in range(count):
             now += int(1e6 / RATE)
             gateway.request(now, req, 0, now + 3_000_000, 0, None, 0)
@@ -142,26 +143,29 @@
             gateway.outcome(
                 now + 50_000, req, 0, AttemptOutcome.OK, True, 50_000, port.server, report
             )
-        best = min(best, (time.process_time() - begun) / count * 1e6)
+        best = min(best, (time.process_time() - start) / count * 1e6)
     return best
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(description="How evenly reach shares, and what it costs.")
+    parser = argparse.ArgumentParser(
+        description="How evenly subsetting assigns servers, and its cost."
+    )
     parser.add_argument("--json", action="store_true")
-    chosen = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     rows = []
     for gateways, servers in SIZES:
         row: dict[str, float] = {"gateways": gateways, "servers": servers}
-        row |= sharing(gateways, servers)
-        row["us"] = cost(gateways, servers, True)
-        row["us_whole"] = cost(gateways, servers, False)
+        row |= measure_coverage(gateways, servers)
+        row["us"] = measure_cost(gateways, servers, True)
+        row["us_whole"] = measure_cost(gateways, servers, False)
         rows.append(row)
-    if chosen.json:
+    if options.json:
         print(json.dumps(rows))
         return 0
     print(
-        "| gateways | servers | cover, least mean most | changes by due | us | us, all in reach |"
+        "| gateways | servers | gateways per server, least mean most | changes / necessary "
+        "| us | us, all servers |"
     )
     print("| --- | --- | --- | --- | --- | --- |")
     for r in rows:
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,9 +1,9 @@
-"""What a route lookup costs, by the number of routes.
+"""The cost of a route lookup by the number of routes.
 
     python benchmarks/routes.py [--json]
 
 Three tables of each size: by path, by host, and by a header's value at one path. Prints
-microseconds a lookup, the time to build the table and to look for ties. Exit code 0.
+microseconds per lookup and the time to build the table and to find ties. Exit code 0.
 """
 
 from __future__ import annotations
@@ -40,20 +40,20 @@
 def measure(make: Callable[[int], tuple[Match, RouteQuery]], size: int) -> dict[str, float]:
     pairs = [make(i) for i in range(size)]
     routes = [Route(f"r{i}", match, "c", (("p", 1.0),)) for i, (match, _) in enumerate(pairs)]
-    started = time.perf_counter()
+    started_at = time.perf_counter()
     table = Routes(routes)
-    built = time.perf_counter()
+    built_at = time.perf_counter()
     assert not list(tied(routes))
-    looked = time.perf_counter()
-    asked = [pair[1] for pair in random.Random(1).choices(pairs, k=LOOKUPS)]
-    begun = time.perf_counter()
-    for one in asked:
+    ties_found_at = time.perf_counter()
+    queries = [pair[1] for pair in random.Random(1).choices(pairs, k=LOOKUPS)]
+    lookups_started_at = time.perf_counter()
+    for one in queries:
         table.find(one)
-    ended = time.perf_counter()
+    lookups_ended_at = time.perf_counter()
     return {
-        "lookup_us": (ended - begun) / LOOKUPS * 1e6,
-        "build_ms": (built - started) * 1e3,
-        "ties_ms": (looked - built) * 1e3,
+        "lookup_us": (lookups_ended_at - lookups_started_at) / LOOKUPS * 1e6,
+        "build_ms": (built_at - started_at) * 1e3,
+        "ties_ms": (ties_found_at - built_at) * 1e3,
     }
 
 
@@ -61,15 +61,15 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
-    found = {
+    results = {
         f"{make.__name__} {size}": measure(make, size)
         for make in (by_path, by_host, by_header)
         for size in SIZES
     }
     if options.json:
-        print(json.dumps(found))
+        print(json.dumps(results))
         return 0
-    for name, values in found.items():
+    for name, values in results.items():
         print(f"{name:18}", "  ".join(f"{k}={v:.2f}" for k, v in values.items()))
     return 0
 
--- a/benchmarks/state_difference.py
+++ b/benchmarks/state_difference.py
@@ -1,23 +1,23 @@
-"""What one change of the state costs, by the size of the state: plan, check, encode, read, keep.
+"""The cost of a state change by the size of the state: plan, check, encode, read, store.
 
     python benchmarks/state_difference.py [--sizes 1600 8000 16000] [--repeats 3] [--json]
     python benchmarks/state_difference.py --root CHECKOUT ...
 
 Sizes are numbers of nodes; routes, tenants and pools are in proportion to the full size (16,000
 nodes, 7,500 routes, 150,000 tenants, 280 pools). Two changes are made to each: one weight, and all
-weights of one pool. Figures are milliseconds of processor time, the median of the repeats; time
-that waits for the disk is not in them. `--root` measures another checkout by the same script: one
-from before the page trees is measured by what it has in their place. Exit code 0.
+weights of one pool. Figures are milliseconds of processor time, the median of the repeats; waiting
+for the disk is not included. `--root` measures another checkout with the same script; one without
+page trees is measured with the whole state as the tier's content. Exit code 0.
 
-    plan           `sailhitch plan`: live state and wanted state share nothing, as both were parsed
+    plan           `sailhitch plan`: live and wanted state share no objects, as both were parsed
     check          the gateway reads the plan and applies it to its live state
-    contradictions of the live state and the new one
-    summary        the switch's line of what changed
-    encode         whoever proposes: the new state as the tier's content
+    contradictions between the live state and the new one
+    summary        the log line on what changed
+    encode         the proposer: the new state as the tier's content
     read           every gateway: the new state from the tier's content
-    keep           the applied state on disk: prepare and commit
-    encode whole, read whole, keep whole: the same where there is no state before
-    new bytes      of content, packed, that the change brings
+    keep           storing the applied state on disk: prepare and commit
+    encode whole, read whole, keep whole: the same without a previous state
+    new bytes      of packed content that the change adds
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def state_of(nodes: int) -> State:
-    """A state with so many nodes, and the rest in proportion, as a checked file would give it."""
+    """Return a state, as from a checked file, with a number of nodes and the rest in proportion."""
     share = nodes / FULL["nodes"]
     counts = {kind: max(1, round(count * share)) for kind, count in FULL.items()}
     pools = counts["pools"]
@@ -97,7 +97,7 @@
 
 
 def with_weights(state: State, names: list[str], weight: float) -> State:
-    """Return the state with another weight for these nodes, sharing the rest."""
+    """Return the state with another weight for these nodes; the rest is shared with the old."""
     nodes = dict(state["nodes"])
     for name in names:
         nodes[name] = {**nodes[name], "weight": weight}
@@ -105,23 +105,23 @@
 
 
 class Timer:
-    """Processor time of named pieces of work, in milliseconds."""
+    """Measures the processor time of named operations in milliseconds."""
 
     def __init__(self) -> None:
-        self.taken: dict[str, list[float]] = {}
+        self.durations: dict[str, list[float]] = {}
 
     def run(self, name: str, work: Callable[[], Any]) -> Any:
         begun = time.process_time()
         result = work()
-        self.taken.setdefault(name, []).append((time.process_time() - begun) * 1e3)
+        self.durations.setdefault(name, []).append((time.process_time() - begun) * 1e3)
         return result
 
     def medians(self) -> dict[str, float]:
-        return {name: round(statistics.median(all_), 2) for name, all_ in self.taken.items()}
+        return {name: round(statistics.median(all_), 2) for name, all_ in self.durations.items()}
 
 
-class Whole:
-    """The contents of versions before the page trees: the whole state as canonical JSON."""
+class WholeStates:
+    """Contents as they were before page trees: the whole state as canonical JSON."""
 
     def __init__(self) -> None:
         from sailhitch.daemon import state
@@ -147,18 +147,18 @@
         return dict(json.loads(content))
 
 
-class Trees:
-    """Page trees, with all of their pages in memory."""
+class PageTrees:
+    """Contents as page trees, with all pages in memory."""
 
     def __init__(self) -> None:
         from sailhitch import pages
         from sailhitch.daemon import plan, state_tree
 
         self._pages, self._plan, self._module = pages, plan, state_tree
-        self._here: dict[str, bytes] = {}
+        self._packed_pages: dict[str, bytes] = {}
 
     def page(self, digest: str) -> bytes:
-        return bytes(self._pages.decompress(self._here[digest], self._pages.MAX_PAGE_BYTES))
+        return bytes(self._pages.decompress(self._packed_pages[digest], self._pages.MAX_PAGE_BYTES))
 
     def identity(self, state: State) -> str | None:
         return str(self._plan.identity(state))
@@ -171,7 +171,7 @@
 
     def add(self, content: Any) -> int:
         packed = {one: self._pages.compress(raw) for one, raw in content.pages.items()}
-        self._here.update(packed)
+        self._packed_pages.update(packed)
         return sum(map(len, packed.values()))
 
     def read(self, base: Any, base_state: State, content: Any) -> State:
@@ -182,7 +182,7 @@
 
 
 def measure(size: int, repeats: int) -> dict[str, dict[str, float]]:
-    """Milliseconds of each piece of work, for a change of one weight and of one pool's."""
+    """Return the milliseconds of each operation, for a change of one weight and of one pool's."""
     state = state_of(size)
     pool = sorted(name for name in state["nodes"] if name.startswith("service-0/"))
     return {
@@ -193,12 +193,12 @@
 
 def _measure_change(state: State, names: list[str], repeats: int) -> dict[str, float]:
     try:
-        contents: Any = Trees()
+        contents: Any = PageTrees()
     except ImportError:
-        contents = Whole()
+        contents = WholeStates()
     timer = Timer()
     with tempfile.TemporaryDirectory() as folder:
-        keeping = _Keeping(Path(folder), state, timer)
+        store = _StateStore(Path(folder), state, timer)
         base = timer.run("encode whole", lambda: contents.encode_whole(state))
         contents.add(base)
         timer.run("read whole", lambda: contents.read_whole(base))
@@ -210,29 +210,31 @@
             new_bytes = contents.add(content)
             read = timer.run("read", lambda one=content: contents.read(base, state, one))
             assert read == changed
-            keeping.keep(read)
-        keeping.close()
+            store.keep(read)
+        store.close()
     return {**timer.medians(), "new bytes": new_bytes}
 
 
 def _plan_and_check(
     state: State, names: list[str], weight: float, identity: str | None, timer: Timer
 ) -> State:
-    """Plan as the command does, and do the gateway's part of it; the new state."""
+    """Plan as the command does, check as the gateway does; return the new state."""
     from sailhitch.daemon.plan import check_base, diff, load_plan, make_plan, summary
     from sailhitch.daemon.rules import contradictions
 
-    told = () if identity is None else (identity,)
+    identities = () if identity is None else (identity,)
     live, wanted = copy.deepcopy(state), with_weights(copy.deepcopy(state), names, weight)
-    text = timer.run("plan", lambda: make_plan("tier t", 1, live, wanted, *told).dump())
-    made: State = timer.run("check", lambda: check_base(load_plan(text), "tier t", 1, state, *told))
+    text = timer.run("plan", lambda: make_plan("tier t", 1, live, wanted, *identities).dump())
+    made: State = timer.run(
+        "check", lambda: check_base(load_plan(text), "tier t", 1, state, *identities)
+    )
     timer.run("contradictions", lambda: contradictions(state, made))
     timer.run("summary", lambda: summary(diff(state, made)))
     return made
 
 
-class _Keeping:
-    """A store with the first state in it."""
+class _StateStore:
+    """A store on disk that holds the first state."""
 
     def __init__(self, folder: Path, state: State, timer: Timer) -> None:
         from sailhitch.daemon.store import AppliedState, Store, ignore_step
@@ -272,8 +274,8 @@
             if options.json:
                 print(json.dumps({"nodes": size, "change": change, **figures}), flush=True)
             else:
-                told = "  ".join(f"{name}={value:g}" for name, value in figures.items())
-                print(f"{size:6} nodes, {change}: {told}", flush=True)
+                text = "  ".join(f"{name}={value:g}" for name, value in figures.items())
+                print(f"{size:6} nodes, {change}: {text}", flush=True)
     return 0
 
 
--- a/benchmarks/tier_cpu.py
+++ b/benchmarks/tier_cpu.py
@@ -1,11 +1,11 @@
-"""What being in a tier costs: CPU of idle daemons, and of a request beside a daemon that is alone.
+"""The CPU cost of a tier: of idle daemons, and of a request compared with a standalone daemon.
 
     python -m benchmarks.tier_cpu [--members 5,25] [--seconds 20] [--requests 6000] [--turns 5]
         [--json]
 
-Idle: so many real daemons with nobody asking, their CPU over the time, by /proc. Requests: one
-client that asks one after the other, at a member of a tier of three and at a daemon that is alone,
-in turns; microseconds of the daemon's CPU a request, with what it uses when idle taken off.
+Idle: the CPU use of each of so many real daemons without clients, from /proc. Requests: one client
+sends sequential requests to a member of a tier of three and to a standalone daemon in turn; the
+microseconds of the daemon's CPU per request, less what it uses when idle.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from sailhitch.lab.tier import Lab
 
 
-def cpu(gateway: GatewayProcess) -> float:
-    """Seconds of CPU that a daemon has used so far, of all its threads.
+def cpu_seconds(gateway: GatewayProcess) -> float:
+    """Return the seconds of CPU that all threads of a daemon have used.
 
-    By the scheduler's own count (proc(5), schedstat): what `stat` tells is sampled at the system's
-    ticks, which timers of the daemon's own fall together with.
+    From the scheduler's accounting (schedstat in proc(5)): `stat` is sampled at the system's ticks,
+    with which the daemon's own timers coincide.
     """
     assert gateway.program is not None
     tasks = Path(f"/proc/{gateway.program.pid}/task").glob("*/schedstat")
@@ -37,37 +37,37 @@
 
 
 async def idle(members: int, seconds: float) -> list[float]:
-    """Return the part of a core that each daemon of an idle tier uses."""
+    """Return the share of a core that each daemon of an idle tier uses."""
     scenario = Scenario(name="idle", gateways=members, clients=0, voters=min(5, members))
     with tempfile.TemporaryDirectory(prefix="sailhitch-") as folder:
         lab = Lab(scenario, Path(folder), lambda text: None)
         try:
             await lab.start()
             await asyncio.sleep(2.0)
-            before = [cpu(one) for one in lab.gateways.values()]
+            before = [cpu_seconds(one) for one in lab.gateways.values()]
             await asyncio.sleep(seconds)
-            after = [cpu(one) for one in lab.gateways.values()]
+            after = [cpu_seconds(one) for one in lab.gateways.values()]
         finally:
             await lab.stop()
     return [(b - a) / seconds for a, b in zip(before, after, strict=True)]
 
 
-async def asked(gateway: GatewayProcess, requests: int) -> float:
-    """Microseconds of CPU a request, one after the other."""
+async def measure_requests(gateway: GatewayProcess, requests: int) -> float:
+    """Send sequential requests; return the microseconds of CPU per request."""
     loop = asyncio.get_running_loop()
     line = await dial(gateway.addr)
-    before, began = cpu(gateway), loop.time()
+    before, began = cpu_seconds(gateway), loop.time()
     for i in range(requests):
         await line.ask(build("POST", "/payouts/new", [("Req-Id", f"b{i}-{began}")], b"x"), 5.0)
-    used, took = cpu(gateway) - before, loop.time() - began
+    used, took = cpu_seconds(gateway) - before, loop.time() - began
     line.close()
-    before = cpu(gateway)
+    before = cpu_seconds(gateway)
     await asyncio.sleep(took)
-    return (used - (cpu(gateway) - before)) / requests * 1e6
+    return (used - (cpu_seconds(gateway) - before)) / requests * 1e6
 
 
 async def requests(count: int, turns: int) -> dict[str, list[float]]:
-    """CPU a request at a member of a tier and at a daemon that is alone, in turns."""
+    """Return the CPU per request of a member of a tier and of a standalone daemon, in turn."""
     scenario = Scenario(name="requests", gateways=3, clients=0)
     with tempfile.TemporaryDirectory(prefix="sailhitch-") as folder:
         lab = Lab(scenario, Path(folder), lambda text: None)
@@ -76,22 +76,22 @@
             await lab.start()
             member = lab.gateways["g1"]
             value = {k: v for k, v in member.value.items() if k != "tier"}
-            here = Path(folder) / "alone"
-            here.mkdir()
+            folder_alone = Path(folder) / "alone"
+            folder_alone.mkdir()
             port = free_port()
             value["gateway"] = {
                 **value["gateway"],
-                "state_dir": str(here / "s"),
-                "admin": str(here / "admin.sock"),
+                "state_dir": str(folder_alone / "s"),
+                "admin": str(folder_alone / "admin.sock"),
             }
             value["listeners"] = [{"name": "web", "address": f"127.0.0.1:{port}"}]
-            alone = GatewayProcess("alone", here, value, port)
+            alone = GatewayProcess("alone", folder_alone, value, port)
             await alone.start()
             await asyncio.sleep(2.0)
             found: dict[str, list[float]] = {"alone": [], "tier": []}
             for _ in range(turns):
-                found["alone"].append(await asked(alone, count))
-                found["tier"].append(await asked(member, count))
+                found["alone"].append(await measure_requests(alone, count))
+                found["tier"].append(await measure_requests(member, count))
             return found
         finally:
             if alone is not None:
@@ -100,7 +100,7 @@
 
 
 def main() -> None:
-    """Print both."""
+    """Print the CPU use of idle daemons, and that of requests."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--members", default="5,25")
     parser.add_argument("--seconds", type=float, default=20.0)
@@ -114,14 +114,14 @@
         found[f"idle {members}"] = parts
         if not options.json:
             mean, most = statistics.mean(parts), max(parts)
-            print(f"{members} idle: {mean:.2%} of a core each, {most:.2%} at the most", flush=True)
-    said = asyncio.run(requests(options.requests, options.turns))
+            print(f"{members} idle: {mean:.2%} of a core each, at most {most:.2%}", flush=True)
+    by_daemon = asyncio.run(requests(options.requests, options.turns))
     if options.json:
-        print(json.dumps({**found, **said}))
+        print(json.dumps({**found, **by_daemon}))
         return
-    for name, values in said.items():
+    for name, values in by_daemon.items():
         text = ", ".join(f"{one:.0f}" for one in values)
-        print(f"{name}: {statistics.median(values):.0f} us a request ({text})")
+        print(f"{name}: {statistics.median(values):.0f} us per request ({text})")
 
 
 if __name__ == "__main__":
--- a/benchmarks/tier_processes.py
+++ b/benchmarks/tier_processes.py
@@ -1,11 +1,12 @@
-"""How long a change takes between real daemons, and what it holds back, on this machine.
+"""The duration of changes between real daemons on this machine, and the requests they delay.
 
     python -m benchmarks.tier_processes [--members 5,25] [--changes 10] [--json]
 
-For each size: a tier of so many daemons with a client each; bans and unbans of one node, asked of
-one member after the other. Seconds from the command to its "active"; requests held back in all and
-of how many; the longest that a node got anything after its ban was told; then all daemons killed
-and started at once, seconds until all are in.
+For each size: a tier of so many daemons with one client each, in which a node is banned and
+unbanned by requests to the members in turn. Reports the seconds from a command to its "active", the
+requests held back and the total, the longest time for which a node received requests after its ban
+was reported active, and the seconds until all daemons agree after all were killed and restarted at
+once.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
 from sailhitch.lab.tier import Lab
 
 
-async def play(members: int, changes: int) -> dict[str, Any]:
-    """One tier; raises ScenarioError where it does not come to rest."""
+async def run_tier(members: int, changes: int) -> dict[str, Any]:
+    """Run one tier; raises ScenarioError if it does not settle."""
     scenario = Scenario(
         name="changes", gateways=members, clients=1, voters=min(5, members), agree_within="15s"
     )
@@ -32,12 +33,12 @@
         lab = Lab(scenario, Path(folder), lambda text: None)
         try:
             await lab.start()
-            return await _changes(lab, changes)
+            return await _run_changes(lab, changes)
         finally:
             await lab.stop()
 
 
-async def _changes(lab: Lab, changes: int) -> dict[str, Any]:
+async def _run_changes(lab: Lab, changes: int) -> dict[str, Any]:
     loop = asyncio.get_running_loop()
     began, names = loop.time(), lab.names
     for gateway in lab.gateways.values():
@@ -47,7 +48,7 @@
         await lab.do(StepPart(at=0, do=act, who=[names[i % len(names)]], node="n2", ends="active"))
         await lab.do(StepPart(at=0, do="await"))
         await lab.do(StepPart(at=0, do="agree"))
-    said = await asyncio.gather(*(one.status() for one in lab.gateways.values()))
+    statuses = await asyncio.gather(*(one.status() for one in lab.gateways.values()))
     await asyncio.gather(*(load.finish() for load in lab.loads.values()))
     Judge(lab.result, lab.nodes, lab.gateways, lab.loads).judge(began, loop.time())
     assert not lab.result.broken, lab.result.broken
@@ -59,7 +60,7 @@
     await lab.do(StepPart(at=0, do="agree"))
     return {
         "took": took,
-        "held_back": sum(one["held_back"] for one in said),
+        "held_back": sum(one["held_back"] for one in statuses),
         "requests": sum(load.asked for load in lab.loads.values()),
         "contradiction": lab.result.late,
         "restart": loop.time() - since,
@@ -67,23 +68,23 @@
 
 
 def main() -> None:
-    """Print a line for each size."""
+    """Print the results of each size in one line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--members", default="5,25")
     parser.add_argument("--changes", type=int, default=10)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
     for members in map(int, options.members.split(",")):
-        found = asyncio.run(play(members, options.changes))
+        results = asyncio.run(run_tier(members, options.changes))
         if options.json:
-            print(json.dumps({"members": members, **found}), flush=True)
+            print(json.dumps({"members": members, **results}), flush=True)
             continue
         print(
             f"{members} daemons, {options.changes} changes: active after "
-            f"{statistics.median(found['took']):.2f} s ({max(found['took']):.2f} at the most); "
-            f"{found['held_back']} of {found['requests']} requests held back; a contradiction "
-            f"lasted {found['contradiction'] * 1000:.0f} ms; all killed, in again after "
-            f"{found['restart']:.2f} s",
+            f"{statistics.median(results['took']):.2f} s (at most {max(results['took']):.2f}); "
+            f"{results['held_back']} of {results['requests']} requests held back; a contradiction "
+            f"lasted {results['contradiction'] * 1000:.0f} ms; all killed, in agreement again "
+            f"after {results['restart']:.2f} s",
             flush=True,
         )
 
--- a/benchmarks/tier_seeds.py
+++ b/benchmarks/tier_seeds.py
@@ -1,9 +1,9 @@
-"""Plays many seeds of random faults on a modelled tier; prints each violation with its scenario.
+"""Plays many random scenarios of faults on a modelled tier; prints violations and scenarios.
 
     python -m benchmarks.tier_seeds [--from 0] [--seeds 20000] [--jobs 4] [--death]
 
-With `--death` a member dies for good in each scenario. Exits 1 if a promise was broken. The
-tests play the first 200, and the first 100 with a death.
+With `--death` a member dies for good in each scenario. Exits 1 if a promise was broken. The tests
+play the first 200 seeds, and the first 100 with a death.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 def play(seed: int) -> tuple[int, str | None]:
-    """Return a seed, and the promise that its scenario breaks."""
+    """Play a seed's scenario; return the seed and the violation, if any."""
     return seed, find_violation(draw_scenario(seed))
 
 
 def play_with_death(seed: int) -> tuple[int, str | None]:
-    """Return the same for the scenario in which a member dies for good."""
+    """Do the same with the seed's scenario in which a member dies for good."""
     return seed, find_violation(draw_scenario_with_death(seed))
 
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,12 +1,12 @@
-"""How soon a fleet leaves a zone that is gone, and whether it leaves one that is not, in the model.
+"""How soon a fleet leaves a failed zone, and whether it leaves a working one, in the model.
 
     python -m benchmarks.zones [--members 9,25] [--seeds 20] [--loss 0,0.1] [--false 1000]
 
-Times are virtual seconds from the failure: until the first gateway uses nothing of the zone, until
-the last does; from the end of the failure until the zone is in use as a whole again. `--false`
-plays so many times twenty seconds in which nobody may leave: gateways that see all fail (up to a
-third of them), gateways whose every second request fails, a zone in which a tenth to a sixth of the
-requests fail, members that pause. Exits 1 where a zone was left.
+Times are virtual seconds: from the failure until the first gateway has stopped using the zone,
+until the last has, and from the end of the failure until the whole zone is in use again. `--false`
+is the number of runs of twenty seconds in which no gateway may leave a zone: with up to a third of
+the gateways seeing all requests fail or every second one, with a zone in which a tenth to a sixth
+of the requests fail, or with members that pause. Exits 1 if a zone was left.
 """
 
 from __future__ import annotations
@@ -22,69 +22,72 @@
 from sailhitch.model.tier import World
 from sailhitch.zones.controller import ZoneController
 
-S = 1_000_000
+SECOND = 1_000_000
 NODES = {str(i): f"z{i % 3}" for i in range(30)}
-Saw = Callable[[str, bool, bool, int], None]
+Record = Callable[[str, bool, bool, int], None]
 
 
-def fleet(members: int, seed: int, loss: float) -> World:
-    """A tier in three zones that has come to rest, with `act`."""
+def settled_fleet(members: int, seed: int, loss: float) -> World:
+    """Return a settled tier in three zones whose members leave failed zones (`act`)."""
     world = World(
         seed,
         members,
         min(5, members),
         beat=100_000,
-        write_interval=S // 25,
+        write_interval=SECOND // 25,
         first=range(30),
         acts=30,
         zones=NODES,
-        step=2 * S,
+        step=2 * SECOND,
         act=True,
     )
     world.network.loss = loss
     world.start()
-    world.kernel.run(15 * S)
+    world.kernel.run(15 * SECOND)
     return world
 
 
-def out(world: World, zone: str) -> list[bool]:
-    """Of each gateway, whether it uses nothing of a zone."""
+def has_left(world: World, zone: str) -> list[bool]:
+    """Return for each gateway whether it uses no node of a zone."""
     here = {name for name, its in NODES.items() if its == zone}
     return [here <= process.inactive_nodes for process in world.processes.values()]
 
 
-def leave(members: int, loss: float, seed: int) -> tuple[float, float, float]:
-    """First, last, and back again; raises AssertionError where that takes over two minutes."""
-    world = fleet(members, seed, loss)
+def measure_leaving(members: int, loss: float, seed: int) -> tuple[float, float, float]:
+    """Fail a zone; return the seconds until the first and the last left it, and until it is back.
+
+    Raises AssertionError if leaving takes over two minutes, or the return over five.
+    """
+    world = settled_fleet(members, seed, loss)
     began, first, last = world.kernel.now, 0, 0
     world.failed_zones.add("z2")
     while not last:
-        world.kernel.run(world.kernel.now + S // 50)
-        gone = out(world, "z2")
+        world.kernel.run(world.kernel.now + SECOND // 50)
+        gone = has_left(world, "z2")
         first = first or (world.kernel.now if any(gone) else 0)
         last = world.kernel.now if all(gone) else 0
-        assert world.kernel.now < began + 120 * S, f"{members} members, seed {seed}: not left"
+        assert world.kernel.now < began + 120 * SECOND, f"{members} members, seed {seed}: not left"
     world.failed_zones.clear()
     since = world.kernel.now
     while any(process.inactive_nodes for process in world.processes.values()):
-        world.kernel.run(world.kernel.now + S // 10)
-        assert world.kernel.now < since + 300 * S, f"{members} members, seed {seed}: not back"
-    return (first - began) / S, (last - began) / S, (world.kernel.now - since) / S
+        world.kernel.run(world.kernel.now + SECOND // 10)
+        assert world.kernel.now < since + 300 * SECOND, f"{members} members, seed {seed}: not back"
+    return (first - began) / SECOND, (last - began) / SECOND, (world.kernel.now - since) / SECOND
 
 
-def _worse(real: Saw, rng: random.Random, part: float, zone: str) -> Saw:
-    def saw(node: str, failed: bool, full: bool, now: int) -> None:
+def _with_failures(real: Record, rng: random.Random, part: float, zone: str) -> Record:
+    def record_with_failures(node: str, failed: bool, full: bool, now: int) -> None:
         here = not zone or NODES[node] == zone
         real(node, failed or (here and rng.random() < part), full, now)
 
-    return saw
+    return record_with_failures
 
 
-def calm(seed: int) -> str:
-    """One play in which nobody may leave; what was left, and in what."""
+def run_without_leaving(seed: int) -> str:
+    """Run a fault in which no zone may be left; return the zones left and the fault, or ""."""
     rng = random.Random(seed)
     kind = ("sick", "half", "gray", "pause")[seed % 4]
-    world = fleet(9, seed, rng.choice([0.0, 0.1, 0.3]))
+    world = settled_fleet(9, seed, rng.choice([0.0, 0.1, 0.3]))
     controllers: dict[str, ZoneController] = {
         n: p.controller for n, p in world.processes.items() if p.controller is not None
     }
@@ -94,13 +97,13 @@
         if kind == "gray":
             part, zone = rng.uniform(0.1, 0.17), "z1"
         if kind == "gray" or (kind in ("sick", "half") and name in chosen):
-            controller.record = _worse(controller.record, rng, part, zone)  # type: ignore[method-assign]
+            controller.record = _with_failures(controller.record, rng, part, zone)  # type: ignore[method-assign]
     if kind == "pause":
         for name in chosen:
             process = world.processes[name]
             process.pause()
-            world.kernel.after(rng.randrange(S, 10 * S), process.resume)
-    world.kernel.run(world.kernel.now + 20 * S)
+            world.kernel.after(rng.randrange(SECOND, 10 * SECOND), process.resume)
+    world.kernel.run(world.kernel.now + 20 * SECOND)
     left = sorted(
         {zone for controller in controllers.values() for zone in controller.traffic_policy.zones}
     )
@@ -108,31 +111,35 @@
 
 
 def main() -> int:
-    """Print a line for each size and loss; returns the exit code."""
+    """Print a line for each size and loss; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--members", default="9,25")
     parser.add_argument("--loss", default="0,0.1")
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--false", dest="calm", type=int, default=1000)
+    parser.add_argument("--false", dest="fault_runs", type=int, default=1000)
     parser.add_argument("--jobs", type=int, default=6)
     options = parser.parse_args()
     with ProcessPoolExecutor(options.jobs) as pool:
         for members in map(int, options.members.split(",")):
             for loss in map(float, options.loss.split(",")):
-                play = functools.partial(leave, members, loss)
-                first, last, back = zip(*pool.map(play, range(options.seeds)), strict=True)
-                apart = [b - a for a, b in zip(first, last, strict=True)]
+                play = functools.partial(measure_leaving, members, loss)
+                first, last, returned = zip(*pool.map(play, range(options.seeds)), strict=True)
+                differences = [b - a for a, b in zip(first, last, strict=True)]
                 print(
                     f"{members} members, loss {loss:g}, {options.seeds} seeds: last out after "
-                    f"{statistics.median(last):.2f} s ({max(last):.2f} at the most), first and "
-                    f"last {statistics.median(apart):.2f} s apart ({max(apart):.2f}), back "
-                    f"after {statistics.median(back):.1f} s ({max(back):.1f})",
+                    f"{statistics.median(last):.2f} s (at most {max(last):.2f}), first and "
+                    f"last {statistics.median(differences):.2f} s apart ({max(differences):.2f}), "
+                    f"back after {statistics.median(returned):.1f} s ({max(returned):.1f})",
                     flush=True,
                 )
-        wrong = [said for said in pool.map(calm, range(options.calm), chunksize=4) if said]
-    print(f"{options.calm} plays in which nobody may leave, {len(wrong)} broken")
-    print("\n".join(wrong[:10]))
-    return 1 if wrong else 0
+        failures = [
+            failure
+            for failure in pool.map(run_without_leaving, range(options.fault_runs), chunksize=4)
+            if failure
+        ]
+    print(f"{options.fault_runs} runs in which no zone may be left, {len(failures)} failed")
+    print("\n".join(failures[:10]))
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
