--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""Tests that fail for a real fault that is not mended yet, as `KNOWN-RED.txt` lists them.
+"""Tests that fail because of a known fault that is not fixed yet, listed in `KNOWN-RED.txt`.
 
-A line has the test's identifier, the command and seed that show the fault, what was seen, and the
-issue, separated by ` | `; empty lines and those that begin with `#` are comments. Such a test is
-expected to fail: it runs, the run passes over its failure and prints it, and a run in which it
-passes fails, so that the line is taken out.
+A line has the test's identifier, the command and seed that reproduce the fault, what was seen, and
+the issue, separated by ` | `; empty lines and those that begin with `#` are ignored. A listed test
+still runs, but is expected to fail: its failure is printed and does not fail the run. If it passes,
+the run fails, so that the line is removed.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class KnownRedError(ValueError):
-    """The list can't be used; the text names the line."""
+    """The list is invalid; the message says why and, for a malformed line, which."""
 
 
 class KnownRed(NamedTuple):
     """A test that is expected to fail."""
 
-    test: str  # pytest's identifier of it, from the root
-    command: str  # with its seed
+    test: str  # pytest's node id, relative to the root
+    command: str  # reproduces the fault, with its seed
     seen: str
     issue: str
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Read the list; raises KnownRedError."""
+    """Parse the list; raises KnownRedError."""
     found: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip() or line.startswith("#"):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests whose failure is passed over: what it may hold, and what it does."""
+"""The list of tests that are expected to fail: its format, and its effect on a run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.known_red import FILE, KnownRed, KnownRedError, load, parse
 
 ROOT = Path(__file__).parent.parent
-PLAYED = """
+TESTS = """
 def test_red():
     assert False
 
@@ -42,19 +42,19 @@
         parse(text)
 
 
-def test_what_the_list_names_is_there() -> None:
+def test_listed_tests_exist() -> None:
     for one in load(FILE):
         path, _, test = one.test.partition("::")
         assert f"def {test.partition('[')[0]}(" in (ROOT / path).read_text()
 
 
 def _play(folder: Path, listed: str) -> subprocess.CompletedProcess[str]:
-    """Run two tests, of which one fails, beside a list."""
+    """Run two tests, of which one fails, with a list that names one test."""
     tests = folder / "tests"
     tests.mkdir()
     for name in ("__init__.py", "conftest.py", "known_red.py"):
         shutil.copy(ROOT / "tests" / name, tests / name)
-    (tests / "test_played.py").write_text(PLAYED)
+    (tests / "test_played.py").write_text(TESTS)
     (folder / "KNOWN-RED.txt").write_text(
         f"tests/test_played.py::{listed} | play 3 | a fault | issue 7\n"
     )
@@ -64,7 +64,7 @@
     )
 
 
-def test_a_listed_failure_is_passed_over_and_printed(tmp_path: Path) -> None:
+def test_a_listed_failure_is_printed_and_does_not_fail_the_run(tmp_path: Path) -> None:
     played = _play(tmp_path, "test_red")
     assert played.returncode == 0, played.stdout
     assert "known red: tests/test_played.py::test_red: a fault: play 3 (issue 7)" in played.stdout
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports run one way, so that a new front or transport is a new module and a line of wiring."""
+"""Imports go in one direction, so that a new front or transport needs only a module and wiring."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent / "sailhitch"
-# Each may import those to its left, and its own parts.
+# Each layer may import itself and those to its left.
 LAYERS = ("policy_interface", "settings", "reach", "policy", "front", "core", "net")
 
 
 def _imports(path: Path) -> set[str]:
-    """The parts of the program that a module imports, also for types alone."""
+    """Return the top-level parts of the program that a module imports, also for types only."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level:
@@ -33,9 +33,9 @@
         assert _imports(path) <= below, path.name
 
 
-def test_the_modules_files_import_only_those_before_them() -> None:
+def test_the_files_of_policy_import_only_those_listed_before_them() -> None:
     text = (ROOT / "policy/__init__.py").read_text()
-    order = re.findall(r"^    (\w+)  ", text, re.MULTILINE)  # as the package's own page has them
+    order = re.findall(r"^    (\w+)  ", text, re.MULTILINE)  # as listed in the package's docstring
     assert sorted(order) == sorted(p.stem for p in (ROOT / "policy").glob("[a-z]*.py"))
     for i, name in enumerate(order):
         tree = ast.parse((ROOT / f"policy/{name}.py").read_text())
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(("part", "more"), [("control", ()), ("handover", ("net",))])
-def test_what_is_loaded_when_asked_for_imports_only_what_is_below_it(
+def test_parts_loaded_on_demand_import_only_what_is_below_them(
     part: str, more: tuple[str, ...]
 ) -> None:
     for path in sorted((ROOT / part).glob("*.py")):
@@ -60,7 +60,7 @@
         ("model", ("pages", "tier", "zones")),
     ],
 )
-def test_the_tier_knows_nothing_of_the_gateway(part: str, more: tuple[str, ...]) -> None:
+def test_the_tier_imports_nothing_of_the_gateway(part: str, more: tuple[str, ...]) -> None:
     paths = sorted((ROOT / part).glob("*.py"))
     assert paths
     for path in paths:
@@ -77,7 +77,7 @@
             assert used <= set(sys.stdlib_module_names), path.name
 
 
-def test_no_source_of_states_knows_another_and_the_switch_knows_none() -> None:
+def test_state_sources_do_not_import_each_other_nor_the_applier_any_source() -> None:
     names = {
         "state_applier": {"source", "tier_source", "tier_link", "rules"},
         "source": {"tier_source", "tier_link", "rules"},
@@ -88,7 +88,7 @@
         assert not used & others, name
 
 
-def test_the_platforms_line_loads_nothing_that_it_does_not_use() -> None:
+def test_the_platforms_gateway_loads_only_what_it_uses() -> None:
     code = (
         "import sys, sailhitch.__main__\n"
         "print(*sorted(m for m in sys.modules if m.startswith('sailhitch.')))\n"
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,6 +1,6 @@
-"""A loop whose clock is the test's: it stands while anything happens, and jumps when nothing does.
+"""An event loop in virtual time: its clock stands still during work and jumps to the next timer.
 
-For peers over loopback in one process. A test that says how long something takes says it exactly,
+For tests whose peers communicate over loopback in one process. Durations in such a test are exact,
 however busy the machine is.
 """
 
@@ -12,12 +12,12 @@
 from typing import Any
 from unittest import mock
 
-# Nothing has come for so long (real s): what the kernel was given has been delivered.
+# Real seconds without input after which the kernel has delivered all that was sent.
 QUIET = 0.0005
 
 
 class _Selector(selectors.DefaultSelector):
-    """Waits for sockets for a moment only, then lets the clock jump."""
+    """Waits for sockets only briefly, then advances the clock by the timeout."""
 
     jumped = 0.0
 
@@ -40,17 +40,17 @@
 
 
 async def eventually(condition: Callable[[], bool]) -> None:
-    """Wait for a condition, for a virtual minute at the most; tells to a hundredth of a second."""
+    """Wait for a condition, at most a virtual minute; checks it every hundredth of a second."""
     async with asyncio.timeout(60.0):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-def play(story: Coroutine[Any, Any, None]) -> None:
-    """Run it by a clock of its own, which starts at 0."""
+def play(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a coroutine with a virtual clock that starts at 0."""
     with asyncio.Runner(loop_factory=_Loop) as runner:
         loop = runner.get_loop()
-        # The gateway's own clock is the same one.
+        # The gateway's clock follows the loop's.
         clock = mock.Mock(side_effect=lambda: int((1000.0 + loop.time()) * 1e9))
         with mock.patch("time.monotonic_ns", clock):
-            runner.run(story)
+            runner.run(scenario)
