--- a/benchmarks/pages.py
+++ b/benchmarks/pages.py
@@ -146,7 +146,7 @@
     source = CountingSource(tree.pages)
     read_time, _ = least_time(1, lambda: sum(1 for _ in read_entries(source, tree.root)))
     whole = dump({f"{key.group}\0{key.name}": value.decode() for key, value in entries.items()})
-    found: dict[str, Any] = {
+    figures: dict[str, Any] = {
         "scale": scale,
         "leaf_size": leaf_size,
         "entries": len(entries),
@@ -161,11 +161,11 @@
     if memory:
         tracemalloc.start()
         build(entries, leaf_size)
-        found["build_peak_bytes"] = tracemalloc.get_traced_memory()[1]
+        figures["build_peak_bytes"] = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
     for name, changes in make_changes(scale).items():
-        found["changes"][name] = measure_change(tree.root, tree.pages, changes, leaf_size, runs)
-    return found
+        figures["changes"][name] = measure_change(tree.root, tree.pages, changes, leaf_size, runs)
+    return figures
 
 
 def measure_change(
@@ -192,15 +192,16 @@
     }
 
 
-def show(found: dict[str, Any]) -> None:
+def print_figures(figures: dict[str, Any]) -> None:
     print(
-        f"scale {found['scale']}, leaf size {found['leaf_size']}: {found['entries']} entries, "
-        f"{found['pages']} pages, {found['raw_bytes']} bytes raw, {found['packed_bytes']} packed "
-        f"(whole content packed {found['whole_packed_bytes']}), build {found['build_ms']} ms, "
-        f"read and verify {found['read_ms']} ms"
-        + (f", peak {found['build_peak_bytes']} bytes" if "build_peak_bytes" in found else "")
+        f"scale {figures['scale']}, leaf size {figures['leaf_size']}: "
+        f"{figures['entries']} entries, {figures['pages']} pages, "
+        f"{figures['raw_bytes']} bytes raw, {figures['packed_bytes']} packed "
+        f"(whole content packed {figures['whole_packed_bytes']}), build {figures['build_ms']} ms, "
+        f"read and verify {figures['read_ms']} ms"
+        + (f", peak {figures['build_peak_bytes']} bytes" if "build_peak_bytes" in figures else "")
     )
-    for name, change in found["changes"].items():
+    for name, change in figures["changes"].items():
         print(
             f"  {name}: {change['entries']} entries, {change['new_pages']} pages, "
             f"{change['packed_bytes']} bytes packed; update {change['update_ms']} ms, "
@@ -225,7 +226,7 @@
         for leaf_size in options.leaf_size:
             results.append(measure(scale, leaf_size, options.runs, options.memory))
             if not options.json:
-                show(results[-1])
+                print_figures(results[-1])
     if options.json:
         print(json.dumps(results, indent=1))
 
