--- a/benchmarks/pages.py
+++ b/benchmarks/pages.py
@@ -1,13 +1,13 @@
-"""Trees of pages by leaf size: bytes stored, bytes of a change, time to build, update and compare.
+"""Page trees by leaf size: bytes stored, bytes per change, time to build, update and compare.
 
     python benchmarks/pages.py [--scale 0.1 0.25 0.5 1] [--leaf-size 16384 32768] [--json]
 
 A state of scale 1 has 16,000 nodes in 280 services, 7,500 routes and 150,000 tenants, each an
 entry with its JSON as the operator file's models dump them. Three changes are made to it: the
 weight of one node, the weight of all nodes of one service, and the limits of one tenant. Bytes are
-those of packed pages; times are processor time, the least of a few runs (`--runs`), and include
-reading the pages, unpacked, from a mapping in memory. `--memory` adds the peak of a build beside
-its entries.
+those of packed pages. Times are processor time, the shortest of a few runs (`--runs`), and include
+reading the unpacked pages from a dict. `--memory` adds the peak memory of a build, without that of
+the entries.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class CountingSource:
-    """Pages in memory that counts what is read."""
+    """A page source in memory that counts reads."""
 
     def __init__(self, pages: Mapping[str, bytes]) -> None:
         self.pages = dict(pages)
@@ -89,7 +89,7 @@
 
 
 def tenant_value(number: int, rate: int) -> bytes:
-    """A tenant as the file has it today, and the limits that it will have."""
+    """Return a tenant as the file has it today, plus the limits that it is to have."""
     part = TenantPart(name=f"tenant-{number:06}", share=round(1 / (number + 1), 9) or 1e-9)
     limits = {"rate": rate, "burst": rate * 2, "concurrency": 8 + number % 57}
     return dump(part.model_dump(mode="json") | {"limits": limits})
@@ -127,7 +127,7 @@
 
 
 def least_time(runs: int, act: Callable[[], Result]) -> tuple[float, Result]:
-    """Milliseconds of processor time, and the last result."""
+    """Return the shortest processor time in milliseconds, and the last result."""
     times = []
     for _ in range(runs):
         start = time.process_time()
@@ -146,7 +146,7 @@
     source = CountingSource(tree.pages)
     read_time, _ = least_time(1, lambda: sum(1 for _ in read_entries(source, tree.root)))
     whole = dump({f"{key.group}\0{key.name}": value.decode() for key, value in entries.items()})
-    found: dict[str, Any] = {
+    figures: dict[str, Any] = {
         "scale": scale,
         "leaf_size": leaf_size,
         "entries": len(entries),
@@ -161,11 +161,11 @@
     if memory:
         tracemalloc.start()
         build(entries, leaf_size)
-        found["build_peak_bytes"] = tracemalloc.get_traced_memory()[1]
+        figures["build_peak_bytes"] = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
     for name, changes in make_changes(scale).items():
-        found["changes"][name] = measure_change(tree.root, tree.pages, changes, leaf_size, runs)
-    return found
+        figures["changes"][name] = measure_change(tree.root, tree.pages, changes, leaf_size, runs)
+    return figures
 
 
 def measure_change(
@@ -180,7 +180,7 @@
         runs, lambda: list(difference(source, root, updated.root))
     )
     if {change.key for change in differing} != changes.keys():
-        raise AssertionError("the difference is not what was changed")
+        raise AssertionError("the difference does not match the changes made")
     return {
         "entries": len(changes),
         "new_pages": len(updated.pages),
@@ -192,15 +192,16 @@
     }
 
 
-def show(found: dict[str, Any]) -> None:
+def print_figures(figures: dict[str, Any]) -> None:
     print(
-        f"scale {found['scale']}, leaf size {found['leaf_size']}: {found['entries']} entries, "
-        f"{found['pages']} pages, {found['raw_bytes']} bytes raw, {found['packed_bytes']} packed "
-        f"(whole content packed {found['whole_packed_bytes']}), build {found['build_ms']} ms, "
-        f"read and verify {found['read_ms']} ms"
-        + (f", peak {found['build_peak_bytes']} bytes" if "build_peak_bytes" in found else "")
+        f"scale {figures['scale']}, leaf size {figures['leaf_size']}: "
+        f"{figures['entries']} entries, {figures['pages']} pages, "
+        f"{figures['raw_bytes']} bytes raw, {figures['packed_bytes']} packed "
+        f"(whole content packed {figures['whole_packed_bytes']}), build {figures['build_ms']} ms, "
+        f"read and verify {figures['read_ms']} ms"
+        + (f", peak {figures['build_peak_bytes']} bytes" if "build_peak_bytes" in figures else "")
     )
-    for name, change in found["changes"].items():
+    for name, change in figures["changes"].items():
         print(
             f"  {name}: {change['entries']} entries, {change['new_pages']} pages, "
             f"{change['packed_bytes']} bytes packed; update {change['update_ms']} ms, "
@@ -225,7 +226,7 @@
         for leaf_size in options.leaf_size:
             results.append(measure(scale, leaf_size, options.runs, options.memory))
             if not options.json:
-                show(results[-1])
+                print_figures(results[-1])
     if options.json:
         print(json.dumps(results, indent=1))
 
