--- a/benchmarks/front_door.py
+++ b/benchmarks/front_door.py
@@ -106,7 +106,7 @@
             "share": honest.share,
             "crowd": other.share if other.asked else None,
             "ends": dict(honest.ends),
-            "twice": honest.twice,
+            "twice": honest.answered_twice,
             "cpu": used / took,
             "cpu_us_a_request": used / max(1, honest.ends["served"]) * 1e6,
         }
--- a/benchmarks/tier_processes.py
+++ b/benchmarks/tier_processes.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from sailhitch.lab.judge import Judge
-from sailhitch.lab.scenario import Scenario, StepPart
+from sailhitch.lab.judge import ResultChecker
+from sailhitch.lab.scenario import Scenario, ScenarioStep
 from sailhitch.lab.tier import Lab
 
 
@@ -41,27 +41,29 @@
     loop = asyncio.get_running_loop()
     began, names = loop.time(), lab.names
     for gateway in lab.gateways.values():
-        await lab.ask_steadily(gateway)
+        await lab.start_load(gateway)
     for i in range(changes):
         act = "ban" if i % 2 == 0 else "unban"
-        await lab.do(StepPart(at=0, do=act, who=[names[i % len(names)]], node="n2", ends="active"))
-        await lab.do(StepPart(at=0, do="await"))
-        await lab.do(StepPart(at=0, do="agree"))
+        await lab.do(
+            ScenarioStep(at=0, do=act, who=[names[i % len(names)]], node="n2", ends="active")
+        )
+        await lab.do(ScenarioStep(at=0, do="await"))
+        await lab.do(ScenarioStep(at=0, do="agree"))
     said = await asyncio.gather(*(one.status() for one in lab.gateways.values()))
     await asyncio.gather(*(load.finish() for load in lab.loads.values()))
-    Judge(lab.result, lab.nodes, lab.gateways, lab.loads).judge(began, loop.time())
+    ResultChecker(lab.result, lab.nodes, lab.gateways, lab.loads).check(began, loop.time())
     assert not lab.result.broken, lab.result.broken
-    took = [one.ended - one.asked for one in lab.result.told]
-    await lab.do(StepPart(at=0, do="kill", who=names))
+    took = [one.ended - one.asked for one in lab.result.command_results]
+    await lab.do(ScenarioStep(at=0, do="kill", who=names))
     since = loop.time()
     for gateway in lab.gateways.values():
         await gateway.start()
-    await lab.do(StepPart(at=0, do="agree"))
+    await lab.do(ScenarioStep(at=0, do="agree"))
     return {
         "took": took,
         "held_back": sum(one["held_back"] for one in said),
         "requests": sum(load.asked for load in lab.loads.values()),
-        "contradiction": lab.result.late,
+        "contradiction": lab.result.contradiction_time,
         "restart": loop.time() - since,
     }
 
--- a/sailhitch/lab/crowd.py
+++ b/sailhitch/lab/crowd.py
@@ -52,18 +52,18 @@
         return self.ends[SERVED] / max(1, self.asked)
 
     @property
-    def twice(self) -> int:
+    def answered_twice(self) -> int:
         """Return the number of requests with more than one final response."""
         return sum(count > 1 for count in self.answers.values())
 
 
-class Line(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection: sends one request at a time and awaits its response."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.gone = asyncio.Event()
-        self.keep = True
+        self.keep_alive = True
         self.early = b""  # response heads received without a request
         self._data = b""
         self._done: asyncio.Future[tuple[int, dict[str, str], bytes]] | None = None
@@ -84,7 +84,7 @@
         if len(body) < size:
             return
         self._data = body[size:]
-        self.keep = fields.get("connection", "").lower() != "close"
+        self.keep_alive = fields.get("connection", "").lower() != "close"
         done = self._done
         self._done = None
         if done is None:
@@ -105,7 +105,7 @@
     @property
     def open(self) -> bool:
         """Return whether the connection is open."""
-        return self.keep and not self.gone.is_set()
+        return self.keep_alive and not self.gone.is_set()
 
     async def ask(self, data: bytes, patience: float) -> tuple[int, dict[str, str], bytes]:
         """Send a request and await its response; raises OSError or TimeoutError."""
@@ -124,13 +124,15 @@
             self.transport.abort()
 
 
-async def dial(addr: str, source: str = "") -> Line:
+async def dial(addr: str, source: str = "") -> ClientConnection:
     """Connect, from the loopback address `source` if given."""
     host, _, port = addr.rpartition(":")
     local = (source, 0) if source else None
     loop = asyncio.get_running_loop()
-    _, line = await loop.create_connection(Line, host, int(port), local_addr=local)
-    return line
+    _, connection = await loop.create_connection(
+        ClientConnection, host, int(port), local_addr=local
+    )
+    return connection
 
 
 class Front:
@@ -146,8 +148,8 @@
         self.seats = seats
         self.kind = kind
         self.wait_ms = wait_ms
-        self.idle: list[Line] = []
-        self.open: set[Line] = set()
+        self.idle: list[ClientConnection] = []
+        self.open: set[ClientConnection] = set()
         self.dialled = 0
         self.source = ""
 
@@ -158,7 +160,7 @@
         body: bytes = b"",
         owner: str = "",
         own_limit: int = 0,
-    ) -> Line | None:
+    ) -> ClientConnection | None:
         """Send a request and count its outcome in `tally`; `hold` keeps its connection from reuse.
 
         Returns the connection if it is still open. `own_limit`, if not 0, replaces `seats`.
@@ -166,59 +168,59 @@
         name = f"c{next(_request_numbers):x}"
         data = platform(name, self.kind, self.wait_ms, body or None, owner)
         for is_retry in (False, True):
-            self.idle = [line for line in self.idle if line.open]
-            self.open = {line for line in self.open if not line.gone.is_set()}
+            self.idle = [connection for connection in self.idle if connection.open]
+            self.open = {connection for connection in self.open if not connection.gone.is_set()}
             reused = bool(self.idle) and not is_retry and not hold
             if not reused and len(self.open) >= (own_limit or self.seats):
                 tally.end(name, NO_SEAT)
                 return None
-            line: Line | None = None
+            connection: ClientConnection | None = None
             try:
-                line = self.idle.pop() if reused else await self._connect()
-                status, fields, got = await line.ask(data, self.wait_ms / 1000 + 0.5)
+                connection = self.idle.pop() if reused else await self._connect()
+                status, fields, got = await connection.ask(data, self.wait_ms / 1000 + 0.5)
             except OSError as error:
-                self._close_connection(line)
+                self._close_connection(connection)
                 if isinstance(error, TimeoutError) or not reused:
                     tally.end(name, LOST if isinstance(error, TimeoutError) else FAILED)
                     return None
                 continue
-            return self._finish(tally, name, line, status, fields, got, hold)
+            return self._finish(tally, name, connection, status, fields, got, hold)
         return None
 
-    async def _connect(self) -> Line:
+    async def _connect(self) -> ClientConnection:
         self.dialled += 1
-        line = await dial(self.addr, self.source)
-        self.open.add(line)
-        return line
+        connection = await dial(self.addr, self.source)
+        self.open.add(connection)
+        return connection
 
-    def _close_connection(self, line: Line | None) -> None:
-        if line is not None:
-            line.close()
-            self.open.discard(line)
+    def _close_connection(self, connection: ClientConnection | None) -> None:
+        if connection is not None:
+            connection.close()
+            self.open.discard(connection)
 
     def _finish(
         self,
         tally: Tally,
         name: str,
-        line: Line,
+        connection: ClientConnection,
         status: int,
         fields: dict[str, str],
         got: bytes,
         hold: bool,
-    ) -> Line | None:
-        mine = got.split(b" ")[0] == name.encode()
-        if status == 200 and mine:
+    ) -> ClientConnection | None:
+        is_own_response = got.split(b" ")[0] == name.encode()
+        if status == 200 and is_own_response:
             tally.end(name, SERVED)
         else:
             tally.end(name, REFUSED if status in (429, 503) else FAILED)
             if "retry-after" in fields:
                 tally.retry_after.append(float(fields["retry-after"]))
-        if not line.keep:
-            self._close_connection(line)
+        if not connection.keep_alive:
+            self._close_connection(connection)
             return None
         if not hold:
-            self.idle.append(line)
-        return line
+            self.idle.append(connection)
+        return connection
 
 
 class Crowd:
@@ -228,7 +230,7 @@
         self.addr = addr
         self.random = random.Random(seed)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.lines: set[Line] = set()
+        self.connections: set[ClientConnection] = set()
         self.sockets: set[socket.socket] = set()
         self.dialled: Counter[str] = Counter()
         self.closed: Counter[str] = Counter()  # abusive clients' connections closed by the gateway
@@ -240,8 +242,8 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for line in self.lines:
-            line.close()
+        for connection in self.connections:
+            connection.close()
         for one in self.sockets:
             one.close()
 
@@ -270,21 +272,21 @@
 
     async def returner(self, front: Front, tally: Tally, gap: float, times: int) -> None:
         """Send a request every `gap` on its own connection, reconnecting if it was closed."""
-        line: Line | None = None
+        connection: ClientConnection | None = None
         for _ in range(times):
             name = f"r{next(_request_numbers):x}"
             data = platform(name, front.kind, front.wait_ms)
             try:
-                if line is None or not line.open:
-                    line = await front._connect()
-                status, _, _ = await line.ask(data, front.wait_ms / 1000 + 0.5)
+                if connection is None or not connection.open:
+                    connection = await front._connect()
+                status, _, _ = await connection.ask(data, front.wait_ms / 1000 + 0.5)
                 tally.end(name, SERVED if status == 200 else REFUSED)
             except OSError:
                 tally.end(name, FAILED)
-                line = None
+                connection = None
             await asyncio.sleep(gap)
-        if line is not None:
-            self.lines.add(line)
+        if connection is not None:
+            self.connections.add(connection)
 
     # --- Clients that hold connections
 
@@ -292,39 +294,41 @@
         """Clients that send one request through the front and never release their connection."""
 
         async def one() -> None:
-            line = await front.ask(tally, hold=True)
-            if line is not None:
-                self.lines.add(line)
+            connection = await front.ask(tally, hold=True)
+            if connection is not None:
+                self.connections.add(connection)
 
         await self.steady(rate, count, one)
 
     async def silent(self, rate: float, count: int, source: str = "") -> None:
         """Connect and send nothing."""
-        await self.steady(rate, count, lambda: self._abuse("silent", _send_nothing, source))
+        await self.steady(
+            rate, count, lambda: self._run_abusive_client("silent", _send_nothing, source)
+        )
 
     async def come_back(self, source: str = "", first: bytes = b"") -> None:
         """Reconnect whenever the connection is closed, sending `first` each time."""
 
-        async def act(line: Line) -> None:
-            assert line.transport is not None
-            line.transport.write(first)
+        async def act(connection: ClientConnection) -> None:
+            assert connection.transport is not None
+            connection.transport.write(first)
 
         while True:
-            await self._abuse("come back", act, source)
+            await self._run_abusive_client("come back", act, source)
             await asyncio.sleep(0)
 
     async def trickle(self, data: bytes, gap: float, source: str = "") -> None:
         """Send the data one byte at a time."""
 
-        async def act(line: Line) -> None:
-            assert line.transport is not None
+        async def act(connection: ClientConnection) -> None:
+            assert connection.transport is not None
             for byte in data:
-                if line.gone.is_set():
+                if connection.gone.is_set():
                     return
-                line.transport.write(bytes([byte]))
+                connection.transport.write(bytes([byte]))
                 await asyncio.sleep(gap)
 
-        await self._abuse("trickle", act, source)
+        await self._run_abusive_client("trickle", act, source)
 
     async def slow_reader(self, data: bytes, gap: float = 1.0) -> None:
         """Send a request and read its response one byte at a time."""
@@ -344,22 +348,24 @@
         self.sockets.discard(one)
         one.close()
 
-    async def _abuse(self, kind: str, act: Callable[[Line], Awaitable[None]], source: str) -> None:
+    async def _run_abusive_client(
+        self, kind: str, act: Callable[[ClientConnection], Awaitable[None]], source: str
+    ) -> None:
         self.dialled[kind] += 1
         try:
-            line = await dial(self.addr, source)
+            connection = await dial(self.addr, source)
         except OSError:
             await asyncio.sleep(0.05)
             return
-        self.lines.add(line)
-        await act(line)
-        await line.gone.wait()
+        self.connections.add(connection)
+        await act(connection)
+        await connection.gone.wait()
         self.closed[kind] += 1
-        self.lines.discard(line)
-        line.close()
+        self.connections.discard(connection)
+        connection.close()
 
 
-async def _send_nothing(line: Line) -> None:
+async def _send_nothing(connection: ClientConnection) -> None:
     """Send nothing."""
 
 
--- a/sailhitch/lab/demo.py
+++ b/sailhitch/lab/demo.py
@@ -22,7 +22,7 @@
 from ..daemon.admin import AdminError, ask
 from ..daemon.schema import FileError, OperatorFile, load_file
 from .load import CUT, FAILED, LOST, REFUSED, SERVED, Load
-from .node import Fault, Memory, Node, doubled
+from .node import Fault, Memory, Node, executed_twice
 
 EXAMPLE: Final = Path(__file__).resolve().parents[2] / "deploy/example.toml"
 START_TIMEOUT: Final = 15.0  # s for the daemon to answer
@@ -155,7 +155,9 @@
 
 
 def _summary(load: Load, nodes: dict[str, Node]) -> dict[str, Any]:
-    duplicates = len(doubled(list(nodes.values()))) + sum(n > 1 for n in load.answers.values())
+    duplicates = len(executed_twice(list(nodes.values()))) + sum(
+        n > 1 for n in load.answers.values()
+    )
     return {
         **{name: load.ends[name] for name in (SERVED, REFUSED, FAILED)},
         LOST: load.ends[LOST] + load.ends[CUT],
--- a/sailhitch/lab/judge.py
+++ b/sailhitch/lab/judge.py
@@ -16,18 +16,18 @@
 from ..zones.rollout import FIRST_SHARE, next_share
 from ..zones.traffic_policy import active_node_count
 from .load import LOST, REFUSED, SERVED, Load
-from .node import Effect, Node, doubled
-from .scenario import Scenario, StepPart
+from .node import Effect, Node, executed_twice
+from .scenario import Scenario, ScenarioStep
 
 # s after a command returned "active" in which requests that were in flight may still arrive.
 IN_FLIGHT_TOLERANCE: Final = 0.25
 
 
 @dataclass
-class Told:
+class CommandResult:
     """An operator's command and its result; times are seconds on the loop's clock."""
 
-    step: StepPart
+    step: ScenarioStep
     by: str  # the gateway that received the command
     asked: float
     ended: float
@@ -40,13 +40,13 @@
     """The result of a play; `broken` has a line for each broken promise."""
 
     scenario: Scenario
-    told: list[Told] = field(default_factory=list)
+    command_results: list[CommandResult] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
     ends: dict[str, dict[str, int]] = field(default_factory=dict)  # request outcomes by gateway
     # Longest time without a payout served, by gateway.
     gap: dict[str, float] = field(default_factory=dict)
     # s for which nodes got requests that an active change forbids, at the longest.
-    late: float = 0.0
+    contradiction_time: float = 0.0
 
     def as_json(self) -> dict[str, Any]:
         """Return the result as plain values."""
@@ -55,7 +55,7 @@
             "broken": self.broken,
             "requests": self.ends,
             "longest_gap": self.gap,
-            "contradiction": self.late,
+            "contradiction": self.contradiction_time,
             "commands": [
                 {
                     "do": one.step.do,
@@ -65,12 +65,12 @@
                     "took": round(one.ended - one.asked, 3),
                     "text": one.text,
                 }
-                for one in self.told
+                for one in self.command_results
             ],
         }
 
 
-class Watched(Protocol):
+class GatewayHistory(Protocol):
     """What the check needs to know about a gateway: the faults injected into it."""
 
     restarted: bool
@@ -78,28 +78,28 @@
 
 
 @dataclass
-class Judge:
+class ResultChecker:
     """Checks the nodes' logs after a play. Times are on the loop's clock."""
 
     result: Result
     nodes: Mapping[str, Node]
-    gateways: Mapping[str, Watched]
+    gateways: Mapping[str, GatewayHistory]
     loads: Mapping[str, Load]
 
-    def judge(self, began: float, ended: float) -> None:
+    def check(self, began: float, ended: float) -> None:
         """Fill in the result: broken promises, outcomes, gaps, and the longest contradiction."""
         result = self.result
         result.broken += [
-            f"effect twice: {name.decode()}" for name in doubled([*self.nodes.values()])
+            f"effect twice: {name.decode()}" for name in executed_twice([*self.nodes.values()])
         ]
-        for told in result.told:
-            if told.step.ends and told.end != told.step.ends:
+        for command in result.command_results:
+            if command.step.ends and command.end != command.step.ends:
                 result.broken.append(
-                    f"{told.step.do} {told.step.node} at {told.by} ended {told.end}, expected "
-                    f"{told.step.ends}: {told.text}"
+                    f"{command.step.do} {command.step.node} at {command.by} ended {command.end}, "
+                    f"expected {command.step.ends}: {command.text}"
                 )
-            if told.end == "active":
-                self._check_active_change(told)
+            if command.end == "active":
+                self._check_active_change(command)
         self._check_races()
         for name, load in self.loads.items():
             result.ends[name] = dict(load.ends)
@@ -109,67 +109,71 @@
                 )
             self._check_service(name, load, began, ended)
 
-    def _check_active_change(self, told: Told) -> None:
+    def _check_active_change(self, command: CommandResult) -> None:
         """Check that nodes got nothing that a command forbids once it had returned "active"."""
-        step = told.step
+        step = command.step
         if step.do in ("ban", "drop"):
             superseded_at = self._superseded_at(
-                told, lambda one: one.do == "unban" and one.node == step.node
+                command, lambda one: one.do == "unban" and one.node == step.node
             )
             self._check_none_received(
-                told, superseded_at, [step.node], lambda effect: not self._is_exempt(effect)
+                command, superseded_at, [step.node], lambda effect: not self._is_exempt(effect)
             )
         elif step.do == "reroute":
-            superseded_at = self._superseded_at(told, lambda one: one.do == "reroute")
+            superseded_at = self._superseded_at(command, lambda one: one.do == "reroute")
             spare = set(self.result.scenario.spares())
             left = [one for one in self.nodes if (one in spare) != bool(step.value)]
             self._check_none_received(
-                told, superseded_at, left, lambda effect: not effect.safe and not effect.key
+                command, superseded_at, left, lambda effect: not effect.safe and not effect.key
             )
         elif step.do == "leave":
             superseded_at = self._superseded_at(
-                told, lambda one: one.do == "return" and one.node == step.node
+                command, lambda one: one.do == "return" and one.node == step.node
             )
             left = [name for name in self.nodes if self.result.scenario.zone_of(name) == step.node]
-            self._check_none_received(told, superseded_at, left, lambda effect: True)
+            self._check_none_received(command, superseded_at, left, lambda effect: True)
         elif step.do == "return":
-            self._check_return_pace(told)
+            self._check_return_pace(command)
 
-    def _check_return_pace(self, told: Told) -> None:
+    def _check_return_pace(self, command: CommandResult) -> None:
         """Check that a zone's return used no more nodes than its steps allowed at each time."""
         scenario = self.result.scenario
-        zone = told.step.node
+        zone = command.step.node
         here = [name for name in self.nodes if scenario.zone_of(name) == zone]
         superseded_at = self._superseded_at(
-            told, lambda one: one.do in ("leave", "return") and one.node == zone
+            command, lambda one: one.do in ("leave", "return") and one.node == zone
         )
         first = sorted(
             min(
-                (e.at for e in self.nodes[name].log if told.asked < e.at < superseded_at),
+                (e.at for e in self.nodes[name].log if command.asked < e.at < superseded_at),
                 default=math.inf,
             )
             for name in here
         )
         share = FIRST_SHARE
-        began = told.asked
+        began = command.asked
         while share < 1:
             began += read_duration(scenario.step) / 1e6
             early = sum(at < began for at in first)
             if early > active_node_count(share, len(here)):
                 self.result.broken.append(
-                    f"{early} nodes of {zone} got requests within {began - told.asked:.2f} s of "
+                    f"{early} nodes of {zone} got requests within {began - command.asked:.2f} s of "
                     f"its return, at most {active_node_count(share, len(here))} allowed"
                 )
                 return
             share = next_share(share)
 
-    def _superseded_at(self, told: Told, ends: Callable[[StepPart], bool]) -> float:
-        later = [one.asked for one in self.result.told if one.asked > told.ended and ends(one.step)]
+    def _superseded_at(self, command: CommandResult, ends: Callable[[ScenarioStep], bool]) -> float:
+        later = [
+            one.asked
+            for one in self.result.command_results
+            if one.asked > command.ended and ends(one.step)
+        ]
         return min(later, default=math.inf)
 
     def _check_none_received(
         self,
-        told: Told,
+        command: CommandResult,
         superseded_at: float,
         names: Sequence[str],
         counts: Callable[[Effect], bool],
@@ -178,16 +182,18 @@
             late = [
                 effect
                 for effect in self.nodes[name].log
-                if told.ended < effect.at < superseded_at and counts(effect)
+                if command.ended < effect.at < superseded_at and counts(effect)
             ]
-            self.result.late = max([self.result.late, *(e.at - told.ended for e in late)])
-            invalid = [effect for effect in late if effect.at > told.ended + IN_FLIGHT_TOLERANCE]
+            self.result.contradiction_time = max(
+                [self.result.contradiction_time, *(e.at - command.ended for e in late)]
+            )
+            invalid = [effect for effect in late if effect.at > command.ended + IN_FLIGHT_TOLERANCE]
             if invalid:
                 last = invalid[-1]
                 self.result.broken.append(
-                    f"{name} got {len(invalid)} requests after {told.step.do} was active, the last "
-                    f"{last.name.decode()} {last.at - told.ended:.2f} s after, under version "
-                    f"{last.version.decode()}, {'safe' if last.safe else 'not safe'}"
+                    f"{name} got {len(invalid)} requests after {command.step.do} was active, the "
+                    f"last {last.name.decode()} {last.at - command.ended:.2f} s after, "
+                    f"under version {last.version.decode()}, {'safe' if last.safe else 'not safe'}"
                 )
 
     def _is_exempt(self, effect: Effect) -> bool:
@@ -202,7 +208,7 @@
     def _check_races(self) -> None:
         """Check that of commands sent to several gateways at once, exactly one wins."""
         for step in self.result.scenario.steps:
-            ends = [one.end for one in self.result.told if one.step is step]
+            ends = [one.end for one in self.result.command_results if one.step is step]
             what = f"{step.do} {step.node}"
             won = sum(e in ("active", "pending") for e in ends)
             if len(ends) > 1 and not step.ends and won != 1:
@@ -227,9 +233,9 @@
 def table(result: Result) -> list[str]:
     """Return the result as lines of text."""
     lines = [f"{'command':<24} {'end':<8} {'took':>7}"]
-    for told in result.told:
-        what = f"{told.step.do} {told.step.node} at {told.by}"
-        lines.append(f"{what:<24} {told.end:<8} {told.ended - told.asked:6.2f}s")
+    for command in result.command_results:
+        what = f"{command.step.do} {command.step.node} at {command.by}"
+        lines.append(f"{what:<24} {command.end:<8} {command.ended - command.asked:6.2f}s")
     lines.append(
         f"{'gateway':<10} {'served':>7} {'refused':>8} {'failed':>7} {'cut':>5} {'gap':>6}"
     )
@@ -239,5 +245,5 @@
             f"{name:<10} {counts[0]:>7} {counts[1]:>8} {counts[2]:>7} {counts[3]:>5} "
             f"{result.gap[name]:5.2f}s"
         )
-    lines.append(f"a contradiction lasted {result.late * 1000:.0f} ms at the longest")
+    lines.append(f"a contradiction lasted {result.contradiction_time * 1000:.0f} ms at the longest")
     return [*lines, *(f"BROKEN: {one}" for one in result.broken)]
--- a/sailhitch/lab/load.py
+++ b/sailhitch/lab/load.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from .crowd import Line, dial
+from .crowd import ClientConnection, dial
 from .message import build
 
 SERVED = "served"
@@ -95,7 +95,7 @@
         return times[min(len(times) - 1, int(part * len(times)))] if times else 0.0
 
     async def _client(self, number: int) -> None:
-        line: Line | None = None
+        connection: ClientConnection | None = None
         retry_key: str | None = None
         while not self._is_ending.is_set():
             kind = self.random.choices(self.kinds, [one.part for one in self.kinds])[0]
@@ -104,23 +104,23 @@
             name = f"{self.prefix}{number}-{next(self._request_numbers):x}"
             key = retry_key or (name if kind.keyed else "")
             self.repeats += retry_key is not None
-            line, is_final = await self._request(line, kind, name, key)
+            connection, is_final = await self._request(connection, kind, name, key)
             retry_key = key if key and not is_final else None
             if self.pause or not is_final:
                 await asyncio.sleep(self.pause or 0.01)
-        if line is not None:
-            line.close()
+        if connection is not None:
+            connection.close()
 
     async def _request(
-        self, line: Line | None, kind: Kind, name: str, key: str
-    ) -> tuple[Line | None, bool]:
+        self, connection: ClientConnection | None, kind: Kind, name: str, key: str
+    ) -> tuple[ClientConnection | None, bool]:
         """Send a request; return the connection if usable, and whether the outcome is final."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         try:
-            if line is None or not line.open:
-                line = await dial(self.addr)
-            status, _, body = await line.ask(_message(kind, name, key), PATIENCE)
+            if connection is None or not connection.open:
+                connection = await dial(self.addr)
+            status, _, body = await connection.ask(_message(kind, name, key), PATIENCE)
         except TimeoutError:
             self.ends[LOST] += 1
             return None, False
@@ -138,7 +138,7 @@
                 self.wrong.append(name)
         else:
             self.ends[REFUSED if status in (429, 503) else FAILED] += 1
-        return (line if line.open else None), status < 400 or status in (429, 503)
+        return (connection if connection.open else None), status < 400 or status in (429, 503)
 
 
 def _message(kind: Kind, name: str, key: str) -> bytes:
--- a/sailhitch/lab/modelled.py
+++ b/sailhitch/lab/modelled.py
@@ -21,8 +21,8 @@
 from ..tier.member import Member, MemberStatus
 from ..tier.messages import Version
 from ..zones.traffic_policy import TrafficPolicyError
-from .judge import Result, Told
-from .scenario import Scenario, StepPart
+from .judge import CommandResult, Result
+from .scenario import Scenario, ScenarioStep
 from .tier import COMMANDS, ZONES
 
 S: Final = 1_000_000
@@ -34,7 +34,7 @@
 class _PendingCommand:
     """An operator's command at one gateway, and its result once it has one."""
 
-    step: StepPart
+    step: ScenarioStep
     process: TierProcess
     asked: int
     incarnation: int
@@ -49,7 +49,7 @@
 class ModelPlay:
     """The result of a play in the model."""
 
-    told: list[Told] = field(default_factory=list)
+    command_results: list[CommandResult] = field(default_factory=list)
     broken: str = ""
 
 
@@ -90,7 +90,7 @@
         except InvariantViolationError as error:
             play.broken = str(error)
         for command in self.commands:
-            told = Told(
+            command_result = CommandResult(
                 command.step,
                 command.process.name,
                 command.asked / S,
@@ -98,7 +98,7 @@
                 command.end or "refused",
                 "",
             )
-            play.told.append(told)
+            play.command_results.append(command_result)
         return play
 
     def _play(self) -> None:
@@ -153,21 +153,21 @@
     def _all_confirmed(self, member: Member, turn: int) -> bool:
         return member.confirmed_revision >= turn and not member.members_behind()
 
-    def _is_back(self, step: StepPart) -> bool:
+    def _is_back(self, step: ScenarioStep) -> bool:
         controllers = [self.world.processes[name].controller for name in step.who]
         return all(
             controller is not None and step.node not in controller.traffic_policy.zones
             for controller in controllers
         )
 
-    def _is_left(self, step: StepPart) -> bool:
+    def _is_left(self, step: ScenarioStep) -> bool:
         controllers = [self.world.processes[name].controller for name in step.who]
         orders = [None if h is None else h.traffic_policy.zones.get(step.node) for h in controllers]
         return all(order is not None and not order.share for order in orders)
 
     # --- Steps
 
-    def _do(self, step: StepPart) -> None:
+    def _do(self, step: ScenarioStep) -> None:
         network = self.world.network
         names = step.who or list(self.world.names)
         if step.do in COMMANDS:
@@ -209,7 +209,7 @@
             for name in step.who:
                 self._fault(step, self.world.processes[name])
 
-    def _set_cuts(self, step: StepPart) -> None:
+    def _set_cuts(self, step: ScenarioStep) -> None:
         cuts = self.world.network.cuts
         names = self.world.names
         links = {(a, b) for a in step.who for b in step.to or names}
@@ -220,7 +220,7 @@
         else:
             cuts.clear()
 
-    def _fault(self, step: StepPart, process: TierProcess) -> None:
+    def _fault(self, step: ScenarioStep, process: TierProcess) -> None:
         disk = process.disk
         if step.do == "pause":
             process.pause()
@@ -247,7 +247,7 @@
 
     # --- Commands
 
-    def _send_command(self, step: StepPart, process: TierProcess) -> None:
+    def _send_command(self, step: ScenarioStep, process: TierProcess) -> None:
         command = _PendingCommand(step, process, self.world.kernel.now, process.incarnation)
         self.commands.append(command)
         member = process.member
@@ -287,7 +287,7 @@
         if command.job is None:
             self._finish_command(command, "refused")
 
-    def _send_zone_command(self, step: StepPart, process: TierProcess) -> int | None:
+    def _send_zone_command(self, step: ScenarioStep, process: TierProcess) -> int | None:
         controller = process.controller
         assert controller is not None
         if not self._is_active(process.name):
@@ -298,7 +298,9 @@
             return None
         return process.propose_zone_policy(posture)
 
-    def _desired_actions(self, step: StepPart, old: frozenset[int]) -> tuple[frozenset[int], int]:
+    def _desired_actions(
+        self, step: ScenarioStep, old: frozenset[int]
+    ) -> tuple[frozenset[int], int]:
         here = self.nodes
         spare = self.nodes + 1
         if step.do == "reroute":
@@ -388,25 +390,28 @@
     comparison = Comparison([f"{'command':<24} {'processes':>16} {'model':>24}"])
     comparison.differs += [f"in the model: {play.broken}" for play in plays if play.broken]
     steps = result.scenario.steps
-    by_key = [_by_key(steps, play.told) for play in plays]
-    for key, told in sorted(_by_key(steps, result.told).items()):
+    by_key = [_by_key(steps, play.command_results) for play in plays]
+    for key, command_result in sorted(_by_key(steps, result.command_results).items()):
         model_results = [play[key] for play in by_key if key in play]
         ends = sorted({command.end for command in model_results})
         times = [command.ended - command.asked for command in model_results]
-        what = f"{told.step.do} {told.step.node} at {told.by}"
+        what = f"{command_result.step.do} {command_result.step.node} at {command_result.by}"
         duration_range = f"{min(times):.2f} to {max(times):.2f}s" if times else "-"
-        process_result = f"{told.end} {told.ended - told.asked:.2f}s"
+        process_result = f"{command_result.end} {command_result.ended - command_result.asked:.2f}s"
         comparison.lines.append(
             f"{what:<24} {process_result:>16} {' or '.join(ends):>9} {duration_range:>16}"
         )
-        if told.end not in ends:
+        if command_result.end not in ends:
             comparison.differs.append(
-                f"{what}: {told.end} by processes, {' or '.join(ends) or 'nothing'} in the model"
+                f"{what}: {command_result.end} by processes, "
+                f"{' or '.join(ends) or 'nothing'} in the model"
             )
     return comparison
 
 
-def _by_key(steps: Sequence[StepPart], told: Sequence[Told]) -> dict[tuple[int, str], Told]:
+def _by_key(
+    steps: Sequence[ScenarioStep], command_results: Sequence[CommandResult]
+) -> dict[tuple[int, str], CommandResult]:
     """Return command results by the index of their step and their gateway."""
     numbers = {id(step): number for number, step in enumerate(steps)}
-    return {(numbers[id(command.step)], command.by): command for command in told}
+    return {(numbers[id(command.step)], command.by): command for command in command_results}
--- a/sailhitch/lab/node.py
+++ b/sailhitch/lab/node.py
@@ -29,8 +29,8 @@
     RESET_BEFORE = auto()  # the connection is reset before the request is executed
     RESET_AFTER = auto()  # ...and after it is executed
     SILENT = auto()  # executed, but never answered
-    SPOILT = auto()  # executed, but the response is malformed
-    HALF = auto()  # executed, but the response is truncated to half its body
+    MALFORMED = auto()  # executed, but the response is malformed
+    TRUNCATED = auto()  # executed, but the response is truncated to half its body
     ERROR = auto()  # executed, but answered with a 500
     SLOW = auto()  # executed, but takes `slow` longer
 
@@ -52,9 +52,9 @@
 class Memory:
     """The idempotency keys that a dedup group has executed, kept for a time window."""
 
-    def __init__(self, window: float = 60.0, most: int = 100_000) -> None:
+    def __init__(self, window: float = 60.0, max_keys: int = 100_000) -> None:
         self.window = window
-        self.most = most
+        self.max_keys = max_keys
         self._known: OrderedDict[bytes, float] = OrderedDict()
 
     def contains(self, key: bytes, now: float) -> bool:
@@ -65,7 +65,7 @@
     def note(self, key: bytes, now: float) -> None:
         """Remember a key from this time on."""
         self._known[key] = now
-        if len(self._known) > self.most:
+        if len(self._known) > self.max_keys:
             self._known.popitem(last=False)
 
 
@@ -74,8 +74,8 @@
 
     It processes `workers` requests at a time (0: any number), each for `delay`. During the `cold`
     time after its start, its speed rises linearly from `cold_share` to 1. If in that time it holds
-    more than `breaks_at` requests, scaled with its speed, for longer than `breaks_after`, it
-    fails: it sets `overloaded_at` and accepts no more work.
+    more than `fails_above` requests, scaled with its speed, for longer than `fails_after`, it
+    fails: it sets `has_failed` and accepts no more work.
     """
 
     def __init__(
@@ -86,8 +86,8 @@
         workers: int = 0,
         cold: float = 0.0,
         cold_share: float = 0.3,
-        breaks_at: int = 0,
-        breaks_after: float = 0.05,
+        fails_above: int = 0,
+        fails_after: float = 0.05,
         memory: Memory | None = None,
         reports: bool = False,
         slow: float = 1.0,
@@ -102,8 +102,8 @@
         self.workers = workers
         self.cold = cold
         self.cold_share = cold_share
-        self.breaks_at = breaks_at
-        self.breaks_after = breaks_after
+        self.fails_above = fails_above
+        self.fails_after = fails_after
         self.memory = memory
         self.reports = reports
         self.slow = slow
@@ -113,7 +113,7 @@
         self.connections = 0
         self.seen = 0  # requests
         self.peak = 0  # highest number of requests held at a time
-        self.overloaded_at = False
+        self.has_failed = False
         self.started = self.drained_at = 0.0
         self.late: list[tuple[bytes, float]] = []  # requests after a drain, and how long after it
         self.addr = ""
@@ -155,7 +155,7 @@
 
     # --- One request
 
-    def take(self, connection: _Connection, name: bytes, key: bytes) -> None:
+    def handle_request(self, connection: _Connection, name: bytes, key: bytes) -> None:
         """Handle a complete request."""
         now = asyncio.get_running_loop().time()
         self.seen += 1
@@ -187,7 +187,7 @@
         self._held_count += 1
         self.peak = max(self.peak, self._held_count)
         self._check_overload()
-        if self.overloaded_at:
+        if self.has_failed:
             return
         if self.workers and self._working >= self.workers:
             self._queue.append(work)
@@ -205,13 +205,13 @@
         """Fail if too many requests have been held for too long; a short burst is tolerated."""
         now = asyncio.get_running_loop().time()
         age = now - self.started
-        most = self.breaks_at * self._speed(age) / self.cold_share
-        if not self.breaks_at or age >= self.cold or self._held_count <= most:
+        max_held = self.fails_above * self._speed(age) / self.cold_share
+        if not self.fails_above or age >= self.cold or self._held_count <= max_held:
             self._overload_since = 0.0
         elif not self._overload_since:
             self._overload_since = now
-        elif now - self._overload_since > self.breaks_after:
-            self.overloaded_at = True
+        elif now - self._overload_since > self.fails_after:
+            self.has_failed = True
 
     def _speed(self, age: float) -> float:
         if age >= self.cold:
@@ -224,17 +224,17 @@
         self._working -= 1
         self._held_count -= 1
         self._check_overload()
-        self._have_effect(connection, name, key)
+        self._execute(connection, name, key)
         if fault == Fault.RESET_AFTER:
             connection.transport.abort()
         elif fault != Fault.SILENT:
             connection.write(self._answer(name, fault))
-            if fault in (Fault.SPOILT, Fault.HALF):
+            if fault in (Fault.MALFORMED, Fault.TRUNCATED):
                 connection.transport.close()
         if self._queue:
             self._queue.popleft()()
 
-    def _have_effect(self, connection: _Connection, name: bytes, key: bytes) -> None:
+    def _execute(self, connection: _Connection, name: bytes, key: bytes) -> None:
         now = asyncio.get_running_loop().time()
         if key and self.memory is not None:
             if self.memory.contains(key, now):
@@ -246,7 +246,7 @@
     def _answer(self, name: bytes, fault: Fault | None) -> bytes:
         if fault == Fault.ERROR:
             return SERVER_ERROR
-        if fault == Fault.SPOILT:
+        if fault == Fault.MALFORMED:
             return b"\x00\x01 this is no answer\r\n\r\n"
         body = (name + b" ").ljust(self.size, b".")
         load = b""
@@ -257,7 +257,7 @@
                 self.delay * 1000,
             )
         whole = b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (load, len(body), body)
-        return whole[: len(whole) - len(body) // 2] if fault == Fault.HALF else whole
+        return whole[: len(whole) - len(body) // 2] if fault == Fault.TRUNCATED else whole
 
 
 class _Connection(asyncio.Protocol):
@@ -303,14 +303,14 @@
             self.transport.write(NOT_FOUND)
             return
         self.safe = self.parser.get_method() in (b"GET", b"HEAD")
-        self.node.take(self, self.name, self.key)
+        self.node.handle_request(self, self.name, self.key)
 
     def write(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(data)
 
 
-def doubled(nodes: list[Node]) -> list[bytes]:
+def executed_twice(nodes: list[Node]) -> list[bytes]:
     """Return the keys, or ids without a key, of requests executed more than once.
 
     Safe requests do not count.
--- a/sailhitch/lab/relay.py
+++ b/sailhitch/lab/relay.py
@@ -16,9 +16,9 @@
     def __init__(self, to: Address, seed: int) -> None:
         self.to = to
         self.random = random.Random(seed)
-        self.loss = self.doubled = self.delay = 0.0  # probabilities, and the largest delay (s)
+        self.loss = self.duplication = self.delay = 0.0  # probabilities, and the largest delay (s)
         # Probabilities that a bit is flipped, and that an older datagram is sent again.
-        self.garbled = self.replayed = 0.0
+        self.corruption = self.replay = 0.0
         self.cut = False
         self.passed = self.dropped = 0
         self._history: deque[bytes] = deque(maxlen=200)
@@ -46,13 +46,13 @@
             self.dropped += 1
             return
         self._history.append(data)
-        if self.random.random() < self.replayed:
+        if self.random.random() < self.replay:
             self._send_delayed(self.random.choice(self._history))
-        if self.random.random() < self.garbled:
+        if self.random.random() < self.corruption:
             corrupted = bytearray(data)
             corrupted[self.random.randrange(len(corrupted))] ^= 1 << self.random.randrange(8)
             data = bytes(corrupted)
-        for _ in range(2 if self.random.random() < self.doubled else 1):
+        for _ in range(2 if self.random.random() < self.duplication else 1):
             self._send_delayed(data)
 
     def _send_delayed(self, data: bytes) -> None:
--- a/sailhitch/lab/scenario.py
+++ b/sailhitch/lab/scenario.py
@@ -17,7 +17,7 @@
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
-class StepPart(_Part):
+class ScenarioStep(_Part):
     """A step of a scenario, carried out once the one before it is done, and not before `at` (s).
 
     `await` waits until all commands have ended. `agree` waits until all running gateways, or those
@@ -97,7 +97,7 @@
     # Minimum served share of each gateway that stays up.
     served: Annotated[float, Field(ge=0, le=1)] = 0.0
     seed: int = 1
-    steps: list[StepPart] = []
+    steps: list[ScenarioStep] = []
 
     def names(self) -> list[str]:
         """Return the names of all gateways."""
--- a/sailhitch/lab/tier.py
+++ b/sailhitch/lab/tier.py
@@ -25,13 +25,13 @@
 from ..daemon.plan import make_plan
 from ..daemon.schema import parse_value
 from .gateway_process import GatewayProcess
-from .judge import Judge, Result, Told
+from .judge import CommandResult, Result, ResultChecker
 from .load import MIX, Load
 from .node import Fault, Memory, Node
 from .operator_file import operator_file
 from .ports import free_port
 from .relay import Relay
-from .scenario import Scenario, ScenarioError, StepPart
+from .scenario import Scenario, ScenarioError, ScenarioStep
 
 TRACEBACK: Final = "Traceback (most recent call last)"
 START_TIMEOUT: Final = 20.0  # s until all members are in
@@ -39,9 +39,9 @@
 RELAY_ATTRIBUTES: Final = {
     "loss": "loss",
     "delay": "delay",
-    "double": "doubled",
-    "garble": "garbled",
-    "replay": "replayed",
+    "double": "duplication",
+    "garble": "corruption",
+    "replay": "replay",
 }
 ZONES: Final = ("leave", "return", "hold", "release")  # commands about zones
 COMMANDS: Final = (
@@ -133,18 +133,18 @@
         replies = await asyncio.gather(*(one.status() for one in running))
         return all(one.get("standing") == "in" for one in replies)
 
-    async def _zone_statuses(self, step: StepPart) -> list[dict[str, Any]]:
+    async def _zone_statuses(self, step: ScenarioStep) -> list[dict[str, Any]]:
         """Return the status of the step's zone from each gateway in `who`."""
         asked = (self.gateways[name].ask({"op": "zones", "act": "status"}) for name in step.who)
         return [one["zones"][step.node] for one in await asyncio.gather(*asked)]
 
-    async def _is_back(self, step: StepPart) -> bool:
+    async def _is_back(self, step: ScenarioStep) -> bool:
         return all(one["phase"] == "in use" for one in await self._zone_statuses(step))
 
-    async def _is_left(self, step: StepPart) -> bool:
+    async def _is_left(self, step: ScenarioStep) -> bool:
         return all(not one["in_use"] for one in await self._zone_statuses(step))
 
-    async def _all_tell_dead(self, step: StepPart) -> bool:
+    async def _all_report_dead(self, step: ScenarioStep) -> bool:
         replies = await asyncio.gather(*(self.gateways[name].status() for name in step.who))
         dead = [
             {m["name"] for m in one.get("members", ()) if m["health"] == "dead"} for one in replies
@@ -201,7 +201,7 @@
         started_at = loop.time()
         for gateway in self.gateways.values():
             if gateway.name not in self.scenario.late:
-                await self.ask_steadily(gateway)
+                await self.start_load(gateway)
         for step in self.scenario.steps:
             await asyncio.sleep(max(0.0, started_at + step.at - loop.time()))
             self.say(f"{step.at:6.2f} s  {step.do} {' '.join(step.who)} {step.node}".rstrip())
@@ -212,7 +212,7 @@
         for gateway in self.gateways.values():
             gateway.send(signal.SIGCONT)
         await asyncio.gather(*(load.finish() for load in self.loads.values()))
-        Judge(self.result, self.nodes, self.gateways, self.loads).judge(started_at, ended)
+        ResultChecker(self.result, self.nodes, self.gateways, self.loads).check(started_at, ended)
         self._report_tracebacks()
         return self.result
 
@@ -223,14 +223,14 @@
             if count:
                 self.result.broken.append(f"{name}: {count} tracebacks in its log")
 
-    async def ask_steadily(self, gateway: GatewayProcess) -> None:
+    async def start_load(self, gateway: GatewayProcess) -> None:
         """Start clients that send requests to a gateway until the play ends."""
         seed = self.scenario.seed + self.names.index(gateway.name)
         name = gateway.name
         load = Load(gateway.addr, self.scenario.clients, MIX, 0.02, seed, f"{name}-")
         self.loads[name] = await load.__aenter__()
 
-    async def do(self, step: StepPart) -> None:
+    async def do(self, step: ScenarioStep) -> None:
         """Carry out a step; raises ScenarioError if a condition is not met in time."""
         chosen = [self.gateways[name] for name in step.who]
         now = asyncio.get_running_loop().time()
@@ -242,7 +242,7 @@
         elif step.do == "agree":
             await self._wait_until("all agree", lambda: self._all_agree(step.who or self.names))
         elif step.do == "dead":
-            await self._wait_until(f"{step.to} declared dead", lambda: self._all_tell_dead(step))
+            await self._wait_until(f"{step.to} declared dead", lambda: self._all_report_dead(step))
         elif step.do == "back":
             await self._wait_until(f"{step.node} is back", lambda: self._is_back(step))
         elif step.do == "left":
@@ -264,7 +264,7 @@
             for one in chosen:
                 await self._inject_fault(step, one, now)
 
-    async def _inject_fault(self, step: StepPart, one: GatewayProcess, now: float) -> None:
+    async def _inject_fault(self, step: ScenarioStep, one: GatewayProcess, now: float) -> None:
         state = one.folder / "state"
         if step.do == "pause":
             one.mark_down(now)
@@ -291,16 +291,16 @@
             await one.start()
             one.mark_up(now + 2.0)
             if one.name not in self.loads:
-                await self.ask_steadily(one)
+                await self.start_load(one)
 
-    def _set_cuts(self, step: StepPart) -> None:
+    def _set_cuts(self, step: ScenarioStep) -> None:
         for (a, b), relay in self.relays.items():
             if a in step.who and (not step.to or b in step.to):
                 relay.cut = step.do == "cut"
             elif step.do == "heal" and not step.who:
                 relay.cut = False
 
-    async def _issue_command(self, step: StepPart, gateway: GatewayProcess) -> None:
+    async def _issue_command(self, step: ScenarioStep, gateway: GatewayProcess) -> None:
         loop = asyncio.get_running_loop()
         asked = loop.time()
         try:
@@ -313,11 +313,11 @@
         elif answer.get("code") == "moved":
             end = "stale"
         text = str(answer.get("error", ""))
-        told = Told(step, gateway.name, asked, loop.time(), end, text)
-        self.result.told.append(told)
+        command_result = CommandResult(step, gateway.name, asked, loop.time(), end, text)
+        self.result.command_results.append(command_result)
         self.say(f"          {step.do} {step.node} at {gateway.name}: {end} {text}".rstrip())
 
-    async def _join(self, step: StepPart, gateway: GatewayProcess) -> dict[str, Any]:
+    async def _join(self, step: ScenarioStep, gateway: GatewayProcess) -> dict[str, Any]:
         """Admit members at new addresses: new ones, or ones that moved to another machine."""
         answer: dict[str, Any] = {}
         for name in step.to:
@@ -330,7 +330,7 @@
             answer = await gateway.ask(place)
         return answer
 
-    async def _run_command(self, step: StepPart, gateway: GatewayProcess) -> dict[str, Any]:
+    async def _run_command(self, step: ScenarioStep, gateway: GatewayProcess) -> dict[str, Any]:
         if step.do in ("ban", "unban"):
             return await gateway.ask(
                 {"op": "ban", "node": f"claims/{step.node}", "out": step.do == "ban", "why": "lab"}
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -29,7 +29,7 @@
 FAULTS = {
     Mode.HANGING: (Fault.SILENT,),
     Mode.RESETTING: (Fault.RESET_BEFORE, Fault.RESET_AFTER),
-    Mode.SPOILING: (Fault.SPOILT, Fault.HALF, Fault.ERROR),
+    Mode.SPOILING: (Fault.MALFORMED, Fault.TRUNCATED, Fault.ERROR),
     Mode.FULL: (Fault.REFUSE,),
 }
 
@@ -51,17 +51,17 @@
         kinds = FAULTS.get(self.mode)
         return None if kinds is None else self.rng.choice(kinds)
 
-    def take(self, connection: Any, name: bytes, key: bytes) -> None:
+    def handle_request(self, connection: Any, name: bytes, key: bytes) -> None:
         now = time.monotonic()
         arrival = Arrival(
             name.decode(), self.name, now, connection.wait_ms / 1000, self.proxy.held(now)
         )
         self.records.arrivals.append(arrival)
-        super().take(connection, name, key)
+        super().handle_request(connection, name, key)
 
-    def _have_effect(self, connection: Any, name: bytes, key: bytes) -> None:
+    def _execute(self, connection: Any, name: bytes, key: bytes) -> None:
         before = len(self.log)
-        super()._have_effect(connection, name, key)
+        super()._execute(connection, name, key)
         if len(self.log) > before:
             count = self.records.effects
             count[name.decode()] = count.get(name.decode(), 0) + 1
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -22,7 +22,7 @@
 from sailhitch.daemon.store import Store, StoreError
 from sailhitch.lab.files import toml_text
 from sailhitch.lab.load import Load
-from sailhitch.lab.node import Fault, Memory, Node, doubled
+from sailhitch.lab.node import Fault, Memory, Node, executed_twice
 from sailhitch.lab.ports import free_port
 from tests.daemons import Inside, file_value, inside, made, outside, part, pool
 from tests.sockets import PATIENCE, Client, dial, until
@@ -123,7 +123,7 @@
                 await until(lambda: "a" not in it.live.pools["p"].endpoints)
                 await load.finish()
                 assert set(load.ends) == {"served"}
-                assert not doubled([a, b])
+                assert not executed_twice([a, b])
 
     run(work)
 
@@ -217,7 +217,7 @@
                 assert (await keyed.answer())[0] == 200
                 await until(lambda: len(it.live.core.pools) == 1)
                 assert b.seen == 1
-                assert not doubled([a, b])
+                assert not executed_twice([a, b])
 
     run(work)
 
@@ -365,7 +365,7 @@
 def test_fifty_applies_in_a_row_lose_and_double_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         memory = Memory()
-        cold: dict[str, Any] = {"cold": 0.1, "breaks_at": 4}
+        cold: dict[str, Any] = {"cold": 0.1, "fails_above": 4}
         nodes = {f"n{i}": Node(0.003, memory=memory, reports=True, **cold) for i in range(6)}
         for node in nodes.values():
             await node.start()
@@ -403,8 +403,8 @@
             assert load.ends["served"] == load.asked > 500
             assert max(load.answers.values()) == 1
             assert not load.wrong
-            assert not doubled(list(nodes.values()))
-            assert not any(node.overloaded_at for node in nodes.values())
+            assert not executed_twice(list(nodes.values()))
+            assert not any(node.has_failed for node in nodes.values())
             # What was on its way when a node was taken out comes within the grace.
             assert all(after < 1.0 for node in nodes.values() for _, after in node.late)
             await until(lambda: not it.live.endpoints.draining)
@@ -650,7 +650,7 @@
                 assert {n["node"] for n in hosts["pools"]["p"]} == {
                     "a" if live["serial"] == 1 else "b"
                 }
-                assert not doubled([a, b])
+                assert not executed_twice([a, b])
                 assert max(load.answers.values()) == 1
                 assert not [n for n in os.listdir(tmp_path / "state") if n.startswith(".")]
 
--- a/tests/test_front_crowds.py
+++ b/tests/test_front_crowds.py
@@ -67,7 +67,7 @@
         """The honest are served, nobody is answered twice, and the budget holds."""
         core = self.it.core
         assert self.honest.share >= share, (self.honest.ends, core.admission.summary())
-        assert self.honest.twice == 0
+        assert self.honest.answered_twice == 0
         assert all(count == 1 for count in self.node.effects.values())
         assert core.counters.panics == core.counters.faults == 0
         assert core.admission.held == len(core.clients) + len(core.arriving)
--- a/tests/test_tier_processes.py
+++ b/tests/test_tier_processes.py
@@ -1,6 +1,6 @@
-"""The promises of the tier by real daemons with faults between them, judged by the nodes' logs.
+"""Checks the tier's promises with real daemons and faults between them, by the nodes' logs.
 
-Each scenario is played in the fleet model as well: what operators are told has to be alike.
+Each scenario is also played in the fleet model, and operators' commands must end alike in both.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 import pytest
 
-from sailhitch.lab.judge import Result, Told, table
+from sailhitch.lab.judge import CommandResult, Result, table
 from sailhitch.lab.modelled import ModelPlay, compare, play_modelled
 from sailhitch.lab.scenario import Scenario, load_scenario
 from sailhitch.lab.tier import play
 
 FILES = sorted((Path(__file__).parent.parent / "deploy/lab").glob("*.toml"))
 SCENARIOS = {path.stem: load_scenario(path) for path in FILES}
-AT_A_TIME = 4  # each has three to seven daemons, and as many clients again
+MAX_CONCURRENT = 4  # scenarios; each has three to seven daemons, and as many sets of clients
 SEEDS = range(8)
 
 
@@ -32,15 +32,15 @@
 ) -> None:
     for seed, made in zip(SEEDS, modelled[name], strict=True):
         assert not made.broken, f"seed {seed}"
-        wrong = [one for one in made.told if one.step.ends not in ("", one.end)]
+        wrong = [one for one in made.command_results if one.step.ends not in ("", one.end)]
         assert not wrong, f"seed {seed}"
-        assert made.told
+        assert made.command_results
 
 
 def test_scenarios_keep_their_promises_by_processes_and_end_as_in_the_model(
     modelled: dict[str, list[ModelPlay]],
 ) -> None:
-    limit = asyncio.Semaphore(AT_A_TIME)
+    limit = asyncio.Semaphore(MAX_CONCURRENT)
 
     async def one(scenario: Scenario) -> Result:
         async with limit:
@@ -54,19 +54,21 @@
     broken = ["\n".join([r.scenario.name, *table(r)]) for r in results if r.broken]
     assert not broken, "\n\n".join(broken)
     for name, result in zip(SCENARIOS, results, strict=True):
-        assert result.told, result.scenario.name
+        assert result.command_results, result.scenario.name
         assert all(ends["served"] for ends in result.ends.values()), result.scenario.name
         found = compare(result, modelled[name])
         assert not found.differs, "\n".join([result.scenario.name, *found.lines, *found.differs])
 
 
-def test_what_ends_otherwise_than_in_the_model_is_told() -> None:
+def test_a_result_that_differs_from_the_model_is_reported() -> None:
     scenario = SCENARIOS["gone"]
     plays = play_modelled(scenario, [1])
-    told = [Told(one.step, one.by, 0.0, 1.0, one.end, "") for one in plays[0].told]
-    assert compare(Result(scenario, told), plays).differs == []
-    told[1].end = "stale"
-    [said] = compare(Result(scenario, told), plays).differs
-    assert said == "ban n2 at g1: stale by processes, pending in the model"
+    command_results = [
+        CommandResult(one.step, one.by, 0.0, 1.0, one.end, "") for one in plays[0].command_results
+    ]
+    assert compare(Result(scenario, command_results), plays).differs == []
+    command_results[1].end = "stale"
+    [difference] = compare(Result(scenario, command_results), plays).differs
+    assert difference == "ban n2 at g1: stale by processes, pending in the model"
     plays[0].broken = "2: something"
-    assert "in the model: 2: something" in compare(Result(scenario, told), plays).differs
+    assert "in the model: 2: something" in compare(Result(scenario, command_results), plays).differs
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -13,7 +13,7 @@
 
 from sailhitch.core.core import GatewayCore
 from sailhitch.lab.message import build
-from sailhitch.lab.node import Fault, Memory, Node, doubled
+from sailhitch.lab.node import Fault, Memory, Node, executed_twice
 from sailhitch.lab.ports import free_port
 from tests.daemons import Inside, file_value, inside, pool
 from tests.sockets import PATIENCE, Client, Gate, Registry, dial, entry, gate, until
@@ -159,7 +159,7 @@
             if status == 503 and kind == "unsafe":
                 # Turned away: it must not have run.
                 assert not any(node.effects[b"r%d" % i] for node in nodes.values())
-        assert not doubled(list(nodes.values()))
+        assert not executed_twice(list(nodes.values()))
         if fault in (Fault.REFUSE, Fault.RESET_BEFORE) and kind == "safe":
             assert [status for status, _ in answers].count(200) >= 3
 
@@ -205,7 +205,7 @@
         for _ in range(20):
             await asyncio.gather(*(ask(client) for client in clients))
         assert nodes["a"].late == []
-        assert not doubled(list(nodes.values()))
+        assert not executed_twice(list(nodes.values()))
 
     play(wiring, tmp_path, nodes, act)
 
@@ -232,14 +232,14 @@
             for client in clients:
                 group.create_task(ask(client))
             await until(lambda: asked > 300)
-            async with Node(0.005, workers=4, memory=memory, cold=COLD, breaks_at=6) as new:
+            async with Node(0.005, workers=4, memory=memory, cold=COLD, fails_above=6) as new:
                 await it.add("new", new)
                 began, others = new.seen, [node.seen for node in nodes.values()]
                 await until(lambda: sum(n.seen for n in nodes.values()) > sum(others) + 600)
                 each = (sum(node.seen for node in nodes.values()) - sum(others)) / 3
                 # At first it may have 0.3 of what one of the others has, and by now little more.
                 assert 0 < new.seen - began < 0.7 * each
-                assert not new.overloaded_at
+                assert not new.has_failed
                 going = False
                 await asyncio.sleep(0.1)
 
