--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -25,7 +25,7 @@
 sys.path.insert(0, str(ROOT))
 
 from benchmarks.overhead import memory_of  # noqa: E402
-from tests.generations import call, hosted  # noqa: E402
+from tests.generations import call_operator, supervisor_with_hosts  # noqa: E402
 from tests.sockets import (  # noqa: E402
     Client,
     Registry,
@@ -141,9 +141,9 @@
 
     banned, a, b = Server(prompt), Server(prompt), Server(prompt)
     with tempfile.TemporaryDirectory() as folder:
-        async with hosted(Path(folder), a=a, b=b, out=banned) as site:
+        async with supervisor_with_hosts(Path(folder), a=a, b=b, out=banned) as site:
             newest = await site.ready()
-            assert await newest.out("out") == 200
+            assert await newest.enter_maintenance("out") == 200
             await asyncio.sleep(0.1)
             before = len(banned.seen)
             over, asked = asyncio.Event(), 0
@@ -168,7 +168,7 @@
                 old, newest = newest, await site.ready()
                 ready.append(time.perf_counter() - began)
                 began = time.perf_counter()
-                await call(newest.operator, "/maintenance/enter?target=out")
+                await call_operator(newest.operator, "/maintenance/enter?target=out")
                 calls.append(time.perf_counter() - began)
                 assert await old.end() == 0
                 upgrading = False
--- a/tests/generations.py
+++ b/tests/generations.py
@@ -1,4 +1,4 @@
-"""A platform that holds clients' socket and starts one process of a gateway beside another."""
+"""A supervisor that owns the listening socket and starts successive processes of a gateway."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 )
 
 
-async def call(addr: str, path: str, method: str = "POST") -> int:
-    """One call to an operators' door: the status it is answered with."""
+async def call_operator(addr: str, path: str, method: str = "POST") -> int:
+    """Send a request to the operator interface; return the status of the response."""
     client = await dial(addr)
     client.send(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
     answer = await client.rest()
@@ -34,22 +34,22 @@
     return int(answer.split(b" ")[1])
 
 
-class Generation:
-    """One process."""
+class ProcessHandle:
+    """One process of the gateway."""
 
     def __init__(self, program: asyncio.subprocess.Process, operator: str, log: Path) -> None:
         self.program, self.operator, self.log = program, operator, log
 
     async def serving(self) -> bool:
         with contextlib.suppress(OSError, IndexError):
-            return await call(self.operator, "/status", "GET") == 200
+            return await call_operator(self.operator, "/status", "GET") == 200
         return False
 
-    async def out(self, host: str) -> int:
-        return await call(self.operator, f"/maintenance/enter?target={host}")
+    async def enter_maintenance(self, host: str) -> int:
+        return await call_operator(self.operator, f"/maintenance/enter?target={host}")
 
-    async def back(self, host: str) -> int:
-        return await call(self.operator, f"/maintenance/exit?target={host}")
+    async def exit_maintenance(self, host: str) -> int:
+        return await call_operator(self.operator, f"/maintenance/exit?target={host}")
 
     async def until_serving(self) -> None:
         async with asyncio.timeout(PATIENCE):
@@ -64,7 +64,7 @@
 
 
 class ConfigPipe:
-    """A named pipe in place of a configuration file: its reader waits until it is written."""
+    """A named pipe in place of a configuration file; its reader blocks until it is written."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -75,7 +75,7 @@
         """Wait until a process has opened it."""
         async with asyncio.timeout(PATIENCE):
             while self._descriptor < 0:
-                with contextlib.suppress(OSError):  # ENXIO: nobody has
+                with contextlib.suppress(OSError):  # ENXIO: not opened yet
                     self._descriptor = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
                 await asyncio.sleep(0.01)
 
@@ -85,8 +85,8 @@
         os.close(self._descriptor)
 
 
-class Site:
-    """Holds the socket; `start` starts the next process beside those that live."""
+class Supervisor:
+    """Owns the listening socket; `start` starts the next process beside those running."""
 
     def __init__(self, folder: Path, value: dict[str, Any]) -> None:
         self.folder, self.path = folder, folder / "config.json"
@@ -96,13 +96,13 @@
         self.addr = f"127.0.0.1:{self.sock.getsockname()[1]}"
         self.path.write_text(json.dumps(value | {"listen": self.addr}))
         self.discovery = str(value["discovery"])
-        self.all: list[Generation] = []
+        self.processes: list[ProcessHandle] = []
 
-    async def start(self, **env: str) -> Generation:
-        """One more process, not waited for."""
+    async def start(self, **env: str) -> ProcessHandle:
+        """Start one more process, without waiting until it serves."""
         operator = f"127.0.0.1:{free_port()}"
-        told = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
-        told |= {
+        child_env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
+        child_env |= {
             "EDGE_CONFIG": str(self.path),
             "EDGE_NAME": "n0",
             "EDGE_LISTEN": self.addr,
@@ -111,39 +111,39 @@
             "EDGE_SOCKET_FD": str(self.sock.fileno()),
             "TMPDIR": str(self.folder),
         }
-        log = self.folder / f"log{len(self.all)}"
+        log = self.folder / f"log{len(self.processes)}"
         with log.open("wb") as file:
             program = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-B",
                 "-m",
                 "sailhitch",
-                env=told | env,
+                env=child_env | env,
                 stderr=file,
                 pass_fds=(self.sock.fileno(),),
             )
-        made = Generation(program, operator, log)
-        self.all.append(made)
-        return made
+        process = ProcessHandle(program, operator, log)
+        self.processes.append(process)
+        return process
 
-    async def ready(self, **env: str) -> Generation:
-        """One more process, once it serves."""
-        made = await self.start(**env)
-        await made.until_serving()
-        return made
+    async def ready(self, **env: str) -> ProcessHandle:
+        """Start one more process, and wait until it serves."""
+        process = await self.start(**env)
+        await process.until_serving()
+        return process
 
     async def client(self) -> Client:
         return await dial(self.addr)
 
 
 @contextlib.asynccontextmanager
-async def site(folder: Path, value: dict[str, Any]) -> AsyncIterator[Site]:
-    """A site whose processes end with it."""
-    it = Site(folder, value)
+async def supervisor(folder: Path, value: dict[str, Any]) -> AsyncIterator[Supervisor]:
+    """Yield a supervisor whose processes are killed at the end."""
+    it = Supervisor(folder, value)
     try:
         yield it
     finally:
-        for one in it.all:
+        for one in it.processes:
             if one.program.returncode is None:
                 one.program.kill()
             await one.program.wait()
@@ -151,17 +151,17 @@
 
 
 @contextlib.asynccontextmanager
-async def hosted(folder: Path, **hosts: Server) -> AsyncIterator[Site]:
-    """A site with these hosts behind it."""
+async def supervisor_with_hosts(folder: Path, **hosts: Server) -> AsyncIterator[Supervisor]:
+    """Yield a supervisor whose gateway uses these hosts."""
     async with contextlib.AsyncExitStack() as stack:
         for host in hosts.values():
             await stack.enter_async_context(host)
-        named = [(name, host.addr) for name, host in hosts.items()]
-        registry = await stack.enter_async_context(Registry(*named))
-        value = config_value(registry.addr, *named)
-        yield await stack.enter_async_context(site(folder, value))
+        addresses = [(name, host.addr) for name, host in hosts.items()]
+        registry = await stack.enter_async_context(Registry(*addresses))
+        value = config_value(registry.addr, *addresses)
+        yield await stack.enter_async_context(supervisor(folder, value))
 
 
-async def told(generation: Generation, text: str) -> None:
-    """Wait until its log says so."""
-    await until(lambda: text in generation.log.read_text())
+async def wait_for_log(process: ProcessHandle, text: str) -> None:
+    """Wait until the process's log contains a text."""
+    await until(lambda: text in process.log.read_text())
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -1,4 +1,4 @@
-"""Nodes taken out by hand in the operator's daemon: a ban is part of the state, and no file's."""
+"""Bans of nodes by the operator: they are part of the daemon's state, not of the operator file."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
                 before = a.seen
                 await _get(it.addr, 40)
                 assert a.seen == before
-                # Said again it stays as it was first said; an apply by a file leaves it.
+                # A repeated ban keeps the first reason, and applying a file keeps the ban.
                 await it.source.ban("p/a", {**ban, "why": "other"}, "t")
                 assert it.live.applied.state["bans"]["p/a"]["why"] == "disk"
                 more = file_value([pool("p", {"a": a, "b": b}), pool("q", {})], port)
                 await it.source.apply_file(made(more), "SIGHUP")
                 assert it.live.applied.state["bans"].keys() == {"p/a"}
-                # Taken out of the list and put in again, it is another life of a banned node.
+                # Removed from the file and added again, the node is still banned.
                 await it.source.apply_file(made(file_value([pool("p", {"b": b})], port)), "t")
                 await it.source.apply_file(made(value), "t")
                 await _get(it.addr, 40)
@@ -78,7 +78,9 @@
     asyncio.run(work())
 
 
-def test_what_waits_for_a_node_is_not_sent_to_one_that_comes_back_banned(tmp_path: Path) -> None:
+def test_a_waiting_request_is_not_sent_to_a_node_that_is_added_again_while_banned(
+    tmp_path: Path,
+) -> None:
     async def work() -> None:
         async with Node() as a:
             port = free_port()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,6 +1,6 @@
-"""A wall clock that is wrong at the start of a process, or was stepped, decides nothing for long.
+"""A wall clock that is wrong when a process starts, or is stepped, has no lasting effect.
 
-A host's time of start is the wall clock's of another machine, and may seem to lie ahead.
+A host's start time is read from another machine's wall clock, and may lie in the future here.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from sailhitch.handover.takeover import Takeover
 from sailhitch.policy_interface import WatchEventKind
 from tests.fake import START, GatewayHarness, S, server
-from tests.generations import hosted, told
+from tests.generations import supervisor_with_hosts, wait_for_log
 from tests.sockets import Registry, Server, gate, until
 
 HOUR = 3600 * S
-COLD = 10 * S  # as tests/fake.py has it
+COLD = 10 * S  # as in tests/fake.py
 WARM_AT = 2 * COLD  # by then it has also left its share
 
 
 def is_cold(world: GatewayHarness, name: str) -> bool:
-    roster = world.gateway.endpoint_table
-    roster.regroup(world.now)
-    return any(one.name == name for one in roster.slow_start.servers)
+    endpoint_table = world.gateway.endpoint_table
+    endpoint_table.regroup(world.now)
+    return any(one.name == name for one in endpoint_table.slow_start.servers)
 
 
 @pytest.mark.parametrize("ahead", [2 * S, HOUR])
@@ -51,7 +51,9 @@
 
 
 @pytest.mark.parametrize("mode", [WatchEventKind.CHANGES, WatchEventKind.SNAPSHOT])
-def test_what_is_listed_again_with_such_a_start_has_not_started_anew(mode: WatchEventKind) -> None:
+def test_listing_a_host_again_with_a_start_in_the_future_is_no_restart(
+    mode: WatchEventKind,
+) -> None:
     entries = [server("a", boot=START + HOUR), server("b")]
     world = GatewayHarness(*entries)
     world.request(1)
@@ -60,11 +62,11 @@
     for second in range(1, 12):
         world.run(second * 2 * S)
         world.gateway.on_watch_event(world.now, mode, entries)
-    assert known.answered_at  # it is not forgotten
+    assert known.answered_at  # what was learned of it is kept
     assert not is_cold(world, "a")
 
 
-def test_another_start_is_one_though_both_seem_to_lie_ahead() -> None:
+def test_a_changed_start_is_a_restart_though_both_are_in_the_future() -> None:
     world = GatewayHarness(server("a", boot=START + HOUR), server("b"))
     world.run(WARM_AT + S)
     assert not is_cold(world, "a")
@@ -76,35 +78,35 @@
     assert not is_cold(world, "a")
 
 
-def test_what_is_handed_on_is_taken_by_the_clock_of_who_takes_it() -> None:
-    """The wall clock was set back by an hour between the starts of the two processes."""
-    before = GatewayHarness(server("a"), server("b"))
-    overload = before.gateway.overload
-    overload.fleet.cut(before.now, 100.0, 3.0 * S)
-    overload.fleet.count_response(before.now)
-    known = before.gateway.endpoint_table.servers["a"]
-    known.ejections, known.ejected_until = 1, before.now + S
-    legacy = ProcessSnapshot(
+def test_times_in_a_snapshot_are_translated_to_the_successors_clock() -> None:
+    """The wall clock is set back by an hour between the starts of the two processes."""
+    old = GatewayHarness(server("a"), server("b"))
+    overload = old.gateway.overload
+    overload.fleet.cut(old.now, 100.0, 3.0 * S)
+    overload.fleet.count_response(old.now)
+    known = old.gateway.endpoint_table.servers["a"]
+    known.ejections, known.ejected_until = 1, old.now + S
+    snapshot = ProcessSnapshot(
         ["a"],
-        {"a": before.now},
-        {"b": CompletedBan(before.now, before.now)},
-        policy=take_snapshot(before.gateway),
+        {"a": old.now},
+        {"b": CompletedBan(old.now, old.now)},
+        policy=take_snapshot(old.gateway),
         clock_epoch=5 * HOUR,
     )
-    taken = translate_clock(decode_snapshot(encode_snapshot(legacy)), 4 * HOUR)
-    after = GatewayHarness(server("a"), server("b"))
-    after.now -= HOUR
-    assert taken.policy is not None
-    restore_snapshot(after.gateway, taken.policy)
-    assert after.gateway.endpoint_table.servers["a"].ejected_until == after.now + S
-    # Cut a moment ago, the rate is four fifths of what came in, as in the process before.
-    assert after.gateway.overload.fleet.grow(after.now) == pytest.approx(80.0)
-    assert taken.bans == {"a": after.now}
-    assert taken.completed_bans["b"] == CompletedBan(after.now, after.now)
-    # From a process that does not tell its clock, all is taken as it is.
+    translated = translate_clock(decode_snapshot(encode_snapshot(snapshot)), 4 * HOUR)
+    new = GatewayHarness(server("a"), server("b"))
+    new.now -= HOUR
+    assert translated.policy is not None
+    restore_snapshot(new.gateway, translated.policy)
+    assert new.gateway.endpoint_table.servers["a"].ejected_until == new.now + S
+    # The rate was just cut to four fifths of the receive rate, as in the predecessor.
+    assert new.gateway.overload.fleet.grow(new.now) == pytest.approx(80.0)
+    assert translated.bans == {"a": new.now}
+    assert translated.completed_bans["b"] == CompletedBan(new.now, new.now)
+    # Times of a process that sends no clock epoch are taken unchanged.
     assert (
-        translate_clock(msgspec.structs.replace(legacy, clock_epoch=0), 4 * HOUR).bans
-        == legacy.bans
+        translate_clock(msgspec.structs.replace(snapshot, clock_epoch=0), 4 * HOUR).bans
+        == snapshot.bans
     )
 
 
@@ -112,17 +114,17 @@
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
-        async with hosted(tmp_path, a=Server()) as it:
+        async with supervisor_with_hosts(tmp_path, a=Server()) as it:
             first = await it.ready()
-            assert await first.out("a") == 200
-            await told(first, "out for maintenance")
+            assert await first.enter_maintenance("a") == 200
+            await wait_for_log(first, "out for maintenance")
             back = time.time_ns() - time.monotonic_ns() - HOUR * 1000
             stepped = mock.Mock(side_effect=lambda: time.monotonic_ns() + back)
             discovery = json.loads(it.path.read_text())["discovery"]
             with mock.patch("time.time_ns", stepped):
                 async with gate(discovery=discovery) as other:
-                    places = HandoverFiles(str(tmp_path), "n0")
-                    second = Takeover(other.platform, other.listener, places)
+                    files = HandoverFiles(str(tmp_path), "n0")
+                    second = Takeover(other.platform, other.listener, files)
                     await second.inherit()
                     since = other.pool.maintenance.bans["a"]
                     assert 0 <= other.core.clock() - since < 60 * S
@@ -132,9 +134,9 @@
 
 
 def test_a_gateway_whose_clock_is_ahead_knows_a_host_that_has_just_restarted() -> None:
-    """Its wall clock is an hour ahead of the host's: by that the host has run for an hour.
+    """Its wall clock is an hour ahead of the host's, by which the host has run for an hour.
 
-    The list had the host with another start until a moment before.
+    The list had the host with another start time until just before.
     """
 
     async def play(asked: bool) -> None:
@@ -146,7 +148,7 @@
                 known = it.pool.policy.endpoint_table
                 await until(lambda: it.discovery.version == 1)
                 seen = len(registry.seen)
-                await until(lambda: len(registry.seen) > seen + 2)  # the list holds
+                await until(lambda: len(registry.seen) > seen + 2)  # the list is unchanged
                 registry.entries[0]["started_ms"] = int(time.time() * 1000) - 3_600_000
                 registry.version = 2
                 await until(lambda: it.discovery.version == 2)
@@ -157,12 +159,12 @@
 
 
 @pytest.mark.parametrize("mode", [WatchEventKind.CHANGES, WatchEventKind.SNAPSHOT])
-def test_a_gateway_whose_clock_is_ahead_takes_no_host_that_restarted_for_warm(
+def test_a_gateway_whose_clock_is_ahead_treats_a_restarted_host_as_cold(
     mode: WatchEventKind,
 ) -> None:
-    """Its wall clock is an hour ahead of all hosts': what starts seems to have run for an hour.
+    """Its wall clock is an hour ahead of all hosts': one that starts seems to have run for an hour.
 
-    The list held a second ago with another start, so the host can't have run for longer.
+    The list had another start time a second ago, so the host can't have run for longer than that.
     """
     world = GatewayHarness(server("a", boot=START - HOUR), server("b", boot=START - HOUR))
     world.run(WARM_AT + S)
@@ -172,7 +174,7 @@
     world.gateway.on_watch_event(world.now, mode, entries, world.now - S)
     assert is_cold(world, "a")
     assert not is_cold(world, "b")
-    # What it has learned of the clocks holds for a host that is new, too.
+    # The clock difference that it has learned applies to a new host, too.
     joined = [*entries, server("c", boot=started + S)]
     world.gateway.on_watch_event(world.now, mode, joined, world.now - S)
     assert is_cold(world, "c")
@@ -187,5 +189,5 @@
     entries = [server("a", boot=START + S), server("b")]
     world.gateway.on_watch_event(
         world.now, WatchEventKind.SNAPSHOT, entries, START + S
-    )  # the last list came before that
+    )  # the last list is older than the start
     assert not is_cold(world, "a")
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -1,7 +1,7 @@
-"""Disks that fail for a while (ENOSPC, EIO): what was taken on holds once they are back.
+"""Disks that fail for a while (ENOSPC, EIO): accepted changes take effect once they work again.
 
-A file can't be written where a folder has its temporary name, whoever asks; or a write fails by
-the test's word, as SQLite and the file system report it.
+To make writes fail, a directory takes the name of the temporary file, which stops even root; or a
+patched function raises the error that SQLite or the file system would report.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 from sailhitch.lab.ports import free_port
 from sailhitch.tier.disk import Disk, DiskError
 from tests.daemons import file_value, made, pool
-from tests.generations import Generation, hosted, told
+from tests.generations import ProcessHandle, supervisor_with_hosts, wait_for_log
 from tests.sockets import PATIENCE, Server, dial, request, until
 
 FAILED = "can't write maintenance marks"
 
 
-def block_writes(folder: Path, process: Generation) -> Path:
-    """Have this process's writes of its bans fail, until the returned folder is removed."""
+def block_writes(folder: Path, process: ProcessHandle) -> Path:
+    """Make this process's writes of its bans fail until the returned directory is removed."""
     blocker = folder / f"sailhitch-n0.{process.program.pid}"
     blocker.mkdir()
     return blocker
 
 
-async def asked(addr: str, host: Server) -> int:
-    """How many of some requests this host gets."""
+async def count_requests_to(addr: str, host: Server) -> int:
+    """Send requests; return how many of them the host gets."""
     before = len(host.seen)
     client = await dial(addr)
     for _ in range(30):
@@ -53,22 +53,22 @@
 def test_a_ban_that_could_not_be_kept_for_a_while_outlasts_a_killed_process(tmp_path: Path) -> None:
     async def play() -> None:
         a = Server()
-        async with hosted(tmp_path, a=a, b=Server()) as it:
+        async with supervisor_with_hosts(tmp_path, a=a, b=Server()) as it:
             first = await it.ready()
             blocker = block_writes(tmp_path, first)
-            assert await first.out("a") == 200
-            await told(first, FAILED)
+            assert await first.enter_maintenance("a") == 200
+            await wait_for_log(first, FAILED)
             blocker.rmdir()
-            kept = tmp_path / "sailhitch-n0.bans"
+            bans_file = tmp_path / "sailhitch-n0.bans"
             async with asyncio.timeout(PATIENCE):
                 for _ in range(100):
-                    if kept.exists():
+                    if bans_file.exists():
                         break
                     await asyncio.sleep(0.05)
-            assert kept.exists()
+            assert bans_file.exists()
             await first.end(signal.SIGKILL)
             await it.ready()
-            assert await asked(it.addr, a) == 0
+            assert await count_requests_to(it.addr, a) == 0
 
     asyncio.run(play())
 
@@ -76,22 +76,22 @@
 def test_a_ban_that_one_process_could_not_keep_is_kept_by_the_next(tmp_path: Path) -> None:
     async def play() -> None:
         a = Server()
-        async with hosted(tmp_path, a=a, b=Server()) as it:
+        async with supervisor_with_hosts(tmp_path, a=a, b=Server()) as it:
             first = await it.ready()
             block_writes(tmp_path, first)
-            assert await first.out("a") == 200
-            await told(first, FAILED)
+            assert await first.enter_maintenance("a") == 200
+            await wait_for_log(first, FAILED)
             second = await it.ready()
             assert await first.end() == 0
             await second.end(signal.SIGKILL)
             await it.ready()
-            assert await asked(it.addr, a) == 0
+            assert await count_requests_to(it.addr, a) == 0
 
     asyncio.run(play())
 
 
 def tier_of_one(folder: Path, nodes: dict[str, Node]) -> dict[str, Any]:
-    """The operator file's value of the one member of a tier."""
+    """Return the operator file of the only member of a tier."""
     (folder / "keys").write_text(f"1 {os.urandom(32).hex()}\n")
     gateway = {"state_dir": str(folder / "state"), "admin": str(folder / "admin.sock")}
     here = f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"
@@ -106,7 +106,7 @@
 
 
 class FailingDisk:
-    """Has writes of a kind fail for as long as `full` is set."""
+    """Wraps a write function, which raises an error while `full` is set."""
 
     def __init__(self, write: Callable[..., Any], error: Exception) -> None:
         self.write, self.error = write, error
@@ -130,10 +130,10 @@
 def test_a_member_whose_disk_failed_for_a_while_takes_part_again(
     kind: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A ban that is asked for meanwhile is in force once the disk is back."""
+    """A ban that is requested during the failure is in force once the disk works again."""
     owner, name, error = KINDS[kind]
     disk = FailingDisk(getattr(owner, name), error)
-    # A function, as an attribute of a class is bound to its instances.
+    # The lambda is needed to become a method; FailingDisk would not be bound to instances.
     monkeypatch.setattr(owner, name, lambda *args: disk(*args))  # noqa: PLW0108
 
     async def get(addr: str, count: int) -> None:
@@ -155,8 +155,8 @@
             await until(lambda: disk.failures > 1 or ban.done())
             assert disk.failures > 1, await ban
             disk.full = False
-            said = await ban
-            assert said["ok"], said
+            reply = await ban
+            assert reply["ok"], reply
             before = a.seen
             await get(value["listeners"][0]["address"], 30)
             assert (a.seen, b.seen > 0) == (before, True)
@@ -170,40 +170,40 @@
     return ask(folder / "admin.sock", {"op": "ban", "node": node, "out": True, "why": "fan"})
 
 
-def test_bans_are_synced_before_they_are_told_as_kept(
+def test_bans_are_synced_before_the_write_returns(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A machine that crashes right after the answer has them: the file, and its name."""
-    done: list[str] = []
+    """They survive a machine crash after the response: file content and directory entry."""
+    calls: list[str] = []
     fsync, replace = os.fsync, os.replace
 
-    def note_fsync(descriptor: int) -> None:
-        done.append("sync " + Path(os.readlink(f"/proc/self/fd/{descriptor}")).name)
+    def record_fsync(descriptor: int) -> None:
+        calls.append("sync " + Path(os.readlink(f"/proc/self/fd/{descriptor}")).name)
         fsync(descriptor)
 
-    def note_replace(fresh: Path, path: Path) -> None:
-        done.append("replace")
+    def record_replace(fresh: Path, path: Path) -> None:
+        calls.append("replace")
         replace(fresh, path)
 
-    monkeypatch.setattr(os, "fsync", note_fsync)
-    monkeypatch.setattr(os, "replace", note_replace)
+    monkeypatch.setattr(os, "fsync", record_fsync)
+    monkeypatch.setattr(os, "replace", record_replace)
     HandoverFiles(str(tmp_path), "n0").write_maintenance(ProcessSnapshot(["a"], {"a": 1}, {}))
-    assert done == [f"sync sailhitch-n0.{os.getpid()}", "replace", f"sync {tmp_path.name}"]
+    assert calls == [f"sync sailhitch-n0.{os.getpid()}", "replace", f"sync {tmp_path.name}"]
 
 
-def test_bans_that_could_not_be_synced_leave_those_before(
+def test_bans_that_could_not_be_synced_leave_the_old_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    places = HandoverFiles(str(tmp_path), "n0")
-    places.write_maintenance(ProcessSnapshot(["a"], {"a": 1}, {}))
+    files = HandoverFiles(str(tmp_path), "n0")
+    files.write_maintenance(ProcessSnapshot(["a"], {"a": 1}, {}))
 
     def fail(descriptor: int) -> None:
         raise OSError(errno.EIO, os.strerror(errno.EIO))
 
     monkeypatch.setattr(os, "fsync", fail)
     with pytest.raises(OSError, match="Input/output"):
-        places.write_maintenance(ProcessSnapshot(["a", "b"], {"b": 2}, {}))
-    kept = places.read_maintenance()
-    assert kept is not None
-    assert kept.bans == {"a": 1}
-    assert [path.name for path in tmp_path.iterdir()] == [places.maintenance_file.name]
+        files.write_maintenance(ProcessSnapshot(["a", "b"], {"b": 2}, {}))
+    stored = files.read_maintenance()
+    assert stored is not None
+    assert stored.bans == {"a": 1}
+    assert [path.name for path in tmp_path.iterdir()] == [files.maintenance_file.name]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What one process leaves to the next: whole or nothing, and nobody notices."""
+"""Handover between processes: state is passed completely or not at all, unnoticed by clients."""
 
 from __future__ import annotations
 
@@ -31,7 +31,13 @@
 )
 from sailhitch.policy_interface import AttemptOutcome, LoadReport
 from tests.fake import MS, GatewayHarness, server
-from tests.generations import ConfigPipe, Site, hosted, site, told
+from tests.generations import (
+    ConfigPipe,
+    Supervisor,
+    supervisor,
+    supervisor_with_hosts,
+    wait_for_log,
+)
 from tests.sockets import Server, Writer, answer, config_value, request, until
 
 SNAPSHOT = ProcessSnapshot(
@@ -54,7 +60,7 @@
 
 
 @given(st.integers(0, 1 << 20), st.integers(0, 255), st.booleans())
-def test_state_that_is_cut_or_changed_is_taken_for_nothing(at: int, other: int, cut: bool) -> None:
+def test_a_truncated_or_changed_snapshot_is_rejected(at: int, other: int, cut: bool) -> None:
     data = bytearray(encode_snapshot(SNAPSHOT))
     at %= len(data)
     if cut:
@@ -67,7 +73,7 @@
         decode_snapshot(bytes(data))
 
 
-def test_bans_are_kept_whole_or_as_they_were(tmp_path: Path) -> None:
+def test_maintenance_marks_are_stored_completely_or_not_at_all(tmp_path: Path) -> None:
     files = HandoverFiles(str(tmp_path), "../n 0")
     assert files.read_maintenance() is None
     files.write_maintenance(SNAPSHOT)
@@ -81,7 +87,7 @@
 
 
 @given(st.integers(0, 384), st.integers(0, 384))
-def test_what_both_may_hold_is_no_more_than_the_whole_once_each_has_heard(a: int, b: int) -> None:
+def test_the_shares_of_both_processes_fit_the_limits_after_a_report(a: int, b: int) -> None:
     whole = ResourceLimits(80, 384, 100, 3_000_000)
     old, new = Share(has_successor=True, successor_is_ready=True), Share(has_predecessor=True)
     a, b = min(a, 300), min(b, 300)
@@ -103,12 +109,12 @@
 def test_clients_see_nothing_of_an_upgrade(tmp_path: Path) -> None:
     async def play() -> None:
         host = Server(slow)
-        async with hosted(tmp_path, a=host) as it:
+        async with supervisor_with_hosts(tmp_path, a=host) as it:
             old = await it.ready()
             idle, busy = [await it.client() for _ in range(2)]
             assert await idle.ask(request("i0")) == (200, b"slow")
             assert await busy.ask(request("b0")) == (200, b"slow")
-            # A client has 2.5 s for its request; on a busy machine a process takes longer to start.
+            # A client has 2.5 s to send its request; on a busy machine a process may start slower.
             pipe = ConfigPipe(tmp_path / "successor")
             new = await it.start(EDGE_CONFIG=str(pipe.path))
             await pipe.until_read()
@@ -119,7 +125,7 @@
             busy.send(request("b1", b"effect"))
             await until(lambda: len(host.seen) == 3)
             ending = asyncio.create_task(old.end())
-            await told(old, "draining")
+            await wait_for_log(old, "draining")
             late = await it.client()
             assert await late.ask(request("l1")) == (200, b"slow")
             assert await busy.answer() == (200, b"slow")
@@ -137,30 +143,30 @@
 def test_bans_outlast_processes_and_are_heard_by_both(tmp_path: Path) -> None:
     async def play() -> None:
         a = Server()
-        async with hosted(tmp_path, a=a, b=Server(), c=Server()) as it:
+        async with supervisor_with_hosts(tmp_path, a=a, b=Server(), c=Server()) as it:
             first = await it.ready()
-            assert await first.out("a") == 200
-            assert await first.out("a") == 200
-            assert await first.out("never") == 404
+            assert await first.enter_maintenance("a") == 200
+            assert await first.enter_maintenance("a") == 200
+            assert await first.enter_maintenance("never") == 404
             second = await it.ready()
-            assert await first.out("b") == 200  # after the state has passed
-            assert await second.back("b") == 200
+            assert await first.enter_maintenance("b") == 200  # after the snapshot was sent
+            assert await second.exit_maintenance("b") == 200
             assert await first.end() == 0
-            assert await _hosts_asked(it, a) == 0
-            # One that dies leaves what is kept in the file.
+            assert await _count_requests_to(it, a) == 0
+            # After a kill, only the file is left to restore from.
             await second.end(signal.SIGKILL)
             third = await it.ready()
-            assert await _hosts_asked(it, a) == 0
-            assert await third.back("a") == 200
+            assert await _count_requests_to(it, a) == 0
+            assert await third.exit_maintenance("a") == 200
             async with asyncio.timeout(30):
-                while not await _hosts_asked(it, a):
+                while not await _count_requests_to(it, a):
                     pass
 
     asyncio.run(play())
 
 
-async def _hosts_asked(it: Site, host: Server) -> int:
-    """How many of some requests that host gets."""
+async def _count_requests_to(it: Supervisor, host: Server) -> int:
+    """Send requests; return how many of them the host gets."""
     before = len(host.seen)
     client = await it.client()
     for _ in range(30):
@@ -173,7 +179,7 @@
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
-        async with hosted(tmp_path, a=Server()) as it:
+        async with supervisor_with_hosts(tmp_path, a=Server()) as it:
             old = await it.ready()
             client = await it.client()
             assert await client.ask(request("r0")) == (200, b"served")
@@ -181,39 +187,39 @@
             assert await failed.program.wait() == 2
             killed = await it.ready()
             await killed.end(signal.SIGKILL)
-            await told(old, "successor disconnected")
+            await wait_for_log(old, "successor disconnected")
             for i in range(20):
                 fresh = await it.client()
-                # What was in the dead one's hands is lost with it; nobody else's is.
+                # Only connections that the killed process had accepted are lost.
                 assert await fresh.ask(request(f"f{i}")) == (200, b"served")
             assert await client.ask(request("r1")) == (200, b"served")
-            # One that is ended with nobody after it drains as ever.
+            # Without a successor, the process drains as usual.
             assert await old.end() == 0
 
     asyncio.run(play())
 
 
 def test_connections_on_their_way_to_a_successor_that_ends_are_served_on(tmp_path: Path) -> None:
-    """The successor stands still while they are passed on, and is killed with them unread.
+    """The successor is stopped while they are passed on, and killed before it receives them.
 
-    Their descriptors lie in the socket between the two; the process before has closed its own. So
-    the system resets them, with whatever their clients have sent on them since.
+    Their only descriptors are in the socket between the two processes, as the predecessor has
+    closed its own. So the system would reset them, with any data that clients have sent since.
     """
 
     async def play() -> None:
-        async with hosted(tmp_path, a=Server()) as it:
+        async with supervisor_with_hosts(tmp_path, a=Server()) as it:
             old = await it.ready()
             clients = [await it.client() for _ in range(10)]
             for i, client in enumerate(clients):
                 assert await client.ask(request(f"r{i}")) == (200, b"served")
-            after = await it.ready()
-            after.program.send_signal(signal.SIGSTOP)
+            successor = await it.ready()
+            successor.program.send_signal(signal.SIGSTOP)
             old.program.send_signal(signal.SIGTERM)
-            await told(old, "SIGTERM: draining")
-            await asyncio.sleep(0.2)  # they are passed on within 0.02 s, while nobody takes them
+            await wait_for_log(old, "SIGTERM: draining")
+            await asyncio.sleep(0.2)  # they are passed on within 0.02 s, and stay unread
             for i, client in enumerate(clients):
                 client.send(request(f"s{i}"))
-            await after.end(signal.SIGKILL)
+            await successor.end(signal.SIGKILL)
             answers = (client.answer() for client in clients)
             ends = await asyncio.gather(*answers, return_exceptions=True)
             assert [repr(end) for end in ends] == ["(200, b'served')"] * len(clients)
@@ -224,7 +230,7 @@
 def test_a_peer_that_leaves_its_link_counts_as_ended_only_once_its_process_has(
     tmp_path: Path,
 ) -> None:
-    """It may have taken connections, and two processes would read from one."""
+    """While it runs, it may have taken connections; two processes would then read from one."""
     path = tmp_path / "s"
     code = (
         "import socket, sys\n"
@@ -249,15 +255,15 @@
                 assert not process.has_ended()
 
 
-def test_what_was_passed_on_is_taken_in_its_order_or_taken_back() -> None:
+def test_passed_connections_are_confirmed_in_order_or_taken_back() -> None:
     one, two = socket.socketpair()
     passed = PassedConnections()
     for sock in (one, two, two):
         passed.keep(sock.fileno())
     passed.confirm_oldest()
-    left = passed.take_back()
-    assert [os.path.sameopenfile(fd, two.fileno()) for fd in left] == [True, True]
-    for descriptor in left:
+    unconfirmed = passed.take_back()
+    assert [os.path.sameopenfile(fd, two.fileno()) for fd in unconfirmed] == [True, True]
+    for descriptor in unconfirmed:
         os.close(descriptor)
     passed.keep(one.fileno())
     passed.close()
@@ -269,7 +275,7 @@
 @pytest.mark.parametrize("descriptor", ["x", "999", "0"])
 def test_a_descriptor_that_is_no_listening_socket_is_named(tmp_path: Path, descriptor: str) -> None:
     async def play() -> None:
-        async with site(tmp_path, config_value("127.0.0.1:9")) as it:
+        async with supervisor(tmp_path, config_value("127.0.0.1:9")) as it:
             failed = await it.start(EDGE_SOCKET_FD=descriptor)
             assert await failed.program.wait() == 2
             assert "EDGE_SOCKET_FD" in failed.log.read_text()
@@ -280,7 +286,7 @@
 def test_upgrades_one_after_the_other_under_load_lose_and_double_nothing(tmp_path: Path) -> None:
     async def play() -> None:
         host = Server()
-        async with hosted(tmp_path, a=host) as it:
+        async with supervisor_with_hosts(tmp_path, a=host) as it:
             newest = await it.ready()
             asked = done = 0
             over = asyncio.Event()
@@ -306,7 +312,7 @@
     asyncio.run(play())
 
 
-def test_what_was_learned_goes_on_and_what_is_of_another_life_does_not() -> None:
+def test_learned_state_is_restored_except_for_restarted_hosts() -> None:
     hosts = [server("a", boot=1), server("b", boot=1), server("c")]
     old, new = GatewayHarness(*hosts), GatewayHarness(*hosts[:1], server("b", boot=2), server("c"))
     for i in range(200):
@@ -332,18 +338,20 @@
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
-        async with hosted(tmp_path, a=Server(), b=Server()) as it:
+        async with supervisor_with_hosts(tmp_path, a=Server(), b=Server()) as it:
             first = await it.ready()
             client = await it.client()
             assert await client.ask(request("r1")) == (200, b"served")
             second = await it.ready()
-            assert await first.out("b") == 200
+            assert await first.enter_maintenance("b") == 200
             third = await it.ready()
-            assert await third.out("a") == 200  # heard by all three, through the second
+            assert (
+                await third.enter_maintenance("a") == 200
+            )  # passed to all three, through the second
             assert await first.end() == 0
             assert await second.end() == 0
-            assert await third.back("a") == 200
-            assert await third.back("b") == 200
+            assert await third.exit_maintenance("a") == 200
+            assert await third.exit_maintenance("b") == 200
             async with asyncio.timeout(30):
                 for i in range(1000):
                     if (await client.ask(request(f"n{i}")))[0] == 200:
@@ -354,19 +362,19 @@
     asyncio.run(play())
 
 
-def test_what_an_end_has_said_is_heard_though_it_left_frames_unread() -> None:
+def test_frames_are_received_though_the_sender_closed_with_frames_unread() -> None:
     async def play() -> None:
-        heard: list[tuple[int, bytes]] = []
+        received: list[tuple[int, bytes]] = []
         over = asyncio.Event()
         one, other = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        link = Link(one, lambda kind, payload, _: heard.append((kind, payload)), over.set)
+        link = Link(one, lambda kind, payload, _: received.append((kind, payload)), over.set)
         link.send(b"Xunread")
         for i in range(3):
             other.send(b"C%d" % i)
-        other.close()  # with a frame on it that nobody read
+        other.close()  # while a frame sent to it is unread
         link.send(b"Xto nobody")
         async with asyncio.timeout(10):
             await over.wait()
-        assert heard == [(ord("C"), b"%d" % i) for i in range(3)]
+        assert received == [(ord("C"), b"%d" % i) for i in range(3)]
 
     asyncio.run(play())
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,7 +12,7 @@
 from sailhitch.control.server import MAX_CONNECTIONS, OperatorServer
 from sailhitch.core.log import Log
 from sailhitch.lab.ports import free_port
-from tests.generations import call
+from tests.generations import call_operator
 from tests.sockets import dial
 
 
@@ -85,10 +85,10 @@
         for one in silent[::2]:
             one.send(b"POST /maintenance/ent")
         for _ in range(30):
-            assert await call(addr, "/maintenance/enter?target=s%2F1%20a") == 200
-        assert await call(addr, "/status", "GET") == 200
+            assert await call_operator(addr, "/maintenance/enter?target=s%2F1%20a") == 200
+        assert await call_operator(addr, "/status", "GET") == 200
         acts.serves = False
-        assert await call(addr, "/status", "GET") == 503
+        assert await call_operator(addr, "/status", "GET") == 503
         assert len(server.pending) <= MAX_CONNECTIONS
         assert b" 408 " in await silent[0].rest()
         server.close()
--- a/tests/test_overlooked_ends.py
+++ b/tests/test_overlooked_ends.py
@@ -1,4 +1,4 @@
-"""Ends that nobody asked for: a start that fails for a moment, a log nobody reads, a cut answer."""
+"""Brief shortages at startup, a log pipe that nobody reads, and a response cut for a descriptor."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 from sailhitch.lab.ports import free_port
 from sailhitch.net import listener
 from tests.failing_calls import FailingCall
-from tests.generations import hosted, told
+from tests.generations import supervisor_with_hosts, wait_for_log
 from tests.sockets import PATIENCE, Registry, Server, Writer, config_value, gate, request, until
 
-# The real program, whose system has no descriptor or buffer for its first sockets.
+# Runs the real program; creating its first sockets fails for lack of descriptors or buffers.
 SHORT_START = """
 import errno, socket, sys
 from tests.failing_calls import FailingCall, ModuleWith
@@ -49,19 +49,19 @@
                 sys.executable, "-B", "-c", SHORT_START, env=env, stderr=asyncio.subprocess.PIPE
             )
             assert program.stderr is not None
-            said = b""
+            output = b""
             async with asyncio.timeout(PATIENCE):
                 while line := await program.stderr.readline():
-                    said += line
+                    output += line
                     if line.rstrip().endswith(b" ready"):
                         program.send_signal(signal.SIGTERM)
-                assert await program.wait() == 0, said.decode()
+                assert await program.wait() == 0, output.decode()
 
     asyncio.run(play())
 
 
 def test_a_log_that_nobody_reads_holds_nobody_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its pipe is full, as where whoever collects logs has stopped."""
+    """The pipe is full, as after a log collector has stopped reading."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     filled = 0
@@ -73,27 +73,27 @@
     with os.fdopen(writer, "w") as stream:
         monkeypatch.setattr(sys, "stderr", stream)
         log = Log("n0")
-        saying = threading.Thread(target=log.write, args=("a line",), daemon=True)
-        saying.start()
-        saying.join(2.0)
-        held_up = saying.is_alive()
+        writing = threading.Thread(target=log.write, args=("a line",), daemon=True)
+        writing.start()
+        writing.join(2.0)
+        blocked = writing.is_alive()
         while filled > 0:
             filled -= len(os.read(reader, min(filled, 65536)))
-        saying.join(PATIENCE)
+        writing.join(PATIENCE)
         log.write("another line")
         stream.flush()
-        said = os.read(reader, 65536).decode()
+        log_text = os.read(reader, 65536).decode()
     os.close(reader)
-    assert not held_up
-    assert "another line" in said
-    assert "a line\n" not in said.replace("another line", "")
-    assert "1 lines were lost" in said
+    assert not blocked
+    assert "another line" in log_text
+    assert "a line\n" not in log_text.replace("another line", "")
+    assert "1 lines were lost" in log_text
 
 
 def test_an_answer_that_its_client_still_reads_is_not_cut_for_a_descriptor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The last one of its connection, all of which the host has given."""
+    """The last response of its connection, which the host has sent completely."""
     monkeypatch.setattr(listener, "SEND_BUFFER", 4096)
     size = 512 * 1024
 
@@ -136,22 +136,22 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EAGAIN], ids=errno.errorcode.get)
-def test_a_process_before_is_found_though_the_system_is_short_for_a_moment(
+def test_a_predecessor_is_found_despite_a_brief_shortage_of_resources(
     number: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its socket can't be made, or its queue is full."""
+    """No socket can be created, or the predecessor's backlog is full."""
 
     async def play() -> None:
-        async with hosted(tmp_path, a=Server()) as it:
+        async with supervisor_with_hosts(tmp_path, a=Server()) as it:
             first = await it.ready()
-            assert await first.out("a") == 200
-            await told(first, "out for maintenance")
+            assert await first.enter_maintenance("a") == 200
+            await wait_for_log(first, "out for maintenance")
             value = json.loads(it.path.read_text())
             async with gate(discovery=value["discovery"]) as other:
                 failing = FailingCall(link._socket, [number, number])
                 monkeypatch.setattr(link, "_socket", failing)
-                places = HandoverFiles(str(tmp_path), "n0")
-                second = Takeover(other.platform, other.listener, places)
+                files = HandoverFiles(str(tmp_path), "n0")
+                second = Takeover(other.platform, other.listener, files)
                 await second.inherit()
                 assert failing.failures == 2
                 assert second.inherited
