--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -25,7 +25,7 @@
 sys.path.insert(0, str(ROOT))
 
 from benchmarks.overhead import peak_memory_mb  # noqa: E402
-from tests.generations import call, hosted  # noqa: E402
+from tests.generations import call_operator, supervisor_with_hosts  # noqa: E402
 from tests.sockets import (  # noqa: E402
     Client,
     DiscoveryServer,
@@ -141,9 +141,9 @@
 
     host_in_maintenance, a, b = Server(respond), Server(respond), Server(respond)
     with tempfile.TemporaryDirectory() as folder:
-        async with hosted(Path(folder), a=a, b=b, out=host_in_maintenance) as site:
+        async with supervisor_with_hosts(Path(folder), a=a, b=b, out=host_in_maintenance) as site:
             current = await site.ready()
-            assert await current.out("out") == 200
+            assert await current.enter_maintenance("out") == 200
             await asyncio.sleep(0.1)
             before = len(host_in_maintenance.seen)
             finished, asked = asyncio.Event(), 0
@@ -168,7 +168,7 @@
                 old, current = current, await site.ready()
                 ready.append(time.perf_counter() - began)
                 began = time.perf_counter()
-                await call(current.operator, "/maintenance/enter?target=out")
+                await call_operator(current.operator, "/maintenance/enter?target=out")
                 calls.append(time.perf_counter() - began)
                 assert await old.end() == 0
                 upgrading = False
--- a/benchmarks/front_door.py
+++ b/benchmarks/front_door.py
@@ -116,7 +116,7 @@
             "share": honest.share,
             "crowd": crowd_tally.share if crowd_tally.asked else None,
             "ends": dict(honest.ends),
-            "twice": honest.twice,
+            "twice": honest.answered_twice,
             "cpu": used / took,
             "cpu_us_a_request": used / max(1, honest.ends["served"]) * 1e6,
         }
