--- a/sailhitch/handover/takeover.py
+++ b/sailhitch/handover/takeover.py
@@ -171,7 +171,9 @@
             elif self.predecessor is not None:
                 self._on_shared_frame(self.predecessor, kind, payload)
         except HandoverError as error:
-            self.log.write(f"handover: invalid frame from the predecessor: {error}")
+            self.log.write(
+                f"handover: invalid frame from the predecessor, continuing without it: {error}"
+            )
             self._predecessor_done.set()
 
     def _take_clients(self, descriptors: list[int]) -> None:
