--- a/sailhitch/daemon/__init__.py
+++ b/sailhitch/daemon/__init__.py
@@ -1,6 +1,7 @@
-"""The operator's daemon: a file that says what is wanted, plans of changes, and their application.
+"""The gateway daemon, configured by an operator file: desired state, plans and their application.
 
-Sans-IO: `schema` (the file), `state` (what is wanted, in one plain form), `plan` (the difference of
-two), `routes` (which pool a request goes to), `tables` (the module's settings). On sockets and
-disk: `store`, `live`, `intake`, `admin`, `process`. The platform's line imports none of it.
+Sans-IO: `schema` (the operator file), `state` (the desired state as plain values), `plan` (the
+difference between two states), `routes` (the pool that a request goes to), `tables` (the decision
+module's settings). With sockets and disk: `store`, `state_applier`, `intake`, `admin`, `process`.
+The platform's gateway (`sailhitch.__main__`) imports none of it.
 """
--- a/sailhitch/daemon/cli.py
+++ b/sailhitch/daemon/cli.py
@@ -1,11 +1,11 @@
 """The `sailhitch` command.
 
 Exit codes: 0 done, or nothing to do; 1 an error, printed on standard error; 2 `plan` found changes,
-or a tier's change is pending (or the command line is wrong); 3 `apply` was refused, as the live
-state has moved.
+or a change of a tier is pending (or the command line is invalid); 3 `apply` was refused because the
+live state has changed since the plan was made.
 
-`cli_parser` reads the command line; `cli_inspect`, `cli_change`, `cli_tier` and `cli_scenario` have
-the commands, and `cli_gateway` their requests to a running gateway.
+`cli_parser` parses the command line; `cli_inspect`, `cli_change`, `cli_tier` and `cli_scenario`
+implement the commands; `cli_gateway` sends their requests to a running gateway.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     except (AdminError, CommandError, PlanError) as error:
         return _report_errors(options, [str(error)])
     except BrokenPipeError:
-        # The reader of the output has closed it; Python would fail again when it flushes at exit.
+        # The reader closed the pipe. Without this, Python would fail again in its flush at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return ERROR
 
@@ -49,14 +49,14 @@
 
 
 def _run(options: argparse.Namespace) -> int:
-    # Imported here: the other commands need no event loop, and start in half the time.
+    # Imported here: the other commands need no event loop and start in half the time without it.
     from .process import run_daemon
 
     return run_daemon(options.file, admin=options.admin, as_json=options.json)
 
 
 def _play_scenarios(options: argparse.Namespace) -> int:
-    # Imported here: the lab is an extra of its own, and nothing that a gateway loads.
+    # Imported here: the lab is an optional extra, which a gateway never loads.
     from .cli_scenario import play_scenarios
 
     return play_scenarios(options)
--- a/sailhitch/daemon/cli_change.py
+++ b/sailhitch/daemon/cli_change.py
@@ -1,4 +1,4 @@
-"""Commands that change the gateway's state, or plan to: `plan`, `apply` and `maintenance`."""
+"""Commands that plan or make changes to the gateway's state: `plan`, `apply`, `maintenance`."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def plan(options: argparse.Namespace) -> int:
-    """Print what a file, or an earlier state, would change; write the plan if asked."""
+    """Print the changes that lead to a file's state or an earlier one; save the plan if asked."""
     if (options.file is None) == (options.to is None):
         raise CommandError("plan: give either FILE or --to SERIAL")
     operator_file = None if options.file is None else load_file(options.file)
@@ -49,16 +49,16 @@
 
 
 def _wanted_state(path: str, operator_file: OperatorFile, live_reply: StateReply) -> State:
-    """Return the state that a file asks for; raises CommandError if it is another gateway's."""
+    """Return the state that a file describes; raises CommandError if it is for another gateway."""
     wanted = with_bans(from_file(operator_file), live_reply["state"])
     owner = operator_file.gateway.name
     if "tier" in live_reply:
-        # Each member's file may plan: its listeners are its own, and the rest is all of theirs.
+        # A plan can be made from any member's file: only its listeners are specific to the member.
         wanted = {**wanted, "listeners": {}}
         owner = f"tier {operator_file.tier.name}" if operator_file.tier is not None else owner
     if owner != live_reply["gateway"]:
         raise CommandError(
-            f"{path}: is for gateway {owner!r}, and {live_reply['gateway']!r} answers"
+            f"{path}: is for gateway {owner!r}, but {live_reply['gateway']!r} answered"
         )
     return wanted
 
@@ -69,7 +69,7 @@
     state = live_reply["state"]
     if "identity" in live_reply:
         return make_plan(gateway, serial, state, wanted, live_reply["identity"])
-    # A gateway that is not yet restarted after an upgrade sends no identity.
+    # A gateway that has not been restarted since an upgrade sends no identity.
     return make_whole_plan(gateway, serial, state, wanted)
 
 
@@ -78,7 +78,7 @@
         print(line)
     if "tier" in live_reply:
         for line in contradictions(live_reply["state"], wanted):
-            print(f"! {line}: waits until every member has confirmed it")
+            print(f"! {line}: takes effect once every member has confirmed it")
     print(f"{summary(new_plan.changes)}, against serial {new_plan.serial}")
 
 
@@ -90,9 +90,9 @@
 
 
 def apply(options: argparse.Namespace) -> int:
-    """Have the gateway apply a plan, unless its state has changed since."""
+    """Have the gateway apply a plan, unless its state has changed since the plan was made."""
     text = _read_plan(options.plan)
-    # Checked here first: a damaged plan is reported without a request to the gateway.
+    # Checked here first, so that a damaged plan is reported without a request to the gateway.
     checked_plan = load_plan(text)
     reply = wait_if_asked(options, ask(admin_socket(options, None), {"op": "apply", "plan": text}))
     if options.json:
@@ -125,13 +125,13 @@
             f"{record['summary']}",
             file=sys.stderr,
         )
-    print("sailhitch: make the plan anew and look at it", file=sys.stderr)
+    print("sailhitch: make a new plan and review it", file=sys.stderr)
 
 
 def maintenance(options: argparse.Namespace) -> int:
     """Ban a node, lift its ban, or list the bans."""
     if (options.act == "list") != (options.node is None):
-        raise CommandError("maintenance: give `list`, or `enter` or `exit` and POOL/NODE")
+        raise CommandError("maintenance: give `list` alone, or `enter` or `exit` with POOL/NODE")
     if options.act == "list":
         return _list_bans(options)
     request = {"op": "ban", "node": options.node, "out": options.act == "enter", "why": options.why}
--- a/sailhitch/daemon/cli_gateway.py
+++ b/sailhitch/daemon/cli_gateway.py
@@ -1,4 +1,4 @@
-"""Requests of a command to the running gateway, and the parts of its replies that are printed."""
+"""Requests from commands to the running gateway, and formatting of its replies."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from .cli_outcome import CommandError
 from .schema import OperatorFile
 
-POLL_INTERVAL: Final = 0.3  # s between two requests for what is pending
+POLL_INTERVAL: Final = 0.3  # s between two requests for the status of a pending change
 
 
 def admin_socket(options: argparse.Namespace, operator_file: OperatorFile | None) -> str:
-    """Return the path of the admin socket: the option's, or the file's; raises CommandError."""
+    """Return the admin socket's path, from the option or the file; raises CommandError."""
     path = options.admin or (operator_file.gateway.admin if operator_file is not None else None)
     if not path:
         raise CommandError("which gateway? give --admin SOCKET, or set SAILHITCH_ADMIN")
@@ -28,7 +28,7 @@
 def request_reply(
     options: argparse.Namespace, operator_file: OperatorFile | None, request: Mapping[str, Any]
 ) -> dict[str, Any]:
-    """Send a request; return the reply if the gateway did it, else raise CommandError."""
+    """Send a request and return the reply; raises CommandError if the gateway reports an error."""
     reply = ask(admin_socket(options, operator_file), request)
     check_done(reply)
     return reply
@@ -37,7 +37,7 @@
 def check_done(reply: Mapping[str, Any]) -> None:
     """Raise CommandError with the gateway's reason if the reply is an error."""
     if not reply.get("ok"):
-        raise CommandError(str(reply.get("error", "refused, with no reason given")))
+        raise CommandError(str(reply.get("error", "the gateway refused it and gave no reason")))
 
 
 def request_live_state(
@@ -61,7 +61,7 @@
 
 
 def _wait_until_active(options: argparse.Namespace, serial: int) -> dict[str, Any]:
-    """Wait until a pending version is active, or is pending no more; print whom it waits for."""
+    """Wait until a pending version is active or withdrawn; print the members it waits for."""
     last_printed = ""
     while True:
         status = request_reply(options, None, {"op": "tier", "act": "status"})
@@ -83,16 +83,16 @@
     member_count = sum(bool(member["inside"]) for member in status["members"])
     return (
         f"serial {serial}: {member_count - len(waiting_for)} of {member_count} "
-        f"have confirmed; waits for {', '.join(waiting_for) or 'nobody'}"
+        f"have confirmed; waiting for {', '.join(waiting_for) or 'nobody'}"
     )
 
 
 def describe_outcome(reply: Mapping[str, Any]) -> str:
-    """Return the serial of a change that is active, or why it is pending."""
+    """Return the serial of an active change, or the reason why a change is pending."""
     return str(reply["error"]) if reply.get("pending") else f"serial {reply['serial']}"
 
 
 def format_time(record: Mapping[str, Any]) -> str:
-    """Return when a state was applied or a node banned, for printing."""
+    """Return a record's `when`, the time of an apply or a ban, as text."""
     when = datetime.datetime.fromtimestamp(record["when"] / 1e6, datetime.UTC)
     return when.strftime("%Y-%m-%d %H:%M:%S UTC")
--- a/sailhitch/daemon/cli_inspect.py
+++ b/sailhitch/daemon/cli_inspect.py
@@ -1,4 +1,4 @@
-"""Commands that change nothing: `check`, `state`, `hosts` and `history`."""
+"""Read-only commands: `check`, `state`, `hosts` and `history`."""
 
 from __future__ import annotations
 
@@ -18,21 +18,25 @@
     warnings = _warnings(operator_file)
     state = from_file(operator_file)
     counts = {kind: len(objects) for kind, objects in state.items()}
-    is_live = None if options.admin is None else _is_live(options, operator_file, state)
+    matches_live = (
+        None if options.admin is None else _matches_live_state(options, operator_file, state)
+    )
     if options.json:
         report = {"ok": True, "digest": digest(state), "counts": counts, "warnings": warnings}
-        print(json.dumps(report if is_live is None else {**report, "live": is_live}))
+        print(json.dumps(report if matches_live is None else {**report, "live": matches_live}))
         return DONE
     for warning in warnings:
         print(f"sailhitch: warning: {warning}", file=sys.stderr)
-    print(f"{options.file}: good; " + ", ".join(f"{n} {kind}" for kind, n in counts.items()))
-    if is_live is not None:
-        print("the gateway is as the file says" if is_live else "the gateway differs; see `plan`")
+    print(f"{options.file}: valid; " + ", ".join(f"{n} {kind}" for kind, n in counts.items()))
+    if matches_live is not None:
+        print("the gateway matches the file" if matches_live else "the gateway differs; see `plan`")
     return DONE
 
 
-def _is_live(options: argparse.Namespace, operator_file: OperatorFile, state: State) -> bool:
-    """Return whether the running gateway's state is the file's, bans aside."""
+def _matches_live_state(
+    options: argparse.Namespace, operator_file: OperatorFile, state: State
+) -> bool:
+    """Return whether the running gateway's state equals the file's, leaving bans aside."""
     reply = request_live_state(options, operator_file)
     live: State = reply["state"]
     wanted = with_bans(state, live)
@@ -40,15 +44,19 @@
 
 
 def _warnings(operator_file: OperatorFile) -> list[str]:
-    """Return what is allowed in a file and probably not meant."""
+    """Return warnings about settings that are valid but probably unintended."""
     gateway = operator_file.gateway
     warnings = []
     if operator_file.tenants and gateway.rate is None:
-        warnings.append("tenants: shares hold only where gateway.rate says what they are parts of")
+        warnings.append(
+            "tenants: shares have no effect without gateway.rate, which they are parts of"
+        )
     if gateway.state_dir is None:
-        warnings.append("gateway.state_dir: not set; what is applied is lost with the process")
+        warnings.append(
+            "gateway.state_dir: not set; applied changes are lost when the process ends"
+        )
     if gateway.admin is None:
-        warnings.append("gateway.admin: not set; nothing can be planned or applied")
+        warnings.append("gateway.admin: not set; `plan` and `apply` cannot reach this gateway")
     used = {pool for route in operator_file.routes for pool in route.pools}
     warnings += [
         f"pools: no route leads to {pool.name!r}"
@@ -79,7 +87,7 @@
 
 
 def show_hosts(options: argparse.Namespace) -> int:
-    """Print the nodes of all pools as they are now."""
+    """Print the current status of the nodes of all pools."""
     pools = request_reply(options, None, {"op": "hosts"})["pools"]
     if options.json:
         print(json.dumps(pools))
@@ -95,7 +103,7 @@
 
 
 def show_history(options: argparse.Namespace) -> int:
-    """Print the applied states that the gateway keeps."""
+    """Print the applied states in the gateway's history."""
     history = request_history(options)
     if options.json:
         print(json.dumps(history))
--- a/sailhitch/daemon/cli_outcome.py
+++ b/sailhitch/daemon/cli_outcome.py
@@ -1,4 +1,4 @@
-"""How a command ends: its exit code, or an error with a text for the operator."""
+"""The exit codes of commands, and the error that ends one with a message."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 DONE: Final = 0  # done, or nothing to do
 ERROR: Final = 1
 CHANGES: Final = 2  # `plan` found changes, or a tier's change is pending
-REFUSED: Final = 3  # the live state is not the one that the plan was made against
+REFUSED: Final = 3  # the live state has changed since the plan was made
 
 CommandHandler = Callable[[argparse.Namespace], int]
 """Executes a command; returns its exit code."""
 
 
 class CommandError(Exception):
-    """The command can't be carried out; the text says why and what to do."""
+    """The command can't be executed; the text says why and what to do."""
--- a/sailhitch/daemon/cli_parser.py
+++ b/sailhitch/daemon/cli_parser.py
@@ -1,4 +1,4 @@
-"""The command line of `sailhitch`: its commands, their arguments and help texts."""
+"""The command line of `sailhitch`: commands, arguments and help texts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _Commands:
-    """Adds commands to a parser, each with the options that all have."""
+    """Adds commands to a parser, each with the options that are common to all."""
 
     def __init__(self, parser: argparse.ArgumentParser) -> None:
         self._subparsers = parser.add_subparsers(required=True, metavar="COMMAND")
@@ -23,7 +23,7 @@
     def add(
         self, name: str, handler: CommandHandler, text: str, admin_help: str = ""
     ) -> argparse.ArgumentParser:
-        """Add a command; one with `admin_help` does not go by SAILHITCH_ADMIN."""
+        """Add a command; with `admin_help`, SAILHITCH_ADMIN is not its default socket."""
         command = self._subparsers.add_parser(name, help=text, description=text)
         command.set_defaults(handler=handler)
         command.add_argument("--json", action="store_true", help="print JSON")
@@ -37,13 +37,14 @@
 
 
 def build_parser(run: CommandHandler, play_scenarios: CommandHandler) -> argparse.ArgumentParser:
-    """Return the parser; `handler` of what it parses executes the command.
+    """Return the parser; the `handler` in its result executes the command.
 
-    The two handlers given import much, so whoever calls this imports them when they are needed.
+    The two handlers are parameters because their modules are slow to import: the caller imports
+    them only when one is executed.
     """
     parser = argparse.ArgumentParser(
         prog="sailhitch",
-        description="An HTTP gateway that goes by an operator file.",
+        description="An HTTP gateway that is configured by an operator file.",
         epilog="Exit codes: 0 done, 1 error, 2 `plan` found changes, 3 `apply` was refused.",
     )
     parser.add_argument("--version", action="version", version=f"sailhitch {__version__}")
@@ -51,7 +52,7 @@
     _add_run(commands, run)
     _add_inspection(commands)
     _add_plan_and_apply(commands)
-    commands.add("history", show_history, "print the states that have held")
+    commands.add("history", show_history, "print the states that have been applied")
     _add_tier(commands)
     _add_zones(commands)
     _add_lab(commands, play_scenarios)
@@ -61,7 +62,7 @@
 
 def _add_run(commands: _Commands, run: CommandHandler) -> None:
     command = commands.add(
-        "run", run, "run a gateway by FILE", "serve this admin socket, not the file's"
+        "run", run, "run a gateway as FILE configures it", "serve this admin socket, not the file's"
     )
     command.add_argument("file", metavar="FILE")
 
@@ -70,23 +71,25 @@
     command = commands.add(
         "check",
         check,
-        "check FILE and say everything that is wrong",
-        "also say whether the gateway with this admin socket is as FILE says",
+        "check FILE and report all errors in it",
+        "also report whether the gateway with this admin socket matches FILE",
     )
     command.add_argument("file", metavar="FILE")
     commands.add("state", show_state, "print the live state")
-    commands.add("hosts", show_hosts, "print the nodes as they are at this moment")
+    commands.add("hosts", show_hosts, "print the current status of all nodes")
 
 
 def _add_plan_and_apply(commands: _Commands) -> None:
     command = commands.add(
-        "plan", plan, "print what FILE would change; exits 2 if there is anything"
+        "plan", plan, "print what FILE would change; exits 2 if there are changes"
     )
     command.add_argument("file", metavar="FILE", nargs="?")
-    command.add_argument("--to", metavar="SERIAL", type=int, help="plan back to an earlier state")
+    command.add_argument(
+        "--to", metavar="SERIAL", type=int, help="plan a return to an earlier state"
+    )
     command.add_argument("-o", "--output", metavar="PLAN", help="write the plan to this file")
     command = commands.add(
-        "apply", apply, "do exactly what PLAN says; exits 3 if the state has moved"
+        "apply", apply, "apply exactly the changes in PLAN; exits 3 if the state has changed since"
     )
     command.add_argument("plan", metavar="PLAN")
     _add_wait(command)
@@ -94,59 +97,68 @@
 
 def _add_tier(commands: _Commands) -> None:
     command = commands.add(
-        "tier", tier, "what the gateways of a tier agree on, and whom a change awaits"
+        "tier", tier, "show a tier's agreed version and members, and manage its members"
     )
     acts = ("status", "members", "history", "withdraw", "gone", "join")
     command.add_argument("act", choices=acts)
     command.add_argument(
-        "name", metavar="MEMBER", nargs="?", help="whom `gone` or `join` is said of"
+        "name", metavar="MEMBER", nargs="?", help="the member that `gone` or `join` applies to"
     )
     command.add_argument(
-        "place", metavar="HOST:PORT", nargs="?", help="where `join` has it be found"
+        "place",
+        metavar="HOST:PORT",
+        nargs="?",
+        help="the address at which `join` looks for the member",
     )
 
 
 def _add_zones(commands: _Commands) -> None:
-    command = commands.add("zones", zones, "leave a zone as a fleet, and return to it by steps")
+    command = commands.add(
+        "zones", zones, "stop using a zone, fleet-wide, and return to it in steps"
+    )
     command.add_argument("act", choices=("status", "leave", "return", "hold", "release"))
     command.add_argument("zone", metavar="ZONE", nargs="?")
-    command.add_argument("--why", default="", help="kept with the order, for who looks later")
-    command.add_argument("--step", metavar="TIME", help="how long a step back lasts, such as 30s")
+    command.add_argument("--why", default="", help="a reason, stored with the order")
+    command.add_argument(
+        "--step", metavar="TIME", help="how long each step of a return lasts, such as 30s"
+    )
     command.add_argument(
         "--dry-run",
         action="store_true",
-        help="say what the other nodes would carry, and do nothing",
+        help="print the load on the other nodes, and change nothing",
     )
 
 
 def _add_lab(commands: _Commands, play_scenarios: CommandHandler) -> None:
     command = commands.add(
-        "lab", play_scenarios, "play a scenario with real processes; exits 1 on a broken promise"
+        "lab", play_scenarios, "run a scenario with real processes; exits 1 if a promise is broken"
     )
     command.add_argument("kind", choices=("tier",))
     command.add_argument(
-        "files", metavar="FILE", nargs="+", help="scenarios, as those in deploy/lab"
+        "files", metavar="FILE", nargs="+", help="scenario files, such as those in deploy/lab"
     )
     command.add_argument(
         "--model",
         metavar="SEEDS",
         type=int,
         default=0,
-        help="play each in the model too, by so many seeds, and compare; a difference exits 1",
+        help="also run each in the model with this many seeds; a difference exits 1",
     )
 
 
 def _add_maintenance(commands: _Commands) -> None:
-    command = commands.add("maintenance", maintenance, "take a node out by hand, or put it back")
+    command = commands.add(
+        "maintenance", maintenance, "take a node out of service manually, or put it back"
+    )
     command.add_argument("act", choices=("enter", "exit", "list"))
     command.add_argument("node", metavar="POOL/NODE", nargs="?")
     _add_wait(command)
-    command.add_argument("--why", default="", help="kept with the ban, for who looks later")
+    command.add_argument("--why", default="", help="a reason, stored with the ban")
 
 
 def _add_wait(command: argparse.ArgumentParser) -> None:
     command.add_argument(
         "--wait",
         action="store_true",
-        help="in a tier: until the change is active or withdrawn, however long that takes",
+        help="in a tier: wait without limit until the change is active or withdrawn",
     )
--- a/sailhitch/daemon/cli_scenario.py
+++ b/sailhitch/daemon/cli_scenario.py
@@ -1,6 +1,7 @@
-"""The `lab` command: plays scenarios with real processes and checks their promises.
+"""The `lab` command: runs scenarios with real processes and checks their promises.
 
-Imports the lab, an extra that no gateway loads: so the command imports this module when it runs.
+This module imports the lab, an optional extra that no gateway loads. It is therefore imported only
+when the command runs.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def play_scenarios(options: argparse.Namespace) -> int:
-    """Play all scenario files; return ERROR if a promise broke or the model's play differs."""
+    """Run all scenario files; return ERROR if one breaks a promise or differs from the model."""
     has_failed = False
     for file in options.files:
         try:
@@ -28,7 +29,7 @@
 
 
 def _play_file(file: str, options: argparse.Namespace) -> bool:
-    """Play one scenario and print its result; return whether it came out as promised."""
+    """Run one scenario and print its result; return whether it kept its promises."""
     scenario = load_scenario(file)
     if not options.json:
         print(f"{file}: {scenario.name}, promise {scenario.promise or '-'}", flush=True)
@@ -49,4 +50,4 @@
 
 
 def _print_nothing(text: str) -> None:
-    """Print no progress: with `--json` only the results go to standard output."""
+    """Discard progress: with `--json` only the results go to standard output."""
--- a/sailhitch/daemon/cli_tier.py
+++ b/sailhitch/daemon/cli_tier.py
@@ -16,11 +16,11 @@
 
 
 def tier(options: argparse.Namespace) -> int:
-    """Print what the gateways of a tier agree on, or change who is waited for."""
+    """Print a tier's status, members or history, or change its members or pending version."""
     if (options.act in ("gone", "join")) != (options.name is not None):
-        raise CommandError("tier: `gone` and `join` take the name of a member, other acts none")
+        raise CommandError("tier: `gone` and `join` need MEMBER, other actions take none")
     if (options.act == "join") != (options.place is not None):
-        raise CommandError("tier: `join` takes MEMBER and HOST:PORT, other acts no address")
+        raise CommandError("tier: `join` needs MEMBER and HOST:PORT, other actions take no address")
     if options.act == "history":
         return show_history(options)
     act = "status" if options.act == "members" else options.act
@@ -42,22 +42,22 @@
     elif act == "withdraw":
         print(f"serial {reply['withdrawn']} is withdrawn")
     elif act == "join":
-        print(f"{reply['joins']} is looked for at {reply['place']}; it joins by itself")
+        print(f"the tier looks for {reply['joins']} at {reply['place']}; it joins automatically")
     else:
-        print(f"{reply['gone']} is waited for no more; it joins by itself if it comes back")
+        print(f"changes no longer wait for {reply['gone']}; it rejoins automatically if it returns")
 
 
 def _print_status(status: Mapping[str, Any]) -> None:
     standing = status["standing"] if status["standing"] == "in" else f"out, {status['why']}"
-    print(f"tier {status['tier']}, asked of {status['name']}: {standing}")
+    print(f"tier {status['tier']}, as seen by {status['name']}: {standing}")
     print(f"turn {status['turn']}, active serial {status['active']}")
     if status["pending"] is not None:
         names = ", ".join(status["waiting_for"]) or "nobody"
-        print(f"pending serial {status['pending']}, waits for {names}")
+        print(f"pending serial {status['pending']}, waiting for {names}")
     if status["voter"] is not None:
-        old_disk = ", its disk was an old one" if status["old_disk"] else ""
+        old_disk = ", started from an outdated disk" if status["old_disk"] else ""
         print(f"voter: {status['voter']}{old_disk}")
-    if status.get("fetching") is not None:  # gateways of earlier releases do not tell
+    if status.get("fetching") is not None:  # not sent by gateways of earlier releases
         print(_describe_fetch(status["fetching"], status["jobs"]))
     if status["silent"]:
         print(f"silent: {status['silent']}")
@@ -68,14 +68,14 @@
 
 def _describe_fetch(fetch: Mapping[str, Any], jobs: int) -> str:
     oldest = f"{fetch['digest'][:MAX_DIGEST_LENGTH]} for {fetch['age'] / 1e6:.1f} s"
-    others = f", {fetch['count'] - 1} more beside it" if fetch["count"] > 1 else ""
-    waiting = f"; {jobs} reads or changes of this gateway wait" if jobs else ""
+    others = f", {fetch['count'] - 1} more" if fetch["count"] > 1 else ""
+    waiting = f"; {jobs} reads or changes on this gateway are waiting" if jobs else ""
     return f"fetching {oldest}, now from {fetch['source']}{others}{waiting}"
 
 
 def _describe_member(member: Mapping[str, Any]) -> str:
     age = member["age"]
-    heard = "never heard" if age is None else f"heard {age / 1e6:.1f} s ago"
+    heard = "never heard from" if age is None else f"heard from {age / 1e6:.1f} s ago"
     voter = " voter" if member["voter"] else ""
     outside = " not in the roster" if member["inside"] is False else ""
     place = f" at {member['place']}" if member["place"] else ""
@@ -86,9 +86,9 @@
 
 
 def zones(options: argparse.Namespace) -> int:
-    """Print the zones' health, or order the tier to leave a zone or return to it."""
+    """Print the health of the zones, or order the tier to leave a zone or return to it."""
     if (options.act in ("leave", "return")) != (options.zone is not None):
-        raise CommandError("zones: `leave` and `return` take a ZONE, other acts none")
+        raise CommandError("zones: `leave` and `return` need ZONE, other actions take none")
     request = {
         "op": "zones",
         "act": options.act,
@@ -105,9 +105,9 @@
     elif reply.get("dry_run"):
         _print_dry_run(reply)
     elif reply.get("pending"):
-        print(f"serial {reply['serial']} holds; not yet at {', '.join(reply['waiting_for'])}")
+        print(f"serial {reply['serial']} accepted; waiting for {', '.join(reply['waiting_for'])}")
     else:
-        print(f"serial {reply['serial']}: all members that are there go by it")
+        print(f"serial {reply['serial']}: applied by all reachable members")
     return CHANGES if reply.get("pending") else DONE
 
 
@@ -140,6 +140,6 @@
         relapses = f", {zone['relapses']} relapses" if zone["relapses"] else ""
         print(
             f"    {zone['phase']}, {zone['in_use']} of {zone['nodes']} nodes in use"
-            f"{relapses}; {zone['failed']} of {zone['ended']} requests failed; waits for "
+            f"{relapses}; {zone['failed']} of {zone['ended']} requests failed; waiting for "
             f"{zone['waits_for']}; by {zone['by']}: {zone['why'] or '-'}"
         )
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The `sailhitch` command: what it prints, and with which code it ends."""
+"""The `sailhitch` command: its output and exit codes."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 
 
 @pytest.mark.parametrize("arguments", [[], ["explode"], ["check"], ["apply"]])
-def test_a_wrong_command_line_is_told(arguments: list[str]) -> None:
+def test_an_invalid_command_line_exits_with_code_2(arguments: list[str]) -> None:
     with pytest.raises(SystemExit) as caught:
         main(arguments)
     assert caught.value.code == 2
 
 
-def test_check_says_what_is_wrong_and_what_is_doubtful(
+def test_check_reports_errors_and_warnings(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "g.toml"
     path.write_text(FILE)
     assert main(["check", str(path)]) == 0
     printed = capsys.readouterr()
-    assert "good; 1 listeners, 2 classes, 1 tenants, 2 pools, 3 nodes, 2 routes" in printed.out
-    assert "shares hold only where gateway.rate" in printed.err
+    assert "valid; 1 listeners, 2 classes, 1 tenants, 2 pools, 3 nodes, 2 routes" in printed.out
+    assert "shares have no effect without gateway.rate" in printed.err
     path.write_text(FILE.replace("worth", "wroth").replace('"g1"', '""'))
     assert main(["check", str(path)]) == 1
     assert len(capsys.readouterr().err.splitlines()) == 2
@@ -53,7 +53,7 @@
     assert len(json.loads(capsys.readouterr().out)["errors"]) == 2
 
 
-def test_a_gateway_that_is_not_there_is_told_with_the_next_step(
+def test_an_unreachable_gateway_is_reported_with_the_next_step(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("SAILHITCH_ADMIN", raising=False)
@@ -67,7 +67,7 @@
     assert "give either FILE or --to SERIAL" in capsys.readouterr().err
 
 
-def test_run_refuses_a_bad_file_and_a_taken_port(tmp_path: Path) -> None:
+def test_run_rejects_an_invalid_file_and_a_port_in_use(tmp_path: Path) -> None:
     path = tmp_path / "g.toml"
     command = [sys.executable, "-m", "sailhitch.daemon.cli", "run", str(path)]
     path.write_text("version = 1\n")
@@ -85,7 +85,7 @@
     assert "in use" in completed.stderr
 
 
-def test_run_tells_a_machine_when_it_is_ready_and_serves_the_socket_it_is_given(
+def test_run_prints_json_when_ready_and_serves_the_admin_socket_it_is_given(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, socket = tmp_path / "g.toml", tmp_path / "other.sock"
@@ -94,25 +94,25 @@
     command = [sys.executable, "-m", "sailhitch.daemon.cli", "run", str(path), "--json"]
     with subprocess.Popen(
         [*command, "--admin", str(socket)], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL
-    ) as program:
-        assert program.stdout is not None
+    ) as process:
+        assert process.stdout is not None
         try:
-            ready = json.loads(program.stdout.readline())
+            ready = json.loads(process.stdout.readline())
             assert ready == {"ok": True, "gateway": "g1", "serial": 1}
             assert main(["check", str(path), "--admin", str(socket)]) == 0
-            assert "the gateway is as the file says" in capsys.readouterr().out
+            assert "the gateway matches the file" in capsys.readouterr().out
             path.write_text(toml_text({**value, "pools": [pool("p", {}), pool("q", {})]}))
             assert main(["check", str(path), "--admin", str(socket)]) == 0
             assert "the gateway differs" in capsys.readouterr().out
             assert main(["check", "--json", str(path), "--admin", str(socket)]) == 0
             assert json.loads(capsys.readouterr().out)["live"] is False
-            program.terminate()
-            assert program.wait(60) == 0
+            process.terminate()
+            assert process.wait(60) == 0
         finally:
-            program.kill()
+            process.kill()
 
 
-def test_a_change_from_plan_to_apply_and_back(
+def test_a_change_is_planned_applied_and_reverted(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, plan = tmp_path / "g.toml", tmp_path / "plan"
@@ -160,7 +160,7 @@
                 assert "gateway g1, serial 3" in out
                 assert "nodes p/a: address=" in out
                 code, out, _ = await command(it, "hosts", "--json")
-                assert {one["node"] for one in json.loads(out)["p"]} >= {"a"}
+                assert {host["node"] for host in json.loads(out)["p"]} >= {"a"}
                 plan.write_text(stale.replace('"p/b"', '"p/c"'))
                 code, _, err = await command(it, "apply", str(plan))
                 assert code == 1
@@ -168,6 +168,6 @@
                 path.write_text(toml_text({**old, "gateway": {"name": "g9"}}))
                 code, _, err = await command(it, "plan", str(path))
                 assert code == 1
-                assert "is for gateway 'g9', and 'g1' answers" in err
+                assert "is for gateway 'g9', but 'g1' answered" in err
 
     asyncio.run(work())
