--- a/sailhitch/daemon/admin.py
+++ b/sailhitch/daemon/admin.py
@@ -1,11 +1,12 @@
-"""The admin socket: a Unix socket, mode 0600, one request and one reply a connection.
+"""The admin socket: a Unix socket, mode 0600, with one request and one reply per connection.
 
-Both are one line of JSON: `{"op": "state" | "history" | "apply" | "ban" | "hosts", ...}` and back
-`{"ok": true, ...}` or `{"ok": false, "code": ..., "error": ...}`. Those who may run the process may
-use it: the process's own user and root, as the kernel reports them (SO_PEERCRED), whatever the
-file's mode has become.
+Both are one line of JSON. A request is `{"op": "state" | "history" | "apply" | "ban" | "hosts" |
+"tier" | "zones", ...}`; a reply is `{"ok": true, ...}` or `{"ok": false, "code": ..., "error":
+...}`. Only the process's own user and root may use the socket. The kernel reports the client's user
+(SO_PEERCRED), so this holds even if the file's mode is changed.
 
-`admin_requests` executes requests, `admin_replies` has the replies, `admin_client` the other end.
+`admin_requests` executes requests, `admin_replies` defines the replies, `admin_client` is the
+client.
 """
 
 from __future__ import annotations
@@ -32,10 +33,10 @@
 
 __all__ = ["MOVED", "AdminError", "AdminServer", "ask"]
 
-MAX_REQUEST_BYTES: Final = 32 << 20  # a plan for ten thousand nodes takes three MiB
+MAX_REQUEST_BYTES: Final = 32 << 20  # a plan for 10,000 nodes takes 3 MiB
 CLIENT_TIMEOUT: Final = 10.0  # s to receive a whole request, and to send its reply
-ERROR_REPLY_TIMEOUT: Final = 1.0  # s to send an error to a client that is not served
-PROBE_TIMEOUT: Final = 1.0  # s to connect to a socket that is there at the start
+ERROR_REPLY_TIMEOUT: Final = 1.0  # s to send an error to a rejected client
+PROBE_TIMEOUT: Final = 1.0  # s to connect to an existing socket at startup
 MAX_CLIENTS: Final = 8
 CHUNK_BYTES: Final = 1 << 16
 
@@ -57,10 +58,10 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; raises AdminError. A socket that no process serves is replaced."""
+        """Start to listen; raises AdminError. Replaces a socket that no process serves."""
         _remove_stale_socket(self.path)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        # Set before the bind: a socket whose mode is changed after it is open for a moment.
+        # Set before bind: with a chmod after it, other users could connect in between.
         previous_umask = os.umask(0o177)
         try:
             sock.bind(str(self.path))
@@ -84,42 +85,44 @@
             async with asyncio.timeout(CLIENT_TIMEOUT):
                 uid = self._authorize(writer)
                 request = await _read_request(reader)
-            # Not within the time limit: an apply that has begun is carried to its end.
+            # Outside the timeout: an apply that has begun must not be interrupted.
             reply = await self._execute(request, uid)
             await _send(writer, reply, CLIENT_TIMEOUT)
         except _RefusedError as error:
             with contextlib.suppress(OSError, TimeoutError):
                 await _send(writer, error_reply(BAD, str(error)), ERROR_REPLY_TIMEOUT)
         except (OSError, TimeoutError):
-            pass  # the client has disconnected, or is too slow
+            pass  # the client disconnected or was too slow
         finally:
             self.clients -= 1
             writer.close()
 
     async def _execute(self, request: dict[str, Any], uid: int) -> AdminReply:
-        """Return the reply to a request, also where its execution raises unexpectedly."""
+        """Return the reply to a request, also if its execution raises an unexpected exception."""
         try:
             return await self._requests.execute(request, uid)
         except Exception as error:
             self._core.fault("an admin request", error)
-            return error_reply(FAILED, f"unexpected, see the log: {error!r:.100}")
+            return error_reply(FAILED, f"unexpected error, see the log: {error!r:.100}")
 
     def _authorize(self, writer: asyncio.StreamWriter) -> int:
-        """Return the client's user id; raises _RefusedError for a client that is not served."""
+        """Return the client's user id; raises _RefusedError if the client must be rejected."""
         if self.clients > MAX_CLIENTS:
-            raise _RefusedError("too many admin clients at a time; try again")
+            raise _RefusedError("too many admin clients at once; try again")
         uid = peer_uid(writer.get_extra_info("socket"))
         if uid not in (os.getuid(), 0):
-            raise _RefusedError(f"user {uid} may not; ask as user {os.getuid()} or root")
+            raise _RefusedError(
+                f"user {uid} is not permitted; connect as user {os.getuid()} or root"
+            )
         return uid
 
 
 class _RefusedError(Exception):
-    """A client that is not served; the text says why."""
+    """A client is rejected; the text says why."""
 
 
 async def _read_request(reader: asyncio.StreamReader) -> dict[str, Any]:
-    """Return a request once its line has come; raises _RefusedError."""
+    """Read one line and return the request in it; raises _RefusedError."""
     data = bytearray()
     while not data.endswith(b"\n"):
         chunk = await reader.read(CHUNK_BYTES)
@@ -127,7 +130,7 @@
         if len(data) > MAX_REQUEST_BYTES:
             raise _RefusedError(f"request larger than {MAX_REQUEST_BYTES >> 20} MiB")
         if not chunk:
-            raise _RefusedError("request cut short")
+            raise _RefusedError("request is incomplete")
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
@@ -144,7 +147,7 @@
 
 
 def peer_uid(sock: socket.socket) -> int:
-    """Return the user id of a Unix socket's other end (unix(7), SO_PEERCRED)."""
+    """Return the user id of a Unix socket's peer (unix(7), SO_PEERCRED)."""
     credentials = struct.Struct("3i")  # process, user, group
     data = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, credentials.size)
     _, uid, _ = credentials.unpack(data)
@@ -160,7 +163,9 @@
     except OSError as error:
         raise AdminError(f"admin: {path}: {error.strerror}") from None
     if not stat.S_ISSOCK(mode):
-        raise AdminError(f"admin: {path}: is there and no socket; remove it or name another")
+        raise AdminError(
+            f"admin: {path}: exists and is not a socket; remove it or choose another path"
+        )
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
         probe.settimeout(PROBE_TIMEOUT)
         try:
@@ -170,4 +175,4 @@
                 raise AdminError(f"admin: {path}: {error.strerror or error}") from None
             path.unlink(missing_ok=True)
             return
-    raise AdminError(f"admin: {path}: another gateway serves it")
+    raise AdminError(f"admin: {path}: another gateway is using it")
--- a/sailhitch/daemon/admin_client.py
+++ b/sailhitch/daemon/admin_client.py
@@ -1,4 +1,4 @@
-"""The client end of the admin socket: one request to a running gateway, and its reply."""
+"""The client of the admin socket: sends one request to a running gateway, returns its reply."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AdminError(Exception):
-    """The socket can't be used, or no gateway replies; the text says what to do."""
+    """The socket can't be used, or no gateway replies; the text says why."""
 
 
 def ask(
@@ -22,20 +22,20 @@
     try:
         reply = _exchange(path, request, timeout)
     except TimeoutError:
-        raise AdminError(f"{path}: no answer within {timeout:g} s") from None
+        raise AdminError(f"{path}: no reply within {timeout:g} s") from None
     except OSError as error:
         raise AdminError(
             f"{path}: {error.strerror or error}; is the gateway running, and is that its `admin`?"
         ) from None
     except ValueError:
-        raise AdminError(f"{path}: the answer was cut short") from None
+        raise AdminError(f"{path}: the reply is incomplete") from None
     if not isinstance(reply, dict):
-        raise AdminError(f"{path}: the answer is no object")
+        raise AdminError(f"{path}: the reply is not a JSON object")
     return reply
 
 
 def _exchange(path: str | Path, request: Mapping[str, Any], timeout: float) -> Any:
-    """Send a line of JSON and return the one that comes back; raises OSError or ValueError."""
+    """Send one line of JSON and return the decoded reply; raises OSError or ValueError."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(timeout)
         sock.connect(str(path))
--- a/sailhitch/daemon/admin_replies.py
+++ b/sailhitch/daemon/admin_replies.py
@@ -1,6 +1,6 @@
-"""The replies of the admin socket, as they are in JSON.
+"""The replies of the admin socket, as encoded in JSON.
 
-The order of a reply's keys is that in which they are set, and part of what operators see.
+Keys are sent in the order in which they are set here. Operators see that order, so keep it.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from .store import AppliedState, HistoryRecord
 
 ErrorCode = Literal["moved", "plan", "failed", "bad"]
-MOVED: Final = "moved"  # the plan was made against another state than the live one
-PLAN: Final = "plan"  # the plan is damaged or does not fit
-FAILED: Final = "failed"  # the request is valid and could not be done
+MOVED: Final = "moved"  # the plan was made against a state that is no longer live
+PLAN: Final = "plan"  # the plan is damaged or does not fit the state
+FAILED: Final = "failed"  # the request is valid but could not be carried out
 BAD: Final = "bad"  # the request is invalid
 
 
 class ErrorReply(TypedDict):
-    """The reply to a request that was not done."""
+    """The reply to a request that failed."""
 
     ok: Literal[False]
     code: ErrorCode
@@ -32,24 +32,24 @@
     """An applied state without its contents."""
 
     serial: int
-    when: int  # microseconds of the time of day
+    when: int  # microseconds since the epoch
     by: str
     summary: str
 
 
 class FetchRecord(TypedDict):
-    """The fetch of a tier's content or page that has taken longest."""
+    """The longest-running fetch of a tier's content or page."""
 
     digest: str
-    source: str  # the member that it was requested of last
+    source: str  # the member that was asked last
     age: int  # us since it was first requested
-    count: int  # of all contents and pages that are being fetched
+    count: int  # contents and pages being fetched, this one included
 
 
 class MovedReply(ErrorReply):
     """The reply to a plan that was made against an earlier state."""
 
-    moved: list[AppliedRecord]  # applied since that state
+    moved: list[AppliedRecord]  # the states applied since
 
 
 class AppliedReply(AppliedRecord):
@@ -59,13 +59,13 @@
 
 
 class PendingReply(TypedDict):
-    """The reply to a change that a tier has chosen and not all members have confirmed."""
+    """The reply to a change that a tier has chosen but not all members have confirmed."""
 
     ok: Literal[True]
     pending: Literal[True]
     serial: int
     waiting_for: list[str]
-    error: str  # for people: whom it waits for
+    error: str  # a text for people, with the members that it waits for
 
 
 class StateReply(AppliedRecord):
@@ -79,14 +79,14 @@
 
 
 class HistoryReply(TypedDict):
-    """The reply with all applied states that are kept, oldest first."""
+    """The reply with the history of applied states, oldest first."""
 
     ok: Literal[True]
     history: list[AppliedRecord]
 
 
 class HostStatus(TypedDict):
-    """A node as it is at the moment."""
+    """The current status of a node."""
 
     node: str
     address: str
@@ -104,14 +104,14 @@
 
 
 TierReply = dict[str, Any]
-"""A reply that the tier or its zone coordinator makes."""
+"""A reply built by the tier or its zone coordinator."""
 
 ChangeReply = AppliedReply | PendingReply | MovedReply | ErrorReply
 AdminReply = ChangeReply | StateReply | HistoryReply | HostsReply | TierReply
 
 
 def error_reply(code: ErrorCode, text: str) -> ErrorReply:
-    """Return the reply to a request that was not done."""
+    """Return the reply to a request that failed."""
     return {"ok": False, "code": code, "error": text}
 
 
@@ -121,7 +121,7 @@
 
 
 def pending_reply(error: StillPendingError) -> PendingReply:
-    """Return the reply to a change that not all members have confirmed."""
+    """Return the reply to a change that some members have not confirmed."""
     return {
         "ok": True,
         "pending": True,
--- a/sailhitch/daemon/admin_requests.py
+++ b/sailhitch/daemon/admin_requests.py
@@ -1,4 +1,4 @@
-"""Execute the requests of the admin socket on the gateway's state source and its tier."""
+"""Executes admin requests on the gateway's state source and its tier."""
 
 from __future__ import annotations
 
@@ -34,16 +34,17 @@
     from .tier_source import TierStateSource
 
 AdminRequest = Mapping[str, Any]
-"""A request as decoded from JSON: `op`, and what that operation takes."""
+"""A request decoded from JSON: `op` and the parameters of that operation."""
 
-MAX_REASON_LENGTH: Final = 200  # characters of a ban's reason that are kept
-NO_TIER: Final = "this gateway is of no tier: its file has no [tier]"
+MAX_REASON_LENGTH: Final = 200  # characters; a longer reason for a ban is cut
+NO_TIER: Final = "this gateway is not in a tier: its file has no [tier]"
 
 
 class AdminRequests:
-    """Executes requests, each to a reply; those that change something are not cancelled half-way.
+    """Executes requests and returns their replies.
 
-    A client that goes away must not take an apply with it: hence the shields.
+    Requests that change something are shielded from cancellation, so that a client that
+    disconnects does not interrupt an apply.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         self.tier = tier
 
     async def execute(self, request: AdminRequest, uid: int) -> AdminReply:
-        """Execute a request of a user and return the reply."""
+        """Execute a request from a user and return the reply."""
         op = request.get("op")
         if op == "state":
             return await self._state(request.get("serial"))
@@ -70,7 +71,7 @@
             return await asyncio.shield(self._tier(request))
         if op == "zones":
             return await asyncio.shield(self._zones(request, user_name(uid)))
-        return error_reply(BAD, f"op: not known: {str(op)[:40]!r}")
+        return error_reply(BAD, f"op: unknown: {str(op)[:40]!r}")
 
     async def _state(self, serial: Any) -> StateReply | ErrorReply:
         applied = self.source.base()
@@ -83,12 +84,12 @@
         if serial is None:
             reply["identity"] = await asyncio.to_thread(self.source.identity, applied.state)
         if self.tier is not None:
-            # Tells the client that listeners are no part of what is planned.
+            # Tells the client to leave listeners out of its plan.
             reply["tier"] = self.tier.part.name
         return reply
 
     async def _applied_since(self, serial: int) -> list[AppliedRecord]:
-        """Return the states applied after a serial; read from disk, so in a thread."""
+        """Return the states applied after a serial; in a thread, because it reads from disk."""
         history = await asyncio.to_thread(self.source.history)
         return [applied_record(record) for record in history if record.serial > serial]
 
@@ -101,10 +102,10 @@
         state = self.source.base().state
         out = bool(request.get("out"))
         if out and node not in state["nodes"]:
-            text = f"{node!r}: no such node; `sailhitch hosts` has them, pool/id"
+            text = f"{node!r}: no such node; `sailhitch hosts` lists them as pool/id"
             return error_reply(FAILED, text)
         if not out and node not in state["bans"]:
-            text = f"{node!r}: is not banned; `sailhitch maintenance list` has them"
+            text = f"{node!r}: is not banned; `sailhitch maintenance list` lists the bans"
             return error_reply(FAILED, text)
         ban = {
             "by": by,
@@ -114,7 +115,7 @@
         return await self._change(lambda: self.source.ban(node, ban if out else None, by))
 
     async def _change(self, change: Callable[[], Awaitable[AppliedState]]) -> ChangeReply:
-        """Execute a change and return the reply, whether it was done or not."""
+        """Execute a change and return its reply, also if the change fails."""
         try:
             applied = await change()
         except MovedError as error:
@@ -144,7 +145,7 @@
                 return await tier.join(name, str(request.get("place", "")))
         except ApplyError as error:
             return error_reply(FAILED, str(error))
-        return error_reply(BAD, f"act: not known: {str(act)[:40]!r}")
+        return error_reply(BAD, f"act: unknown: {str(act)[:40]!r}")
 
     async def _zones(self, request: AdminRequest, by: str) -> TierReply | ErrorReply:
         if self.tier is None:
@@ -156,7 +157,7 @@
 
 
 def user_name(uid: int) -> str:
-    """Return the name of a user, or one made of the number if there is no entry."""
+    """Return the name of a user, or `user UID` if the system has no entry for it."""
     try:
         return pwd.getpwuid(uid).pw_name
     except KeyError:
--- a/sailhitch/daemon/process.py
+++ b/sailhitch/daemon/process.py
@@ -1,4 +1,4 @@
-"""The daemon's process: start, signals, drain."""
+"""The daemon's process: start, signals and drain."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class _Resources:
-    """What a daemon has open, as far as its start has come."""
+    """The resources that a daemon has opened so far."""
 
     core: GatewayCore
     store: Store | None = None
@@ -47,7 +47,7 @@
     admin: AdminServer | None = None
 
     def close(self) -> None:
-        """Close what is open: the admin socket first, the stores last."""
+        """Close all open resources: the admin socket first, the stores last."""
         if self.admin is not None:
             self.admin.close()
         self.core.finish()
@@ -76,10 +76,10 @@
         self.log = Log(self.gateway.name)
         self.stop = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._reading = asyncio.Lock()
+        self._reload_lock = asyncio.Lock()
 
     async def run(self, ready: ReadyCallback | None = None) -> None:
-        """Serve until SIGTERM has been honoured; raises StartError."""
+        """Serve until SIGTERM or SIGINT, then drain; raises StartError."""
         loop = asyncio.get_running_loop()
         core = GatewayCore(resource_limits(self.gateway, INITIAL_DEADLINE), loop, self.log)
         resources = _Resources(core)
@@ -91,7 +91,7 @@
                     state_applier, source, Path(self.admin), resources.tier
                 )
                 await resources.admin.start()
-            self._signals(loop, source)
+            self._install_signal_handlers(loop, source)
             self._log_start(applied, resources.tier)
             core.ready = resources.tier is None
             freeze_startup_objects()
@@ -100,7 +100,7 @@
             await self.stop.wait()
             await self._drain(core, state_applier)
             if resources.tier is not None:
-                # Not before: a member that has left may not serve, and clients are still connected.
+                # Only after the drain: a member that has left must not serve clients.
                 await resources.tier.leave()
         except (StoreError, ApplyError, AdminError, DiskError, LinkError, KeyFileError) as error:
             raise StartError(str(error)) from None
@@ -108,18 +108,20 @@
             resources.close()
 
     def _open(self, resources: _Resources) -> tuple[StateApplier, StateSource]:
-        """Open the stores, and return the state applier and the source of its states."""
+        """Open the stores; return the state applier and its state source."""
         if self.gateway.state_dir is not None:
             resources.store = Store(Path(self.gateway.state_dir), self.gateway.name)
         if self.file.tier is not None:
-            # What the tier decides is kept apart from what this gateway decided alone.
+            # States that the tier decides are stored apart from those of this gateway alone.
             resources.own_store = resources.store
             resources.store = Store(self._tier_folder(), self.gateway.name)
         state_applier = StateApplier(resources.core, self.gateway, resources.store, self.step)
         resources.core.begin()
         if self.file.tier is None:
             return state_applier, LocalStateSource(state_applier)
-        resources.tier = self._tier(state_applier, self.file.tier, resources.own_store)
+        resources.tier = self._create_tier_source(
+            state_applier, self.file.tier, resources.own_store
+        )
         return state_applier, resources.tier
 
     def _log_start(self, applied: AppliedState, tier: TierStateSource | None) -> None:
@@ -127,13 +129,13 @@
         self.log.write(f"serial {applied.serial} ({applied.applied_by}), {nodes} nodes; ready")
         if tier is None and applied.state != with_bans(from_file(self.file), applied.state):
             self.log.write(
-                f"the last applied state holds; {self.path} differs: `sailhitch plan` shows how"
+                f"the last applied state is in effect; {self.path} differs: see `sailhitch plan`"
             )
 
     def _tier_folder(self) -> Path:
         return Path(self.gateway.state_dir or "") / "tier"
 
-    def _tier(
+    def _create_tier_source(
         self, state_applier: StateApplier, part: TierPart, own_store: Store | None
     ) -> TierStateSource:
         return TierStateSource(
@@ -146,26 +148,28 @@
             self.file.zones,
         )
 
-    def _signals(self, loop: asyncio.AbstractEventLoop, source: StateSource) -> None:
+    def _install_signal_handlers(
+        self, loop: asyncio.AbstractEventLoop, source: StateSource
+    ) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload, source)
         unblock_signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
     def _reload(self, source: StateSource) -> None:
-        task = asyncio.get_running_loop().create_task(self._reread(source))
+        task = asyncio.get_running_loop().create_task(self._reload_file(source))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _reread(self, source: StateSource) -> None:
-        """Apply what the file says now, or change nothing: SIGHUP."""
-        # Of two concurrent reads the older one could be applied last.
-        async with self._reading:
+    async def _reload_file(self, source: StateSource) -> None:
+        """Read the file again and apply it; an invalid file changes nothing (SIGHUP)."""
+        # Without the lock, the older of two concurrent reads could be applied last.
+        async with self._reload_lock:
             try:
                 file = await asyncio.to_thread(load_file, self.path)
                 if file.gateway != self.gateway:
                     self.log.write(
-                        "SIGHUP: [gateway] has changed; that holds from the next start on"
+                        "SIGHUP: [gateway] has changed; this takes effect at the next start"
                     )
                 applied = await source.apply_file(file, "SIGHUP")
                 self.log.write(f"SIGHUP: serial {applied.serial}: {applied.summary}")
@@ -182,16 +186,16 @@
 def run_daemon(
     path: str, step: Step = ignore_step, admin: str | None = None, as_json: bool = False
 ) -> int:
-    """Run a gateway by an operator file.
+    """Run a gateway as an operator file configures it.
 
     Args:
         path: The operator file.
-        step: Called at each step of an apply, for tests that fail there.
+        step: Called at each step of an apply, so that tests can inject failures.
         admin: The admin socket, in place of the file's.
-        as_json: Whether to print one line on standard output once it is ready.
+        as_json: Whether to print a line of JSON on standard output once it is ready.
 
     Returns:
-        The exit status: 0 after a drain, 1 where it can't start.
+        The exit status: 0 after a drain, 1 if it can't start.
     """
 
     def ready(state_applier: StateApplier) -> None:
@@ -211,7 +215,7 @@
             try:
                 await Daemon(path, file, step, admin).run(ready)
             finally:
-                block_signals()  # the loop takes its handlers with it
+                block_signals()  # closing the loop removes its handlers
 
         uvloop.run(main())
     except FileError as error:
