--- a/sailhitch/daemon/plan.py
+++ b/sailhitch/daemon/plan.py
@@ -1,11 +1,12 @@
 """Plans: the exact changes from one state to another, and the state that they were made against.
 
 `apply` makes a plan's changes and no others. It is refused if the live state is not the one that
-the plan was made against, as the changes would have another meaning there.
+the plan was made against, because the same changes would have another meaning there.
 
-A plan costs what it changes. The state that it is for is named by the root of its page tree, which
-the gateway has at hand; its result, by a digest of the objects that it changes. Plans of
-format 1 name both by digests of the whole states, and are still read.
+The cost of a plan depends on the size of its changes, not of the state. The plan identifies its
+base state by the root of that state's page tree, which the gateway already has, and its result by a
+digest of the changed objects. Plans of format 1 identify both by digests of the full states, and
+can still be read.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 FORMAT: Final = 2
 FULL_STATE_FORMAT: Final = 1  # its digests are of full states
 ROOT_PREFIX: Final = "tree:"
-MAX_SHOWN_VALUE: Final = 100  # characters
+MAX_SHOWN_VALUE: Final = 100  # characters; longer values are cut in what is printed
 Action = Literal["add", "remove", "alter"]
 
 
 class PlanError(ValueError):
-    """A text is no plan, was changed after it was made, or does not fit the state."""
+    """A text is not a plan, was edited after it was made, or does not fit the state."""
 
 
 class MovedError(Exception):
-    """The live state is not the one that a plan was made against; `since` is that one's serial."""
+    """The live state is not the one that a plan was made against, whose serial is `since`."""
 
     def __init__(self, since: int, serial: int, pending: int | None = None) -> None:
         text = f"made against serial {since}, and the live state is {serial}"
@@ -42,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An object that is added, removed or altered; `fields` has old and new values by name.
+    """An added, removed or altered object; `fields` maps names to old and new values.
 
-    All old values of an added object are None, as are all new ones of a removed object.
+    All old values of an added object are None, and so are all new values of a removed one.
     """
 
     kind: str
@@ -53,24 +54,24 @@
     fields: Mapping[str, tuple[Any, Any]]
 
     def as_json(self) -> dict[str, Any]:
-        """Return the change as a plan's JSON has it."""
+        """Return the change as encoded in a plan's JSON."""
         fields = {name: list(pair) for name, pair in self.fields.items()}
         return {"kind": self.kind, "name": self.name, "action": self.action, "fields": fields}
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Changes, and the gateway and the state that they are for."""
+    """Changes, with the gateway and the state that they apply to."""
 
     gateway: str
     serial: int
     base: str  # identity of the state that it was made against
-    result: str  # digest of the changed objects as it leaves them
+    result: str  # digest of the changed objects in the resulting state
     changes: tuple[Change, ...]
     format: int = FORMAT
 
     def dump(self) -> str:
-        """Return the plan as a text, with a digest of itself."""
+        """Return the plan as text, with a digest of its own content."""
         body = self.body()
         return json.dumps({**body, "digest": digest(body)}, indent=1) + "\n"
 
@@ -87,7 +88,7 @@
 
 
 def identity(state: State) -> str:
-    """Return the root of a state's page tree, which plans name it by; encodes the full state."""
+    """Return the identity of a state in plans, its page tree's root; encodes the full state."""
     return ROOT_PREFIX + to_tree(state).root
 
 
@@ -122,7 +123,7 @@
 def make_plan(gateway: str, serial: int, old: State, new: State, base: str | None = None) -> Plan:
     """Return the plan from the live state to another.
 
-    `base` is the live state's identity if the gateway has sent it; else it is computed.
+    `base` is the live state's identity, if the gateway has sent it; otherwise it is computed.
     """
     changes = diff(old, new)
     if base is None:
@@ -131,37 +132,37 @@
 
 
 def make_whole_plan(gateway: str, serial: int, old: State, new: State) -> Plan:
-    """Return a plan of format 1, the only one that gateways of the version before read."""
+    """Return a plan of format 1, the only one that gateways of the previous version can read."""
     return Plan(gateway, serial, digest(old), digest(new), diff(old, new), FULL_STATE_FORMAT)
 
 
 def _result_digest(state: State, changes: Sequence[Change]) -> str:
-    """Return the digest of the changed objects in a state; those that it lacks are null."""
+    """Return the digest of the changed objects in a state; missing ones count as null."""
     return digest(
         [[change.kind, change.name, state[change.kind].get(change.name)] for change in changes]
     )
 
 
 def load_plan(text: str | bytes) -> Plan:
-    """Read a plan; raises PlanError with what to do about it."""
+    """Parse a plan; raises PlanError with a text that says what to do."""
     try:
         value = json.loads(text)
     except (ValueError, RecursionError):
-        raise PlanError("not a plan, or cut short: make it anew with `sailhitch plan`") from None
+        raise PlanError("not a plan, or incomplete: make a new one with `sailhitch plan`") from None
     if not isinstance(value, dict) or "format" not in value:
         raise PlanError("not a plan: make one with `sailhitch plan FILE -o PLAN`")
     if value["format"] not in (FULL_STATE_FORMAT, FORMAT):
         raise PlanError(
             f"format {str(value['format'])[:20]} is not {FORMAT}, the one that this program "
-            "writes: make the plan anew with this version"
+            "writes: make a new plan with this version"
         )
     stated_digest = value.pop("digest", None)
     try:
         actual_digest = digest(value)
     except ValueError:
-        raise PlanError("it holds numbers that no plan holds: make it anew") from None
+        raise PlanError("it contains numbers that a plan can't contain: make a new plan") from None
     if stated_digest != actual_digest:
-        raise PlanError("it was changed after it was made: make it anew and apply it as it is")
+        raise PlanError("it was changed after it was made: make a new plan and apply it unedited")
     return _read_plan(value)
 
 
@@ -192,7 +193,7 @@
 def apply_changes(state: State, changes: Sequence[Change]) -> State:
     """Return the state that results from changes; raises PlanError if one does not fit.
 
-    Objects that are not changed are shared with `state`.
+    Unchanged objects are shared with `state`.
     """
     copies = {kind: dict(state[kind]) for kind in {change.kind for change in changes}}
     for change in changes:
@@ -200,7 +201,7 @@
         label = f"{change.kind} {change.name}"
         old = objects.get(change.name)
         if (old is None) != (change.action == "add"):
-            raise PlanError(f"{label}: {'is not there' if old is None else 'is there already'}")
+            raise PlanError(f"{label}: {'does not exist' if old is None else 'already exists'}")
         if change.action == "remove":
             del objects[change.name]
             continue
@@ -216,12 +217,12 @@
 def check_base(
     plan: Plan, gateway: str, serial: int, state: State, base: str | None = None
 ) -> State:
-    """Return the state that results from a plan on the live one; raises PlanError or MovedError.
+    """Return the state that a plan leads to from the live one; raises PlanError or MovedError.
 
-    `base` is the live state's identity if it is at hand; else it is computed.
+    `base` is the live state's identity, if it is known; otherwise it is computed.
     """
     if plan.gateway != gateway:
-        raise PlanError(f"it was made for gateway {plan.gateway!r}, and this is {gateway!r}")
+        raise PlanError(f"it was made for gateway {plan.gateway!r}, but this is {gateway!r}")
     if plan.serial != serial:
         raise MovedError(plan.serial, serial)
     is_full_state = plan.format == FULL_STATE_FORMAT
@@ -233,15 +234,15 @@
         raise MovedError(plan.serial, serial)
     result = apply_changes(state, plan.changes)
     if plan.result != (digest(result) if is_full_state else _result_digest(result, plan.changes)):
-        raise PlanError("its changes do not lead where it says: make it anew")
+        raise PlanError("its changes do not lead to the result that it states: make a new plan")
     return result
 
 
-# --- For people
+# --- Text for operators
 
 
 def describe(changes: Sequence[Change]) -> list[str]:
-    """Return lines for each change (`+` added, `-` removed, `~` altered), with the values."""
+    """Return lines that describe changes and their values: `+` added, `-` removed, `~` altered."""
     marks = {"add": "+", "remove": "-", "alter": "~"}
     lines = []
     for change in changes:
@@ -255,7 +256,7 @@
 
 
 def summary(changes: Sequence[Change]) -> str:
-    """Return the number of each kind of change, in one line."""
+    """Return one line with the number of changes of each kind."""
     count = {"add": 0, "remove": 0, "alter": 0}
     for change in changes:
         count[change.action] += 1
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans: the difference of two states, and what becomes of a plan that is not as it was made."""
+"""Plans: the difference between two states, and how damaged or outdated plans are refused."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
     one: dict[str, Any], other: dict[str, Any]
 ) -> None:
     a, b = state_of(one), state_of(other)
-    there = load_plan(make_plan("g1", 4, a, b).dump())
-    assert apply_changes(a, there.changes) == b
-    assert check_base(there, "g1", 4, a) == b
+    forward = load_plan(make_plan("g1", 4, a, b).dump())
+    assert apply_changes(a, forward.changes) == b
+    assert check_base(forward, "g1", 4, a) == b
     back = load_plan(make_plan("g1", 5, b, a).dump())
     assert check_base(back, "g1", 5, b) == a
     assert diff(a, a) == diff(b, b) == ()
-    assert (digest(a) == digest(b)) == (not there.changes)
+    assert (digest(a) == digest(b)) == (not forward.changes)
 
 
-def test_a_plan_says_old_and_new_values() -> None:
+def test_a_plan_shows_old_and_new_values() -> None:
     lines = describe(diff(A, B))
     assert lines == [
         "~ routes payouts",
@@ -75,7 +75,7 @@
         load_plan(json.dumps(value))
 
 
-def test_a_plan_cut_short_is_refused_wherever_it_is_cut() -> None:
+def test_a_truncated_plan_is_refused_at_any_length() -> None:
     text = make_plan("g1", 7, A, B).dump()
     for end in range(len(text) - 2):
         with pytest.raises(PlanError):
@@ -83,17 +83,17 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("[]", "not a plan"),
         ("{}", "not a plan"),
         ('{"format": 3, "changes": []}', "format 3 is not 2"),
-        ('{"format": 1, "x": NaN}', "numbers that no plan holds"),
+        ('{"format": 1, "x": NaN}', "numbers that a plan can't contain"),
         ("[" * 100_000, "not a plan"),
     ],
 )
-def test_what_is_no_plan_is_refused_with_the_next_step(text: str, said: str) -> None:
-    with pytest.raises(PlanError, match=said):
+def test_text_that_is_not_a_plan_is_refused_with_the_next_step(text: str, message: str) -> None:
+    with pytest.raises(PlanError, match=message):
         load_plan(text)
 
 
@@ -101,7 +101,7 @@
     "change",
     [{"kind": "nonsense"}, {"action": "explode"}, {"fields": {"a": [1]}}, {"fields": 3}],
 )
-def test_a_plan_with_a_right_digest_and_wrong_changes_is_refused(change: dict[str, Any]) -> None:
+def test_a_plan_with_a_valid_digest_and_invalid_changes_is_refused(change: dict[str, Any]) -> None:
     value = plan()
     value.pop("digest")
     value["changes"][0] |= change
@@ -110,11 +110,11 @@
 
 
 def test_a_plan_for_another_gateway_is_refused() -> None:
-    with pytest.raises(PlanError, match="made for gateway 'g1', and this is 'g2'"):
+    with pytest.raises(PlanError, match="made for gateway 'g1', but this is 'g2'"):
         check_base(load_plan(json.dumps(plan())), "g2", 7, A)
 
 
-def test_a_plan_is_refused_once_the_state_has_moved() -> None:
+def test_a_plan_is_refused_once_the_state_has_changed() -> None:
     loaded_plan = load_plan(json.dumps(plan()))
     with pytest.raises(MovedError, match="serial 7, and the live state is 8"):
         check_base(loaded_plan, "g1", 8, A)
@@ -124,32 +124,32 @@
 
 def test_changes_that_do_not_fit_are_named() -> None:
     changes = diff(A, B)
-    with pytest.raises(PlanError, match="routes payouts: is not there"):
+    with pytest.raises(PlanError, match="routes payouts: does not exist"):
         apply_changes(EMPTY, changes)
     with pytest.raises(PlanError, match=r"routes payouts\.pools: is "):
         apply_changes(B, changes)
-    with pytest.raises(PlanError, match="listeners web: is there already"):
+    with pytest.raises(PlanError, match="listeners web: already exists"):
         apply_changes(A, diff(EMPTY, A))
 
 
-def test_a_plan_that_does_not_lead_where_it_says_is_refused() -> None:
+def test_a_plan_whose_changes_do_not_lead_to_its_result_is_refused() -> None:
     original_plan = make_plan("g1", 7, A, B)
-    lying = Plan(
+    wrong_result = Plan(
         original_plan.gateway,
         original_plan.serial,
         original_plan.base,
         digest(A),
         original_plan.changes,
     )
-    with pytest.raises(PlanError, match="do not lead where it says"):
-        check_base(lying, "g1", 7, A)
-    of_whole = make_whole_plan("g1", 7, A, B)
-    lying = replace(of_whole, result=digest(A))
-    with pytest.raises(PlanError, match="do not lead where it says"):
-        check_base(lying, "g1", 7, A)
+    with pytest.raises(PlanError, match="do not lead to the result that it states"):
+        check_base(wrong_result, "g1", 7, A)
+    full_state_plan = make_whole_plan("g1", 7, A, B)
+    wrong_result = replace(full_state_plan, result=digest(A))
+    with pytest.raises(PlanError, match="do not lead to the result that it states"):
+        check_base(wrong_result, "g1", 7, A)
 
 
-def test_a_plan_of_the_version_before_is_held_to_the_whole_states() -> None:
+def test_a_format_1_plan_is_checked_by_digests_of_full_states() -> None:
     text = make_whole_plan("g1", 7, A, B).dump()
     assert json.loads(text)["format"] == 1
     loaded_plan = load_plan(text)
@@ -161,7 +161,7 @@
         check_base(loaded_plan, "g1", 8, A)
 
 
-def test_a_plan_by_the_identity_that_the_gateway_told_is_the_one_that_is_worked_out() -> None:
+def test_a_plan_is_the_same_with_the_gateways_identity_and_a_computed_one() -> None:
     plan_with_identity = make_plan("g1", 7, A, B, identity(A))
     assert plan_with_identity == make_plan("g1", 7, A, B)
     assert check_base(plan_with_identity, "g1", 7, A, identity(A)) == B
@@ -169,7 +169,7 @@
         check_base(plan_with_identity, "g1", 7, A, identity(B))
 
 
-def test_what_a_plan_does_not_change_is_shared_with_the_live_state() -> None:
+def test_objects_that_a_plan_does_not_change_are_shared_with_the_live_state() -> None:
     result = check_base(make_plan("g1", 7, A, B), "g1", 7, A)
     assert result["nodes"] is A["nodes"]
     assert result["routes"]["payouts"] is not A["routes"]["payouts"]
--- a/tests/test_plan_identity.py
+++ b/tests/test_plan_identity.py
@@ -1,4 +1,4 @@
-"""What a gateway tells of its state's identity, and plans of this version and the one before."""
+"""The state identity that a gateway reports, and plans of this and the previous format."""
 
 from __future__ import annotations
 
@@ -34,23 +34,23 @@
 
 
 @pytest.mark.parametrize("stored", [True, False])
-def test_the_identity_that_a_gateway_tells_is_its_states(stored: bool, tmp_path: Path) -> None:
+def test_a_gateway_reports_the_identity_of_its_live_state(stored: bool, tmp_path: Path) -> None:
     async def work() -> None:
         port = free_port()
         async with inside(tmp_path, _with_pools("p", port=port), stored=stored) as it:
             identities = []
             for names in (("p",), ("p", "q"), ("p",)):
                 await it.go(_with_pools(*names, port=port))
-                answer = await _ask(it, {"op": "state"})
-                assert answer["identity"] == identity(answer["state"])
-                identities.append(answer["identity"])
+                reply = await _ask(it, {"op": "state"})
+                assert reply["identity"] == identity(reply["state"])
+                identities.append(reply["identity"])
             assert identities[0] == identities[2] != identities[1]
 
     run(work)
 
 
 @pytest.mark.parametrize("stored", [True, False])
-def test_plans_of_both_formats_are_applied_and_refused_once_the_state_has_moved(
+def test_plans_of_both_formats_are_applied_and_refused_once_the_state_has_changed(
     stored: bool, tmp_path: Path
 ) -> None:
     async def work() -> None:
@@ -59,39 +59,39 @@
             live = it.live.applied
             wanted = from_file(made(_with_pools("p", "q", port=port)))
             for plan in (make_plan, make_whole_plan):
-                whole = plan("g1", live.serial, live.state, wanted).dump()
-                await it.source.apply_plan(whole, "t")
+                text = plan("g1", live.serial, live.state, wanted).dump()
+                await it.source.apply_plan(text, "t")
                 assert it.live.applied.state == wanted
                 with pytest.raises(MovedError):
-                    await it.source.apply_plan(whole, "t")
+                    await it.source.apply_plan(text, "t")
                 await it.go(_with_pools("p", port=port))
                 live = it.live.applied
-            # The serial is right, and the state is another one.
+            # The serial matches, but the state is a different one.
             other = from_file(made(_with_pools("other", port=port)))
             for plan in (make_plan, make_whole_plan):
                 with pytest.raises(MovedError):
                     await it.source.apply_plan(plan("g1", live.serial, other, wanted).dump(), "t")
-            lying = make_plan("g1", live.serial, live.state, wanted)
-            text = make_plan("g1", live.serial, live.state, live.state)
-            bad = type(lying)(
-                lying.gateway, lying.serial, lying.base, text.result, lying.changes
+            valid = make_plan("g1", live.serial, live.state, wanted)
+            empty = make_plan("g1", live.serial, live.state, live.state)
+            wrong_result = type(valid)(
+                valid.gateway, valid.serial, valid.base, empty.result, valid.changes
             ).dump()
-            with pytest.raises(PlanError, match="do not lead where it says"):
-                await it.source.apply_plan(bad, "t")
+            with pytest.raises(PlanError, match="do not lead to the result that it states"):
+                await it.source.apply_plan(wrong_result, "t")
             assert it.live.applied is live
 
     run(work)
 
 
-def test_a_gateway_of_the_version_before_gets_a_plan_that_it_reads(
+def test_a_gateway_of_the_previous_version_gets_a_plan_that_it_can_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """One that tells no identity, as it was not restarted since the upgrade."""
+    """Such a gateway sends no identity: it has not been restarted since the upgrade."""
 
     def without_identity(options: Any, file: OperatorFile | None) -> Mapping[str, Any]:
-        answer = dict(request_live_state(options, file))
-        del answer["identity"]
-        return answer
+        reply = dict(request_live_state(options, file))
+        del reply["identity"]
+        return reply
 
     async def plan(it: Inside) -> dict[str, Any]:
         path, plan = tmp_path / "new.toml", tmp_path / "plan"
@@ -103,9 +103,9 @@
 
     async def work() -> None:
         async with inside(tmp_path, _with_pools("p", port=free_port())) as it:
-            made_now = await plan(it)
-            assert made_now["format"] == 2
-            assert made_now["base"] == identity(it.live.applied.state)
+            new_plan = await plan(it)
+            assert new_plan["format"] == 2
+            assert new_plan["base"] == identity(it.live.applied.state)
             monkeypatch.setattr("sailhitch.daemon.cli_change.request_live_state", without_identity)
             assert (await plan(it))["format"] == 1
             capsys.readouterr()
