--- a/sailhitch/daemon/schema.py
+++ b/sailhitch/daemon/schema.py
@@ -1,8 +1,8 @@
-"""The operator file: reads it and reports every error in it at once, each with its field's path.
+"""Reads the operator file and reports all errors in it at once, each with its field's path.
 
-Read as TOML (tomllib) and checked by pydantic (`schema_models`, `schema_fields`). What can't be
-checked of one field alone (names that must be known, addresses used twice) is in `schema_checks`;
-what concerns several routes is in `routes`; error texts are in `schema_errors`.
+The file is TOML (tomllib) and validated with pydantic (`schema_models`, `schema_fields`). Checks
+across fields (unknown names, addresses used twice) are in `schema_checks`, checks across routes in
+`routes`, and error texts in `schema_errors`.
 """
 
 from __future__ import annotations
@@ -55,9 +55,9 @@
     "to_route",
 ]
 
-MAX_FILE_BYTES: Final = 64 << 20  # ten thousand nodes take one MiB
+MAX_FILE_BYTES: Final = 64 << 20  # 10,000 nodes take 1 MiB
 
-# Valid values for fields that can't be left out, by the number of the error; no two are the same.
+# Valid values for required fields, made unique by the number of the error.
 _PLACEHOLDERS: Final[dict[str, Callable[[int], Any]]] = {
     "version": lambda number: VERSION,
     "gateway": lambda number: {"name": f"x{number}"},
@@ -74,7 +74,7 @@
 
 
 def load_file(path: str | Path) -> OperatorFile:
-    """Read and check a file; raises FileError with everything that is wrong with it."""
+    """Read and check a file; raises FileError with all errors in it."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -103,11 +103,11 @@
 
 
 def parse_value(value: dict[str, Any]) -> OperatorFile:
-    """Check the values of a file that has been read; raises FileError."""
+    """Check the decoded values of a file; raises FileError."""
     version = value.get("version")
     if isinstance(version, int) and not isinstance(version, bool) and version > VERSION:
         raise FileError(
-            [f"version: {version} is newer than this program knows ({VERSION}); upgrade it first"]
+            [f"version: {version} is newer than this program supports ({VERSION}); upgrade first"]
         )
     try:
         operator_file = OperatorFile.model_validate(value)
@@ -120,10 +120,10 @@
 
 
 def _find_all_problems(value: dict[str, Any], errors: list[ErrorDetails]) -> list[str]:
-    """Return a line for each invalid field, and for each contradiction among the other fields.
+    """Return a line for each invalid field and for each contradiction between the others.
 
-    Invalid fields are replaced by valid ones, so that the rest can be checked, and contradictions
-    at those fields are left out.
+    Invalid fields are replaced by valid values so that the rest can be checked. Contradictions at
+    replaced fields are left out.
     """
     problems = [describe_error(error) for error in errors]
     repaired = copy.deepcopy(value)
@@ -132,19 +132,19 @@
     try:
         operator_file = OperatorFile.model_validate(repaired)
     except ValidationError:
-        return problems  # too far from valid to check the rest
+        return problems  # the file can't be repaired, so the rest can't be checked
     invalid_paths = tuple(format_path(field_path(error)) for error in errors)
     contradictions = [
         line for line in find_contradictions(operator_file) if not line.startswith(invalid_paths)
     ]
-    # References to a name that was replaced here are not errors of the file.
+    # A reference to a name that was replaced above is not an error in the file.
     if any(error["loc"][-1] in ("name", "id") for error in errors):
         contradictions = [line for line in contradictions if " is called " not in line]
     return problems + contradictions
 
 
 def _repair_field(value: Any, keys: FieldPath, number: int) -> None:
-    """Remove a field, or set a valid value if it is required; `number` makes values differ."""
+    """Remove a field, or set a valid value if it is required; `number` makes values unique."""
     for key in keys[:-1]:
         try:
             value = value[key]
@@ -156,4 +156,4 @@
         if last in _PLACEHOLDERS:
             value[last] = _PLACEHOLDERS[str(last)](number)
     elif isinstance(value, list) and isinstance(last, int) and last < len(value):
-        value[last] = "GET"  # the only lists of plain values are of methods
+        value[last] = "GET"  # methods are the only lists of plain values
--- a/sailhitch/daemon/schema_checks.py
+++ b/sailhitch/daemon/schema_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the operator file that concern several fields: names, addresses and references."""
+"""Checks across fields of the operator file: names, addresses and references."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def find_contradictions(operator_file: OperatorFile) -> Iterator[str]:
-    """Yield a line for each contradiction between fields that are valid by themselves."""
+    """Yield a line for each contradiction between fields that are valid on their own."""
     for kind in ("listeners", "classes", "tenants", "pools", "routes"):
         yield from _duplicates(kind, "name", [part.name for part in getattr(operator_file, kind)])
     yield from _duplicates(
@@ -37,14 +37,14 @@
     first_index: dict[str, int] = {}
     for i, value in enumerate(values):
         if value in first_index:
-            yield f"{kind}[{i}].{field}: {value!r} is that of {kind}[{first_index[value]}] too"
+            yield f"{kind}[{i}].{field}: {value!r} is already used by {kind}[{first_index[value]}]"
         first_index.setdefault(value, i)
 
 
 def _node_contradictions(operator_file: OperatorFile) -> Iterator[str]:
-    """Yield ids and addresses of nodes that occur twice, over all pools.
+    """Yield a line for each node id or address that occurs twice in all pools.
 
-    A node in two pools would get its full rate from each, as neither knows of the other.
+    Pools do not coordinate: a node in two pools would be sent its full rate by each.
     """
     ids: dict[str, str] = {}
     addresses: dict[str, str] = {}
@@ -52,9 +52,11 @@
         for j, node in enumerate(pool.nodes):
             path = f"pools[{i}].nodes[{j}]"
             if node.id in ids:
-                yield f"{path}.id: {node.id!r} is that of {ids[node.id]} too"
+                yield f"{path}.id: {node.id!r} is already used by {ids[node.id]}"
             if node.address in addresses:
-                yield f"{path}.address: {node.address!r} is that of {addresses[node.address]} too"
+                yield (
+                    f"{path}.address: {node.address!r} is already used by {addresses[node.address]}"
+                )
             ids.setdefault(node.id, path)
             addresses.setdefault(node.address, path)
 
@@ -63,8 +65,8 @@
     gateway: GatewayPart, tier: TierPart | None, zones: ZonesPart
 ) -> Iterator[str]:
     if tier is None:
-        yield "zones: needs a [tier]: a gateway alone has nobody to leave a zone with"
-    min_step = gateway.cold_time * 3 // 2  # by then all gateways treat its nodes as warm
+        yield "zones: requires [tier]: zones are left by a whole tier, not by a single gateway"
+    min_step = gateway.cold_time * 3 // 2  # by then all gateways treat the nodes of a step as warm
     if zones.step is not None and zones.step < min_step:
         yield (
             f"zones.step: {format_duration(zones.step)} is less than "
@@ -78,17 +80,17 @@
     yield from _duplicates("tier.members", "name", names)
     yield from _duplicates("tier.members", "address", [member.address for member in tier.members])
     if gateway.name not in names:
-        yield f"tier.members: this gateway, {gateway.name!r}, is not among them"
+        yield f"tier.members: this gateway, {gateway.name!r}, is not one of them"
     if gateway.state_dir is None:
-        yield "gateway.state_dir: required in a tier: a member keeps there what it has said"
+        yield "gateway.state_dir: required in a tier: a member must persist what it has told others"
     for i, name in enumerate(tier.voters):
         yield from _unknown_reference(f"tier.voters[{i}]", "member", name, names)
         if name in tier.voters[:i]:
-            yield f"tier.voters[{i}]: {name!r} is there already"
+            yield f"tier.voters[{i}]: {name!r} is listed already"
     if len(tier.voters) % 2 == 0:
         yield (
-            f"tier.voters: {len(tier.voters)} of them bear no more failures than "
-            f"{len(tier.voters) - 1}: name an odd number, 3 or 5 in different zones"
+            f"tier.voters: {len(tier.voters)} voters tolerate no more failures than "
+            f"{len(tier.voters) - 1}: use an odd number, 3 or 5 in different zones"
         )
     if tier.lease is not None and not MIN_LEASE <= tier.lease <= tier.agree_within // 2:
         yield (
@@ -130,7 +132,7 @@
 
 
 def to_route(part: RoutePart) -> Route:
-    """Return a route as the lookup of routes has it."""
+    """Return a route of the file in the form that the route lookup uses."""
     match = part.match
     return Route(
         part.name,
--- a/sailhitch/daemon/schema_errors.py
+++ b/sailhitch/daemon/schema_errors.py
@@ -1,4 +1,4 @@
-"""Errors in an operator file: their texts, each with the path of its field."""
+"""Error texts for an operator file, each with the path of its field."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class FileError(ValueError):
-    """The file can't be used; `problems` has one line for each thing wrong with it."""
+    """The file is invalid; `problems` has one line for each error."""
 
     def __init__(self, problems: list[str]) -> None:
         super().__init__("\n".join(problems))
@@ -51,7 +51,7 @@
 
 
 def describe_error(error: ErrorDetails) -> str:
-    """Return one of pydantic's errors as a line, with the path as the file has it."""
+    """Return one of pydantic's errors as a line, with the field's path in the file."""
     keys = field_path(error)
     path = format_path(keys)
     if error["type"] == "extra_forbidden":
@@ -64,12 +64,12 @@
 
 
 def field_path(error: ErrorDetails) -> FieldPath:
-    """Return where in the file an error is; pydantic marks an invalid key by an item more."""
+    """Return the path of an error, without the item that pydantic adds for an invalid key."""
     return [key for key in error["loc"] if key != "[key]"]
 
 
 def format_path(keys: FieldPath) -> str:
-    """Return a path as an error shows it, such as `pools[0].nodes[1].id`."""
+    """Return a path as shown in errors, such as `pools[0].nodes[1].id`."""
     text = ""
     for key in keys:
         text += f"[{key}]" if isinstance(key, int) else f".{key}" if text else key
@@ -77,13 +77,13 @@
 
 
 def _known_keys(keys: FieldPath) -> list[str]:
-    """Return the keys that a table of the file may have."""
+    """Return the valid keys of the table at a path."""
     names = [key for key in keys if isinstance(key, str)]
     model = _MODELS.get(names[-1], OperatorFile) if names else OperatorFile
     return [field.alias or name for name, field in model.model_fields.items()]
 
 
 def suggest_name(name: str, known: Iterable[str]) -> str:
-    """Return a question after the known name that is most like one; empty if none is."""
+    """Return a "did you mean" question with the closest known name; empty if none is close."""
     matches = difflib.get_close_matches(name, list(known), 1, 0.5)
     return f" (did you mean {matches[0]!r}?)" if matches else ""
--- a/sailhitch/daemon/schema_fields.py
+++ b/sailhitch/daemon/schema_fields.py
@@ -1,4 +1,4 @@
-"""Types of the operator file's fields, and durations as the file writes them."""
+"""Types of the operator file's fields, and the text format of durations."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 def read_duration(value: Any) -> int:
-    """Return the microseconds of a text such as "2.5s" or "250ms"; raises ValueError."""
+    """Return the microseconds of a duration such as "2.5s" or "250ms"; raises ValueError."""
     match = _DURATION.fullmatch(value.strip()) if isinstance(value, str) else None
     if match is None:
         raise ValueError('not a duration such as "250ms", "2.5s" or "1m"')
     microseconds = round(float(match[1]) * MICROSECONDS_PER_UNIT[match[2]])
     if not 0 < microseconds <= MAX_DURATION:
-        raise ValueError("not above 0 and up to 24h")
+        raise ValueError("not above 0, or longer than 24h")
     return microseconds
 
 
 def format_duration(microseconds: int) -> str:
-    """Return a duration as the file writes it, in the largest unit that needs no fraction."""
+    """Return a duration as text, in the largest of s, ms and us that needs no fraction."""
     for unit in ("s", "ms", "us"):
         if microseconds % MICROSECONDS_PER_UNIT[unit] == 0 or unit == "us":
             return f"{microseconds // MICROSECONDS_PER_UNIT[unit]}{unit}"
@@ -73,7 +73,7 @@
 
 def _check_method(value: str) -> str:
     if not _METHOD.fullmatch(value):
-        raise ValueError("not a method in capitals")
+        raise ValueError("not a method in capital letters")
     return value
 
 
--- a/sailhitch/daemon/schema_models.py
+++ b/sailhitch/daemon/schema_models.py
@@ -1,4 +1,4 @@
-"""The operator file's tables as models: their fields, defaults and limits of one field."""
+"""Models of the operator file's tables: fields, defaults and the limits of single fields."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     Weight,
 )
 
-VERSION: Final = 1  # of the file's form
-# Of a tier: 1,700 are asked for in two years.
+VERSION: Final = 1  # of the file's format
+# Members in a tier; 1,700 are required in two years.
 MOST_MEMBERS: Final = 2_000
 
 
 class Part(BaseModel):
-    """A table of the file; unknown keys are errors, and no value is converted."""
+    """A table of the file; unknown keys are errors, and values are not converted."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
@@ -56,7 +56,7 @@
 
 
 class ListenerPart(Part):
-    """Where clients connect."""
+    """An address at which clients connect."""
 
     name: Name
     address: Listen
@@ -98,7 +98,7 @@
 
 
 class PoolPart(Part):
-    """Nodes that serve the same requests."""
+    """A set of nodes that serve the same requests."""
 
     name: Name
     nodes: list[NodePart] = []
@@ -107,7 +107,7 @@
 
 
 class MatchPart(Part):
-    """The conditions under which a route matches a request; a missing one always holds."""
+    """The conditions on which a route matches a request; a missing one always holds."""
 
     path_prefix: PathPrefix = "/"
     host: Host | None = None
@@ -118,7 +118,7 @@
 
 
 class RoutePart(Part):
-    """Which pools requests go to, and under which class."""
+    """A route: its conditions, and the pools and the class of the requests that match."""
 
     name: Name
     match: MatchPart = MatchPart()
@@ -127,14 +127,14 @@
 
 
 class TierMemberPart(Part):
-    """A gateway of the tier, and the UDP address that it receives messages at."""
+    """A gateway of the tier, and the UDP address at which it receives messages."""
 
     name: Name
     address: Listen
 
 
 class TierPart(Part):
-    """The tier that this gateway is a member of; fixed for the life of the process."""
+    """The tier that this gateway belongs to; fixed for the life of the process."""
 
     name: Name
     members: Annotated[list[TierMemberPart], Field(min_length=1, max_length=MOST_MEMBERS)]
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -37,5 +37,7 @@
 def test_a_repeated_member_among_many_is_named() -> None:
     value = _value(FULL_SIZE)
     value["tier"]["members"][1_699]["name"] = "g7"
-    with pytest.raises(FileError, match=r"tier\.members\[1699\]\.name: 'g7' is that of .*\[7\]"):
+    with pytest.raises(
+        FileError, match=r"tier\.members\[1699\]\.name: 'g7' is already used by .*\[7\]"
+    ):
         parse_value(value)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file: what it takes, and what it says of what it does not take."""
+"""The operator file: valid files are read, and invalid ones rejected with an error per field."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return problems(FILE.replace(old, new, 1))
 
 
-def test_a_whole_file_is_read() -> None:
+def test_a_complete_file_is_read() -> None:
     operator_file = parse_text(FILE)
     assert operator_file.classes[1].aim == 2_500_000
     assert operator_file.pools[0].nodes[0].zone == "abuja-1"
@@ -52,11 +52,11 @@
         ('"2.5s"', '"0s"', "classes[1].aim: not above 0"),
         ('"2.5s"', '"9s"', "classes[1].aim: longer than the deadline"),
         ('"unsafe"', '"unsfae"', "classes[1].effect:"),
-        ('"n2"', '"n1"', "pools[0].nodes[1].id: 'n1' is that of pools[0].nodes[0] too"),
-        ('"m1"', '"n1"', "pools[1].nodes[0].id: 'n1' is that of pools[0].nodes[0] too"),
-        (":9011", ":9002", "pools[1].nodes[0].address: '127.0.0.1:9002' is that of"),
+        ('"n2"', '"n1"', "pools[0].nodes[1].id: 'n1' is already used by pools[0].nodes[0]"),
+        ('"m1"', '"n1"', "pools[1].nodes[0].id: 'n1' is already used by pools[0].nodes[0]"),
+        (":9011", ":9002", "pools[1].nodes[0].address: '127.0.0.1:9002' is already used by"),
         (":9011", ":99011", "pools[1].nodes[0].address: not an address"),
-        ('"next"', '"claims"', "pools[1].name: 'claims' is that of pools[0] too"),
+        ('"next"', '"claims"', "pools[1].name: 'claims' is already used by pools[0]"),
         ("next = 0.05", "nxet = 0.05", "routes[0].pools: no pool is called 'nxet' (did you mean"),
         ('class = "page"', 'class = "pgae"', "routes[1].class: no class is called 'pgae'"),
         ("claims = 1.0", "claims = 0.0", "routes[1].pools: no pool has a weight above 0"),
@@ -65,7 +65,7 @@
         ('["POST"]', '["post"]', "routes[0].match.methods[0]: not a method"),
         ('address = "127.0.0.1:8080"', "", "listeners[0].address: required and missing"),
         ('name = "g1"', 'name = "g1"\ngateways = 3\nnumber = 3', "gateway.number: not below"),
-        ("version = 1", "version = 7", "version: 7 is newer than this program knows"),
+        ("version = 1", "version = 7", "version: 7 is newer than this program supports"),
         ("version = 1", 'version = "1"', "version:"),
         ("version = 1", "", "version: required and missing"),
     ],
@@ -82,7 +82,7 @@
     assert len(problems(text)) == 2
 
 
-def test_what_contradicts_itself_is_told_beside_what_is_out_of_form() -> None:
+def test_contradictions_are_reported_together_with_invalid_fields() -> None:
     text = FILE.replace("weight = 1.0", "weight = nan").replace("worth", "wroth")
     text = text.replace('"n2"', '"n1"').replace("next = 0.05", "nxet = 1.0").replace(":9011", ":x")
     errors = problems(text)
@@ -94,16 +94,18 @@
         "pools[0].nodes[1].id",
         "routes[0].pools",
     ]
-    # Of a class whose name is out of form nobody is said to name it wrongly.
+    # If the name of a class is invalid, references to that class are not reported as well.
     errors = problems(FILE.replace('name = "payout"', 'name = "pay out"'))
     assert len(errors) == 1
     assert errors[0].startswith("classes[1].name: not a name")
 
 
-def test_two_routes_that_could_tie_are_named() -> None:
-    again = '[[routes]]\nname = "other"\nmatch = { path_prefix = "/payouts/", methods = ["PUT", '
-    again += '"POST"] }\nclass = "page"\npools = { claims = 1.0 }\n'
-    (error,) = problems(FILE + again)
+def test_two_ambiguous_routes_are_reported() -> None:
+    second_route = (
+        '[[routes]]\nname = "other"\nmatch = { path_prefix = "/payouts/", methods = ["PUT", '
+    )
+    second_route += '"POST"] }\nclass = "page"\npools = { claims = 1.0 }\n'
+    (error,) = problems(FILE + second_route)
     assert error.startswith("routes[2].match: a request can match it and routes[0] ('payouts')")
 
 
@@ -116,7 +118,9 @@
         (b"", "version: required and missing"),
     ],
 )
-def test_a_file_that_cannot_be_read_says_why(data: bytes, expected: str, tmp_path: Path) -> None:
+def test_an_unreadable_file_is_reported_with_the_reason(
+    data: bytes, expected: str, tmp_path: Path
+) -> None:
     path = tmp_path / "file.toml"
     path.write_bytes(data)
     with pytest.raises(FileError) as caught:
@@ -125,7 +129,7 @@
     assert any(expected in line for line in caught.value.problems)
 
 
-def test_a_file_that_is_not_there_or_endless_is_refused(tmp_path: Path) -> None:
+def test_a_missing_or_endless_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(FileError, match="No such file"):
         load_file(tmp_path / "none")
     with pytest.raises(FileError, match="larger than"):
@@ -134,15 +138,15 @@
 
 @settings(max_examples=60)
 @given(values())
-def test_a_state_says_all_that_the_file_says(value: dict[str, object]) -> None:
+def test_a_state_keeps_everything_in_the_file(value: dict[str, object]) -> None:
     operator_file = parse_value(value)
     state = from_file(operator_file)
-    again = to_file(state, {"name": "g1"})
-    assert from_file(again) == state
-    assert digest(from_file(again)) == digest(state)
+    restored = to_file(state, {"name": "g1"})
+    assert from_file(restored) == state
+    assert digest(from_file(restored)) == digest(state)
 
 
-def test_the_order_of_a_file_means_nothing() -> None:
+def test_the_order_of_objects_in_a_file_does_not_matter() -> None:
     operator_file = parse_text(FILE)
     value = operator_file.model_dump(mode="json", by_alias=True)
     for kind in ("classes", "pools", "routes"):
@@ -150,7 +154,7 @@
     assert digest(from_file(parse_value(value))) == digest(from_file(operator_file))
 
 
-def test_a_state_from_disk_is_held_to_the_files_rules() -> None:
+def test_a_state_from_disk_is_validated_like_a_file() -> None:
     operator_file = parse_text(FILE)
     state = {kind: dict(objects) for kind, objects in from_file(operator_file).items()}
     state["nodes"]["nowhere/n9"] = dict(state["nodes"]["claims/n1"])
@@ -166,11 +170,11 @@
     ("time", "expected"),
     [(2_000_000, "2s"), (2_500_000, "2500ms"), (1500, "1500us"), (60_000_000, "60s")],
 )
-def test_a_duration_is_said_as_the_file_would(time: int, expected: str) -> None:
+def test_a_duration_is_formatted_as_in_the_file(time: int, expected: str) -> None:
     assert format_duration(time) == expected
 
 
-def test_one_value_has_one_text() -> None:
+def test_equal_values_have_one_canonical_encoding() -> None:
     assert canonical({"b": 1, "a": [1.0, None]}) == b'{"a":[1.0,null],"b":1}'
     with pytest.raises(ValueError, match=r"not JSON compliant|Out of range"):
         canonical(float("nan"))
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -449,7 +449,7 @@
     ("change", "expected"),
     [
         ({"voters": ["g1", "g3"]}, "tier.voters[1]: no member is called 'g3'"),
-        ({"voters": ["g1", "g1", "g1"]}, "tier.voters[1]: 'g1' is there already"),
+        ({"voters": ["g1", "g1", "g1"]}, "tier.voters[1]: 'g1' is listed already"),
         ({"members": [*TIER["members"], MORE], "voters": ["g1", "g2"]}, "tier.voters: 2 of them"),
         ({"members": [MORE], "voters": ["g2"]}, "tier.members: this gateway, 'g1', is not"),
         ({"members": [*TIER["members"], {**MORE, "name": "g1"}]}, "tier.members[1].name"),
