--- a/sailhitch/daemon/routes.py
+++ b/sailhitch/daemon/routes.py
@@ -1,14 +1,15 @@
-"""Which route a request takes, and which pool: the lookup and the split. Sans-IO.
+"""Finds the route of a request, and splits a route's requests over its pools. Sans-IO.
 
-Of the routes that match a request, the one takes precedence that
+Of the routes that match a request, the most specific one takes precedence, compared by
 
-1. names its host exactly, then by the longest `*.` pattern, then by none;
-2. has the longest path prefix, counted in whole segments;
-3. names a tenant; then 4. a class; then 5. more header fields; then 6. methods.
+1. the host: an exact one, then the longest `*.` pattern, then none;
+2. the path prefix: the longest, in whole segments;
+3. a tenant; then 4. a class; then 5. more header fields; then 6. methods.
 
-Two routes that could both match one request and are equal in all six are an error of the file
-(`tied`). A lookup costs one step for each pattern of the host and each prefix of the path that is
-in use, and one for each field by which the routes of such a place differ, however many there are.
+Two routes that could match the same request and are equal in all six are an error in the file
+(`tied`). A lookup takes one step for each host pattern and each path prefix that match the request,
+and one for each field that the routes of such a host and prefix require. It does not depend on the
+number of routes.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 from typing import Final, Generic, TypeVar
 
 T = TypeVar("T")
-MAX_LABELS: Final = 20  # of a host; a longer one is looked up by its last labels
+MAX_LABELS: Final = 20  # in a host; a longer one is looked up by its last labels
 
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """What a route requires; empty and None match anything. Header names are lower case."""
+    """The conditions of a route; empty and None match anything. Header names are in lower case."""
 
     path_prefix: str = "/"
     host: str | None = None
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A route: what it matches, the class of its requests, and its pools with their weights."""
+    """A route: its conditions, the class of its requests, and its pools with their weights."""
 
     name: str
     match: Match
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteQuery:
-    """What routes match of a request; `path` is normalized (`normal_path`), names lower case."""
+    """The parts of a request that routes match; `path` is normalized, names are lower case."""
 
     method: str
     path: str
@@ -64,18 +65,18 @@
 def normal_path(target: bytes) -> str:
     """Return the path of a request's target, without needless escapes (RFC 3986, 6.2.2.2).
 
-    Dot segments and escaped slashes and NULs are rejected, as a node could resolve them to a path
-    of another route. An application that relies on them can't be served.
+    Dot segments, escaped slashes, backslashes and NULs are rejected, because a node could resolve
+    them to a path of another route. Applications that rely on them can't be served.
 
     Raises:
-        PathError: The target is no path, or an ambiguous one.
+        PathError: The target is not a path, or is ambiguous.
     """
     path = target.partition(b"?")[0].partition(b"#")[0]
     if not path.startswith(b"/"):
         if path == b"*":
             return "/"
-        scheme, mark, rest = path.partition(b"://")
-        if not mark or not scheme.isalnum():
+        scheme, separator, rest = path.partition(b"://")
+        if not separator or not scheme.isalnum():
             raise PathError("target is no path")
         path = b"/" + rest.partition(b"/")[2]
     text = _unescaped(path)
@@ -104,18 +105,18 @@
     return "".join(decoded)
 
 
-def _segments(prefix: str) -> str:
-    """Return a prefix as it is looked up: "" for the root, no slash at its end."""
+def _without_trailing_slash(prefix: str) -> str:
+    """Return a prefix in the form of the lookup; the root is ""."""
     return prefix.rstrip("/")
 
 
 def _rank(match: Match) -> tuple[int, int, bool, bool, int, bool]:
-    """Return how specific a match is; the greater tuple takes precedence."""
+    """Return how specific a match is; the greatest tuple takes precedence."""
     host = match.host
-    exact = 0 if host is None else len(host) if host.startswith("*.") else 1 << 20
+    host_rank = 0 if host is None else len(host) if host.startswith("*.") else 1 << 20
     return (
-        exact,
-        len(_segments(match.path_prefix)),
+        host_rank,
+        len(_without_trailing_slash(match.path_prefix)),
         match.tenant is not None,
         match.cls is not None,
         len(match.header),
@@ -124,7 +125,7 @@
 
 
 def _are_disjoint(first: Match, second: Match) -> bool:
-    """Return whether no request can match both, leaving host and path aside."""
+    """Return whether no request can match both; host and path are not compared."""
     if first.methods and second.methods and not first.methods & second.methods:
         return True
     if first.tenant != second.tenant and None not in (first.tenant, second.tenant):
@@ -136,17 +137,18 @@
 
 
 def tied(routes: Iterable[Route]) -> Iterator[tuple[Route, Route]]:
-    """Yield the pairs of routes of equal precedence that some request matches, later one second.
+    """Yield the pairs of routes of equal precedence that a single request could match, in order.
 
-    Prefixes of one length that both match a path are equal, and so are patterns of a host. Routes
-    of one host and prefix that require different values of a field are not compared.
+    Only routes of the same host and prefix are compared: two prefixes of one length that match the
+    same path are the same prefix, and so are host patterns. Routes that require different values
+    of their first header field can't match the same request, and are skipped.
     """
     by_rank: dict[tuple[object, ...], dict[str, dict[str, list[Route]]]] = {}
     for route in routes:
         match = route.match
         key = (
             match.host,
-            _segments(match.path_prefix),
+            _without_trailing_slash(match.path_prefix),
             _rank(match),
             match.tenant,
             match.cls,
@@ -162,16 +164,16 @@
 
 
 class _RouteGroup:
-    """The routes of one host and prefix, indexed by their most selective field."""
+    """The routes of one host and prefix, each indexed by its most selective condition."""
 
     __slots__ = ("header_names", "index")
 
     def __init__(self) -> None:
         self.index: dict[tuple[str, str], list[tuple[int, Route]]] = {}
-        self.header_names: set[str] = set()  # of header fields in the index
+        self.header_names: set[str] = set()  # header fields that the index has entries for
 
     def add(self, order: int, route: Route) -> None:
-        """Add a route; routes are added by precedence, most specific first."""
+        """Add a route; must be called in order of precedence, most specific first."""
         match = route.match
         if match.tenant is not None:
             key = ("tenant", match.tenant)
@@ -227,10 +229,12 @@
         for order, route in enumerate(by_precedence):
             match = route.match
             by_prefix = self._groups.setdefault(match.host, {})
-            by_prefix.setdefault(_segments(match.path_prefix), _RouteGroup()).add(order, route)
+            by_prefix.setdefault(_without_trailing_slash(match.path_prefix), _RouteGroup()).add(
+                order, route
+            )
 
     def find(self, query: RouteQuery) -> Route | None:
-        """Return the matching route that takes precedence, None where none matches."""
+        """Return the most specific route that matches, or None if none does."""
         for host in self._hosts(query.host):
             by_prefix = self._groups.get(host)
             if by_prefix is None:
@@ -253,7 +257,7 @@
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """Yield all prefixes of complete segments, longest first, without a slash at their end."""
+    """Yield all prefixes of whole segments, longest first, without a trailing slash."""
     path = path.rstrip("/")
     while True:
         yield path
@@ -263,7 +267,7 @@
 
 
 def bare_host(value: str) -> str:
-    """Return a Host field without its port, in lower case."""
+    """Return a Host field in lower case, without its port and a trailing dot."""
     host = value.strip().lower()
     if host.startswith("["):
         return host.partition("]")[0] + "]"
@@ -274,18 +278,18 @@
 
 
 def choose_pool(pools: Sequence[tuple[str, float]], key: bytes) -> str:
-    """Return the pool of a request with this key, each by its weight.
+    """Return the pool of a request with this key, chosen by weight.
 
-    Weighted rendezvous hashing: when weights change, as few keys move as possible, and only from
+    Weighted rendezvous hashing: when weights change, as few keys as possible move, and only from
     pools whose share has shrunk to pools whose share has grown. Raises ValueError if no weight is
     above 0.
     """
-    open_pools = [(name, weight) for name, weight in pools if weight > 0]
-    if len(open_pools) == 1:
-        return open_pools[0][0]
-    if not open_pools:
+    weighted_pools = [(name, weight) for name, weight in pools if weight > 0]
+    if len(weighted_pools) == 1:
+        return weighted_pools[0][0]
+    if not weighted_pools:
         raise ValueError("no pool has a weight above 0")
-    return max(open_pools, key=lambda pool: _score(pool[0], pool[1], key))[0]
+    return max(weighted_pools, key=lambda pool: _score(pool[0], pool[1], key))[0]
 
 
 def _score(name: str, weight: float, key: bytes) -> float:
@@ -295,31 +299,31 @@
 
 
 class Sticky(Generic[T]):
-    """Which pool an idempotency key went to, for as long as its retries may come; bounded.
+    """Remembers the pool of each idempotency key for as long as retries may arrive; bounded.
 
-    A client may retry a keyed request after the split has changed. Another pool does not know of
-    the first attempt, and the effect would happen twice. Keys that were dropped, by a restart or
-    for lack of space, are split anew.
+    A client may retry a keyed request after the split has changed. A different pool would not know
+    of the first attempt, and the effect would happen twice. Keys that were dropped, by a restart
+    or for lack of space, are split again by weight.
     """
 
     def __init__(self, max_keys: int = 100_000) -> None:
         self.max_keys = max_keys
-        self._known: dict[bytes, tuple[T, int]] = {}  # oldest first
+        self._pool_by_key: dict[bytes, tuple[T, int]] = {}  # oldest first
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._pool_by_key)
 
     def get(self, key: bytes, now: int) -> T | None:
-        """Return the pool that this key went to, if that still counts at `now` (microseconds)."""
-        known = self._known.get(key)
-        return known[0] if known is not None and now < known[1] else None
+        """Return the pool of a key, or None if it is unknown or expired at `now` (microseconds)."""
+        entry = self._pool_by_key.get(key)
+        return entry[0] if entry is not None and now < entry[1] else None
 
     def note(self, key: bytes, pool: T, now: int, until: int) -> None:
-        """Remember until `until` that a request with this key goes to this pool."""
-        self._known.pop(key, None)
-        self._known[key] = (pool, until)
-        while len(self._known) > self.max_keys or self._oldest() <= now:
-            del self._known[next(iter(self._known))]
-
-    def _oldest(self) -> int:
-        return next(iter(self._known.values()))[1] if self._known else 1 << 62
+        """Remember the pool of a key until `until` (microseconds)."""
+        self._pool_by_key.pop(key, None)
+        self._pool_by_key[key] = (pool, until)
+        while len(self._pool_by_key) > self.max_keys or self._first_expiry() <= now:
+            del self._pool_by_key[next(iter(self._pool_by_key))]
+
+    def _first_expiry(self) -> int:
+        return next(iter(self._pool_by_key.values()))[1] if self._pool_by_key else 1 << 62
--- a/sailhitch/daemon/rules.py
+++ b/sailhitch/daemon/rules.py
@@ -1,21 +1,22 @@
-"""Contradictions between two states, rule by rule, and the state that both of them allow.
+"""Contradictions between two states, rule by rule, and the state that allows only what both allow.
 
-Pure functions of states. A change *contradicts* where it forbids what was allowed, or allows what
-was forbidden: a node sent to or not; an effect, dedup group or window; the route of a class that
-is not idempotent; a tenant's limit. Weights, latency objectives, priority weights and time-outs
-merely differ.
+Pure functions of states. A change *contradicts* the old state if it forbids what was allowed, or
+allows what was forbidden: sending to a node; an effect, dedup group or window; the route of a class
+that is not idempotent; a tenant's limit. All other changes, of weights, latency objectives,
+priority weights and time-outs, merely differ.
 
-The *meet* of two states is the one that a member applies while a change is pending:
+While a change is pending, a member applies the *meet* of the old and the new state, which allows
+only what both allow:
 
-- Nodes: those that both have, at the same address and cell, and neither bans. One that the new
-  state lacks, or has elsewhere, is banned for the while, so that it is still there, warm, if the
-  change is withdrawn; one that is new is not there yet.
+- Nodes: those that both states have at the same address and cell and that neither bans. A node
+  that the new state lacks, or has elsewhere, is banned for now instead of removed, so that it is
+  still warm if the change is withdrawn. A new node is not added yet.
 - Effects are ordered by what they let a gateway retry: safe, by the request, keyed, unsafe. The
-  meet is the lower. The pool as dedup group includes all others; a zone and a cell do not include
-  each other, so between them a class is unsafe for the while. Windows and limits: the shorter, the
-  lower; no limit is above all limits.
-- Routes are met for each request: it goes where both send it, and one that is not idempotent is
-  rejected where they differ (`daemon/intake.py`).
+  meet is the more restrictive one. As a dedup group, the pool includes zone and cell; a zone and a
+  cell do not include each other, so a class that changes between them is unsafe for now. Of two
+  windows the shorter applies, and of two limits the lower; any limit is lower than none.
+- Routes are combined request by request: a request goes where both states send it. Where they
+  differ, a request that is not idempotent is rejected (`daemon/intake.py`).
 """
 
 from __future__ import annotations
@@ -26,17 +27,22 @@
 from .state import KINDS, Object, State, differing
 
 PENDING_BAN: Final[Object] = {"by": "tier", "when": 0, "why": "a change is pending"}
-_EFFECTS: Final = ("unsafe", "keyed", None, "safe")  # by what may be retried: least first
+_EFFECTS: Final = (
+    "unsafe",
+    "keyed",
+    None,
+    "safe",
+)  # by what may be retried, most restrictive first
 _MICROSECONDS_PER_UNIT: Final = (("us", 1), ("ms", 1000), ("s", 1_000_000))
 
 
 def contradictions(
     old: State, new: State, changed: Mapping[str, Collection[str]] | None = None
 ) -> list[str]:
-    """Return a line for each contradiction of two states; empty where they merely differ.
+    """Return a line for each contradiction between two states; empty if they merely differ.
 
-    `changed` has the names of all objects that differ, by kind, and may have others; with None they
-    are found by comparing. Only those are checked: an object that is the same in both states
+    `changed` has the names of all objects that differ, by kind, and may have more; if it is None,
+    the states are compared. Only these objects are checked: one that is the same in both states
     contradicts nothing, whatever else changes.
     """
     if changed is None:
@@ -60,10 +66,10 @@
     zone_matters = _zone_matters(old, new)
     for key in sorted(changed["nodes"]):
         if not _same_node(old, new, key, zone_matters):
-            yield f"nodes {key}: sent to at one place or not"
+            yield f"nodes {key}: used in one state only, or at different places"
     for key in sorted(changed["bans"]):
         if (key in old["bans"]) != (key in new["bans"]):
-            yield f"bans {key}: banned or sent to"
+            yield f"bans {key}: banned in one state only"
 
 
 def _same_node(old: State, new: State, key: str, zone_matters: bool) -> bool:
@@ -77,12 +83,12 @@
 
 
 def _zone_matters(*states: State) -> bool:
-    """Return whether nodes share the idempotency keys that they remember by zone."""
+    """Return whether a class deduplicates by zone, so that a node's zone affects retries."""
     return any(cls["dedup"] == "zone" for state in states for cls in state["classes"].values())
 
 
 def _window(cls: Object) -> str:
-    """Return how long nodes remember a key, as the state has it."""
+    """Return how long nodes remember a key, in the state's text format."""
     window = cls["window"]
     return str(cls["deadline"] if window is None else window)
 
@@ -94,7 +100,7 @@
         old_class = old["classes"].get(name)
         new_class = new["classes"].get(name)
         if old_class is None or new_class is None:
-            continue  # no route of both states leads to it, so its routes are what differs
+            continue  # at most one state has routes to it: those are reported instead
         keyed = _may_be_keyed(old_class) or _may_be_keyed(new_class)
         for field, old_value, new_value in (
             ("effect", old_class["effect"], new_class["effect"]),
@@ -112,15 +118,15 @@
 def _route_contradictions(
     old: State, new: State, changed: Mapping[str, Collection[str]]
 ) -> Iterator[str]:
-    """Yield each route that differs, unless all requests are safe to repeat.
+    """Yield a line for each route that differs, unless all requests are safe to repeat.
 
-    A route that is added or removed changes what others match, whatever its own class is.
+    A route of any class counts: adding or removing it changes which requests other routes match.
     """
     if not changed["routes"] or all(_is_safe(state) for state in (old, new)):
         return
     for name in sorted(changed["routes"]):
         if old["routes"].get(name) != new["routes"].get(name):
-            yield f"routes {name}: where requests go that may not be repeated at will"
+            yield f"routes {name}: where requests go that are not safe to repeat"
 
 
 def _is_safe(state: State) -> bool:
@@ -133,16 +139,17 @@
 ) -> Iterator[str]:
     for name in sorted(changed["tenants"]):
         if old["tenants"].get(name) != new["tenants"].get(name):
-            yield f"tenants {name}: the limit"
+            yield f"tenants {name}: different limits"
 
 
 # --- The meet
 
 
 def meet(old: State, new: State) -> State:
-    """Return the state that both allow; its routes are `old`'s, and met for each request.
+    """Return the state that allows only what both allow.
 
-    Objects that do not differ are shared with `old`.
+    Its routes are those of `old`; they are combined with those of `new` for each request, on
+    intake. Objects that do not differ are shared with `old`.
     """
     changed = differences(old, new)
     bans: dict[str, Object] = {**new["bans"], **old["bans"]}
@@ -185,12 +192,12 @@
 
 
 def _microseconds(duration: str) -> int:
-    """Return the microseconds of a duration as a state has it."""
+    """Return the microseconds of a duration in a state's text format."""
     for unit, scale in _MICROSECONDS_PER_UNIT:
         digits = duration.removesuffix(unit)
         if duration.endswith(unit) and digits.isdigit():
             return int(digits) * scale
-    raise ValueError(f"not a duration of a state: {duration!r}")
+    raise ValueError(f"not a duration: {duration!r}")
 
 
 def _meet_tenants(old: State, new: State, changed: Collection[str]) -> Mapping[str, Object]:
--- a/sailhitch/daemon/tables.py
+++ b/sailhitch/daemon/tables.py
@@ -1,7 +1,7 @@
-"""The policy's settings from a state: classes, tenants, zones and cells by number.
+"""Builds the policy's settings from a state: numbers for classes, tenants, zones and cells.
 
-A number is never reused in a process, as open requests and endpoints refer to it. A class that is
-removed keeps its number, and has it again if it ever returns.
+A number is never reused within a process, because open requests and endpoints refer to it. A
+removed class keeps its number, and gets it back if it is added again.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 )
 from .schema import ClassPart, GatewayPart, OperatorFile
 
-# Each class has a number for each of these, in this order.
+# Each class has one number for each idempotency, in this order.
 EFFECTS: Final = (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
-_STATED: Final = {
+_EFFECTS_BY_NAME: Final = {
     "safe": Idempotency.SAFE,
     "keyed": Idempotency.KEYED,
     "unsafe": Idempotency.UNSAFE,
@@ -30,38 +30,38 @@
 OVERLOAD_MULTIPLE: Final = 3.0
 OVERLOAD_TIME: Final = 2_000_000  # us
 OVER_QUOTA_WEIGHT: Final = 0.5
-DEFAULT_DEADLINE: Final = 1_000_000  # us; where the state has no class
-UNKNOWN_INDEX: Final = -1  # of a gateway among several that the file gives no number
+DEFAULT_DEADLINE: Final = 1_000_000  # us; used if the state has no classes
+UNKNOWN_INDEX: Final = -1  # for one of several gateways, if its file sets no number
 SAFE_METHODS: Final = frozenset({b"GET", b"HEAD", b"OPTIONS", b"TRACE"})  # RFC 9110, 9.2.1
 
 
 class Numbers:
-    """Consecutive numbers for names, in the order of their first use."""
+    """Assigns consecutive numbers to names, in the order of their first use."""
 
     def __init__(self) -> None:
-        self._known: dict[str, int] = {}
+        self._by_name: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._by_name)
 
     def of(self, name: str) -> int:
-        """Return a name's number, a new one at its first use."""
-        return self._known.setdefault(name, len(self._known))
+        """Return a name's number; assigns one at the first use."""
+        return self._by_name.setdefault(name, len(self._by_name))
 
     def known(self, name: str) -> int | None:
-        """Return a name's number, None where it has none yet."""
-        return self._known.get(name)
+        """Return a name's number, or None if it has none yet."""
+        return self._by_name.get(name)
 
 
 class Tables:
-    """All that the policy knows by number, as of one state."""
+    """The classes, tenants, zones and cells of a state, by the policy's numbers."""
 
     def __init__(self, before: Tables | None, file: OperatorFile) -> None:
-        """Assign numbers to what a state names.
+        """Assign numbers to the names in a state.
 
         Args:
-            before: The tables until now. Their numbers are kept, and so are the classes and
-                tenants that the state names no more, for requests admitted under them.
+            before: The previous tables. Their numbers are kept, and so are classes and tenants
+                that the state no longer has, for the requests that were admitted under them.
             file: The state, as an operator file.
         """
         self.zones: Numbers = before.zones if before else Numbers()
@@ -78,7 +78,7 @@
             self._shares[tenant.name] = tenant.share
 
     def settings(self, gateway: GatewayPart) -> Settings:
-        """Return the settings of every pool's policy."""
+        """Return the policy settings, which are the same for all pools."""
         classes = tuple(
             _request_class(part, effect) for part in self._parts.values() for effect in EFFECTS
         )
@@ -115,7 +115,7 @@
         )
 
     def _quotas(self, rate: float | None) -> tuple[Tenant, ...]:
-        """Return each tenant's quota: its share of the tier's rate; none where there is no rate."""
+        """Return each tenant's quota, its share of the tier's rate; empty without a rate."""
         if rate is None:
             return ()
         return tuple(Tenant(name, share * rate) for name, share in self._shares.items())
@@ -125,32 +125,32 @@
         return max((part.deadline for part in self._parts.values()), default=DEFAULT_DEADLINE)
 
     def class_part(self, name: str) -> ClassPart:
-        """Return a class as the file states it."""
+        """Return a class as configured in the file."""
         return self._parts[name]
 
     def tenant(self, name: str) -> int:
-        """Return a tenant's number; one that no state named gets the first unused number."""
+        """Return a tenant's number; for a tenant of no state so far, the first unused number."""
         known = self._tenants.known(name)
         return len(self._tenants) if known is None else known
 
     def classify(self, name: str, method: bytes, keyed: bool) -> tuple[int, str]:
         """Return the number and idempotency of a request of a class.
 
-        Where the file states no effect, safe methods are safe (RFC 9110, 9.2.1), requests with an
-        Idempotency-Key are keyed, and all others unsafe. Where it does, a client can make its
-        request less repeatable, by sending no key, and never more.
+        If the file sets no effect, safe methods are safe (RFC 9110, 9.2.1), requests with an
+        Idempotency-Key are keyed, and all others are unsafe. If it does, a client can only make
+        its request less repeatable, by sending no key.
         """
         effect = effect_of(self._parts[name].effect, method, keyed)
         return len(EFFECTS) * self._classes.of(name) + EFFECTS.index(effect), effect
 
 
-def effect_of(stated: str | None, method: bytes, keyed: bool) -> Idempotency:
-    """Return a request's idempotency, by its class's stated effect, its method and its key."""
-    if stated is None:
+def effect_of(configured: str | None, method: bytes, keyed: bool) -> Idempotency:
+    """Return a request's idempotency, from its class's configured effect, its method and key."""
+    if configured is None:
         if method in SAFE_METHODS:
             return Idempotency.SAFE
         return Idempotency.KEYED if keyed else Idempotency.UNSAFE
-    effect = _STATED[stated]
+    effect = _EFFECTS_BY_NAME[configured]
     return Idempotency.UNSAFE if effect == Idempotency.KEYED and not keyed else effect
 
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, against a search through all of them, and splits that keep keys."""
+"""Route lookup, compared with a linear search, and splits that keep keys in their pools."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 def found(routes: Routes, method: str, path: str, **more: Any) -> str | None:
-    one = routes.find(RouteQuery(method, path, **more))
-    return None if one is None else one.name
+    match = routes.find(RouteQuery(method, path, **more))
+    return None if match is None else match.name
 
 
 TABLE = Routes(
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "name"),
+    ("query", "name"),
     [
         (RouteQuery("GET", "/"), "rest"),
         (RouteQuery("GET", "/claimsx"), "rest"),
@@ -67,13 +67,13 @@
         (RouteQuery("POST", "/claims", header={"x-beta": "2"}), "posts"),
     ],
 )
-def test_the_most_specific_route_wins(asked: RouteQuery, name: str) -> None:
-    one = TABLE.find(asked)
-    assert one is not None
-    assert one.name == name
+def test_the_most_specific_route_wins(query: RouteQuery, name: str) -> None:
+    match = TABLE.find(query)
+    assert match is not None
+    assert match.name == name
 
 
-def test_nothing_matches_where_nothing_is_for_it() -> None:
+def test_no_route_is_found_if_none_matches() -> None:
     assert found(Routes([]), "GET", "/") is None
     assert found(Routes([route("a", path_prefix="/a")]), "GET", "/b") is None
 
@@ -98,18 +98,18 @@
 )
 
 
-def slow_fits(match: Match, asked: RouteQuery) -> bool:
+def reference_matches(match: Match, query: RouteQuery) -> bool:
     prefix = match.path_prefix.rstrip("/")
     host = match.host
     return (
-        (asked.path.rstrip("/") + "/").startswith(prefix + "/")
+        (query.path.rstrip("/") + "/").startswith(prefix + "/")
         and (
-            host is None or host == asked.host or (host[0] == "*" and asked.host.endswith(host[1:]))
+            host is None or host == query.host or (host[0] == "*" and query.host.endswith(host[1:]))
         )
-        and (not match.methods or asked.method in match.methods)
-        and match.cls in (None, asked.cls)
-        and match.tenant in (None, asked.tenant)
-        and all(asked.header.get(n) == v for n, v in match.header)
+        and (not match.methods or query.method in match.methods)
+        and match.cls in (None, query.cls)
+        and match.tenant in (None, query.tenant)
+        and all(query.header.get(n) == v for n, v in match.header)
     )
 
 
@@ -117,7 +117,7 @@
     return pattern[0] == "*" and host.endswith(pattern[1:])
 
 
-def slow_order(match: Match) -> tuple[Any, ...]:
+def reference_precedence(match: Match) -> tuple[Any, ...]:
     host = match.host or ""
     return (
         0 if not host else 2 if host[0] != "*" else 1,
@@ -132,20 +132,20 @@
 
 @settings(max_examples=400)
 @given(st.lists(matches, max_size=8), st.lists(requests, min_size=1, max_size=10))
-def test_the_lookup_finds_what_a_search_finds_and_ties_are_all_told(
-    some: list[Match], asked: list[RouteQuery]
+def test_the_lookup_agrees_with_a_linear_search_and_all_ties_are_reported(
+    conditions: list[Match], queries: list[RouteQuery]
 ) -> None:
-    routes = [Route(str(i), match, "c", (("p", 1.0),)) for i, match in enumerate(some)]
+    routes = [Route(str(i), match, "c", (("p", 1.0),)) for i, match in enumerate(conditions)]
     pairs = {(a.name, b.name) for a, b in tied(routes)}
     table = Routes(routes)
-    for one in asked:
-        fit = [r for r in routes if slow_fits(r.match, one)]
-        best = max((slow_order(r.match) for r in fit), default=None)
-        winners = [r.name for r in fit if slow_order(r.match) == best]
+    for query in queries:
+        matching = [r for r in routes if reference_matches(r.match, query)]
+        best = max((reference_precedence(r.match) for r in matching), default=None)
+        winners = [r.name for r in matching if reference_precedence(r.match) == best]
         for i, name in enumerate(winners):
             assert all((name, other) in pairs for other in winners[i + 1 :])
         if len(winners) <= 1:
-            got = table.find(one)
+            got = table.find(query)
             assert [got.name] if got else winners == []
 
 
@@ -161,7 +161,7 @@
         (b"http://host", "/"),
     ],
 )
-def test_a_path_is_read_in_one_way(target: bytes, path: str) -> None:
+def test_a_path_is_normalized(target: bytes, path: str) -> None:
     assert normal_path(target) == path
 
 
@@ -181,7 +181,7 @@
         b"mailto:x",
     ],
 )
-def test_a_path_that_two_readers_could_take_differently_is_refused(target: bytes) -> None:
+def test_an_ambiguous_path_is_rejected(target: bytes) -> None:
     with pytest.raises(PathError):
         normal_path(target)
 
@@ -196,13 +196,13 @@
 
 
 def test_a_split_is_by_weight_and_stable_by_key() -> None:
-    few = [("claims", 0.95), ("next", 0.05)]
-    chosen = [choose_pool(few, key) for key in KEYS]
-    assert chosen == [choose_pool(list(reversed(few)), key) for key in KEYS]
+    split = [("claims", 0.95), ("next", 0.05)]
+    chosen = [choose_pool(split, key) for key in KEYS]
+    assert chosen == [choose_pool(list(reversed(split)), key) for key in KEYS]
     assert 0.03 < chosen.count("next") / len(KEYS) < 0.07
 
 
-def test_a_split_that_changes_moves_no_key_that_need_not_move() -> None:
+def test_a_changed_split_moves_only_the_keys_that_must_move() -> None:
     old = [("a", 0.6), ("b", 0.3), ("c", 0.1)]
     new = [("a", 0.3), ("b", 0.3), ("c", 0.4)]
     moved = [
@@ -213,8 +213,8 @@
     assert {before for before, _ in moved} <= {"a", "b"}
     assert {after for _, after in moved} <= {"b", "c"}
     assert len(moved) < 0.4 * len(KEYS)
-    same = [("a", 6.0), ("b", 3.0), ("c", 1.0)]
-    assert all(choose_pool(old, key) == choose_pool(same, key) for key in KEYS)
+    scaled = [("a", 6.0), ("b", 3.0), ("c", 1.0)]
+    assert all(choose_pool(old, key) == choose_pool(scaled, key) for key in KEYS)
 
 
 def test_a_pool_without_weight_gets_nothing() -> None:
--- a/tests/test_tier_rules.py
+++ b/tests/test_tier_rules.py
@@ -1,4 +1,4 @@
-"""What two states contradict each other in, and their meet: what both of them allow."""
+"""Contradictions between two states, and their meet: the state that allows what both allow."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from tests.page_sources import Pages
 
 BASE = from_file(parse_text(FILE))
-RANK = {effect: i for i, effect in enumerate(reversed(EFFECTS))}  # what may be repeated
+RANK = {effect: i for i, effect in enumerate(reversed(EFFECTS))}  # greater: more may be retried
 GATEWAY = {"name": "g1"}
-Change = tuple[str, str, dict[str, Any] | None]  # kind, name, fields; None takes it out
+Change = tuple[str, str, dict[str, Any] | None]  # kind, name, fields; None removes the object
 
 
 def changed(state: State, *changes: Change) -> State:
-    made: dict[str, dict[str, Any]] = copy.deepcopy({k: dict(v) for k, v in state.items()})
+    result: dict[str, dict[str, Any]] = copy.deepcopy({k: dict(v) for k, v in state.items()})
     for kind, name, fields in changes:
         if fields is None:
-            del made[kind][name]
+            del result[kind][name]
         else:
-            made[kind][name] = {**made[kind].get(name, {}), **fields}
-    return made
+            result[kind][name] = {**result[kind].get(name, {}), **fields}
+    return result
 
 
 BAN = {"by": "t", "when": 1, "why": ""}
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "expected"),
     [
         (("nodes", "claims/n2", None), ["nodes claims/n2"]),
         (("nodes", "claims/n3", NODE), ["nodes claims/n3"]),
@@ -58,20 +58,20 @@
         (("pools", "claims", {"idle_timeout": "9s"}), []),
     ],
 )
-def test_what_contradicts_and_what_merely_differs(change: Change, said: list[str]) -> None:
+def test_what_contradicts_and_what_merely_differs(change: Change, expected: list[str]) -> None:
     other = changed(BASE, change)
     for a, b in ((BASE, other), (other, BASE)):
         lines = contradictions(a, b)
-        assert [line.split(":")[0] for line in lines] == said, lines
+        assert [line.split(":")[0] for line in lines] == expected, lines
 
 
-def test_a_zone_contradicts_only_where_keys_go_by_it() -> None:
+def test_a_zone_change_contradicts_only_if_a_class_deduplicates_by_zone() -> None:
     by_zone = changed(BASE, ("classes", "page", {"dedup": "zone"}))
     moved = changed(by_zone, ("nodes", "claims/n2", {"zone": "b"}))
     assert [line.split(":")[0] for line in contradictions(by_zone, moved)] == ["nodes claims/n2"]
 
 
-def test_routes_merely_differ_where_all_requests_may_be_repeated() -> None:
+def test_route_changes_merely_differ_if_all_requests_are_safe() -> None:
     safe = changed(
         BASE, ("classes", "page", {"effect": "safe"}), ("classes", "payout", {"effect": "safe"})
     )
@@ -79,7 +79,7 @@
 
 
 def _sent_to(state: State) -> dict[str, tuple[str, str]]:
-    """Nodes that may be sent to, with what makes them one and the same."""
+    """Return the nodes in use, each with the values that identify it."""
     return {
         key: (node["address"], node["cell"])
         for key, node in state["nodes"].items()
@@ -93,7 +93,7 @@
 
 @st.composite
 def states(draw: Any) -> State:
-    """A state with bans, of nodes that it has and of one that it has not."""
+    """A state with bans, of nodes that it has and of one that it does not have."""
     state = from_file(parse_value(draw(values())))
     keys = [*sorted(state["nodes"]), "p0/none"]
     bans = draw(st.sets(st.sampled_from(keys)))
@@ -111,7 +111,7 @@
 def test_the_meet_allows_what_both_allow_and_no_more(old: State, new: State) -> None:
     for a, b in ((old, new), (new, old)):
         met = meet(a, b)
-        to_file({**met, "listeners": {}}, GATEWAY)  # it is a state like any other
+        to_file({**met, "listeners": {}}, GATEWAY)  # it is a valid state
         both = {k: v for k, v in _sent_to(a).items() if _sent_to(b).get(k) == v}
         by_zone = any(c["dedup"] == "zone" for s in (a, b) for c in s["classes"].values())
         same = {k for k in both if not by_zone or _zone(a, k) == _zone(b, k)}
@@ -119,8 +119,8 @@
         for name in a["classes"].keys() & b["classes"].keys():
             for method, keyed in ((b"GET", False), (b"POST", True), (b"POST", False)):
                 least = min(_may_repeat(one, name, method, keyed) for one in (a, b))
-                here = _may_repeat(met, name, method, keyed)
-                assert here == least or (here == 0 and _dedups(a, b, name) == {"zone", "cell"})
+                actual = _may_repeat(met, name, method, keyed)
+                assert actual == least or (actual == 0 and _dedups(a, b, name) == {"zone", "cell"})
         for name in a["tenants"].keys() & b["tenants"].keys():
             shares = [one["tenants"][name]["share"] for one in (a, b)]
             assert met["tenants"][name]["share"] == min(shares)
@@ -130,7 +130,7 @@
 
 
 def _all_names(old: State, new: State) -> dict[str, set[str]]:
-    """Every object of both states, so that nothing is left out of the comparison."""
+    """Return the names of all objects in both states, for a full comparison."""
     return {kind: {*old[kind], *new[kind]} for kind in KINDS}
 
 
@@ -139,7 +139,7 @@
 def test_contradictions_by_difference_are_those_of_the_full_comparison(
     old: State, new: State
 ) -> None:
-    """By what is compared, by the pages that differ, and where states share objects or do not."""
+    """Compare all objects, only the differing pages, and states that share objects."""
     all_lines = contradictions(old, new, _all_names(old, new))
     assert contradictions(old, new) == all_lines
     before, after = to_tree(old), to_tree(new)
@@ -154,7 +154,7 @@
 
 @settings(max_examples=100)
 @given(states())
-def test_a_class_that_goes_by_zones_makes_no_unchanged_node_contradict(state: State) -> None:
+def test_a_class_that_deduplicates_by_zone_makes_no_unchanged_node_contradict(state: State) -> None:
     zoned = {name: {**cls, "dedup": "zone"} for name, cls in state["classes"].items()}
     other = {**state, "classes": zoned}
     lines = contradictions(state, other, _all_names(state, other))
