--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -1,4 +1,4 @@
-"""The operator's daemon for tests: in this process, or as one of its own that can be killed."""
+"""The daemon for tests: in this process, or in a process of its own that can be killed."""
 
 from __future__ import annotations
 
@@ -53,16 +53,16 @@
 
 
 def pool(name: str, nodes: Mapping[str, str | Node], **more: Any) -> dict[str, Any]:
-    parts = [part(i, n.addr if isinstance(n, Node) else n) for i, n in nodes.items()]
-    return {"name": name, "nodes": parts, **more}
+    node_values = [part(i, n.addr if isinstance(n, Node) else n) for i, n in nodes.items()]
+    return {"name": name, "nodes": node_values, **more}
 
 
 def file_value(
     pools: Sequence[dict[str, Any]], port: int, gateway: Mapping[str, Any] = {}, **changes: Any
 ) -> dict[str, Any]:
-    """A file's value: one listener, three classes, and routes to the first pool."""
-    first = pools[0]["name"] if pools else "none"
-    routes = [{"pools": {first: 1.0}, **route} for route in ROUTES]
+    """The decoded value of a file with one listener, three classes and routes to the first pool."""
+    first_pool = pools[0]["name"] if pools else "none"
+    routes = [{"pools": {first_pool: 1.0}, **route} for route in ROUTES]
     return {
         "version": 1,
         "gateway": {"name": "g1", "cold_time": "500ms", "memory_mb": 128, **gateway},
@@ -87,14 +87,14 @@
         return await dial(self.addr)
 
     def plan(self, value: Mapping[str, Any]) -> str:
-        """A plan from the live state to what a file asks for."""
+        """Return the text of a plan from the live state to a file's state."""
         wanted = from_file(made(value))
         live = self.live
         plan = make_plan(live.gateway.name, live.applied.serial, live.applied.state, wanted)
         return plan.dump()
 
     async def go(self, value: Mapping[str, Any]) -> None:
-        # In a thread: an operator's plan is made by another process, and would hold this loop up.
+        # In a thread: an operator makes plans in another process, and here it would block the loop.
         plan = await asyncio.to_thread(self.plan, value)
         await self.source.apply_plan(plan, "test")
 
@@ -107,9 +107,9 @@
 async def inside(
     tmp_path: Path, value: Mapping[str, Any], step: Step = lambda step: None, stored: bool = False
 ) -> AsyncIterator[Inside]:
-    """A daemon that goes by this file's value."""
-    whole = made(value)
-    gateway = whole.gateway
+    """Run a daemon in this process that is configured by this file's value."""
+    operator_file = made(value)
+    gateway = operator_file.gateway
     core = GatewayCore(resource_limits(gateway, 1_000_000), asyncio.get_running_loop(), Log("g1"))
     store = Store(tmp_path / "state", gateway.name) if stored else None
     live = StateApplier(core, gateway, store, step)
@@ -117,10 +117,10 @@
     source = LocalStateSource(live)
     admin = AdminServer(live, source, tmp_path / "g1.sock")
     try:
-        await source.start(whole)
+        await source.start(operator_file)
         await admin.start()
         core.ready = True
-        port = int(whole.listeners[0].address.rpartition(":")[2])
+        port = int(operator_file.listeners[0].address.rpartition(":")[2])
         yield Inside(live, source, port, admin)
     finally:
         admin.close()
@@ -131,20 +131,20 @@
     assert core.counters.panics == core.counters.faults == 0
 
 
-KILLER = """
+SELF_KILLING_DAEMON = """
 import os, signal, sys
 from sailhitch.daemon.process import run_daemon
-at = sys.argv[2]
+kill_step = sys.argv[2]
 armed = os.environ["ARMED"]
 def step(name):
-    if name == at and os.path.exists(armed):
+    if name == kill_step and os.path.exists(armed):
         os.kill(os.getpid(), getattr(signal, sys.argv[3]))
 sys.exit(run_daemon(sys.argv[1], step))
 """
 
 
 class Outside:
-    """A daemon as a process of its own."""
+    """A daemon in a process of its own."""
 
     def __init__(self, path: Path, value: Mapping[str, Any]) -> None:
         self.path, self.value = path, value
@@ -155,14 +155,14 @@
         self.program: asyncio.subprocess.Process | None = None
 
     async def start(self, kill_at: str = "", number: str = "SIGKILL") -> None:
-        """Start, and wait until it answers; it kills itself at a step once `armed` is there."""
+        """Start and wait for a reply; at step `kill_at` it kills itself if `armed` exists."""
         self.file.write_text(toml_text(self.value))
         self.armed.unlink(missing_ok=True)
         with open(self.log, "ab") as log:
             self.program = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-c",
-                KILLER,
+                SELF_KILLING_DAEMON,
                 str(self.file),
                 kill_at or "never",
                 number,
@@ -170,11 +170,11 @@
                 stderr=log,
             )
         async with asyncio.timeout(PATIENCE):
-            while not await self._answers():
+            while not await self._is_ready():
                 assert self.program.returncode is None, self.log.read_text()
                 await asyncio.sleep(0.02)
 
-    async def _answers(self) -> bool:
+    async def _is_ready(self) -> bool:
         try:
             return bool((await self.ask({"op": "state"}))["ok"])
         except Exception:
@@ -186,8 +186,8 @@
     async def plan(self, value: Mapping[str, Any]) -> str:
         live = await self.ask({"op": "state"})
         wanted = from_file(made(value))
-        of = live["serial"], live["state"], wanted, live["identity"]
-        return make_plan("g1", *of).dump()
+        base = live["serial"], live["state"], wanted, live["identity"]
+        return make_plan("g1", *base).dump()
 
     async def wait(self) -> int:
         assert self.program is not None
--- a/tests/operator_files.py
+++ b/tests/operator_files.py
@@ -1,4 +1,4 @@
-"""Operator files for tests: a whole one, and random ones for property tests."""
+"""Operator files for tests: an example, and random ones for property tests."""
 
 from __future__ import annotations
 
@@ -53,8 +53,8 @@
 """
 
 
-def nodes(draw: Any, pool: int, most: int) -> list[dict[str, Any]]:
-    ids = draw(st.sets(st.integers(0, 30), max_size=most))
+def nodes(draw: Any, pool: int, max_nodes: int) -> list[dict[str, Any]]:
+    ids = draw(st.sets(st.integers(0, 30), max_size=max_nodes))
     return [
         {
             "id": f"p{pool}n{i}",
@@ -69,7 +69,7 @@
 
 @st.composite
 def values(draw: Any) -> dict[str, Any]:
-    """A valid file's value, with random listeners, classes, tenants, pools, nodes and routes."""
+    """The decoded value of a valid file with random objects of each kind."""
     pools = sorted(draw(st.sets(st.integers(0, 3), min_size=1)))
     classes = sorted(draw(st.sets(st.integers(0, 3), min_size=1)))
     tenants = sorted(draw(st.sets(st.integers(0, 3))))
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Ordinary clients through the operator's daemon: routes, classes, effects, nodes of any kind."""
+"""Plain HTTP clients through the daemon: routes, classes, effects, and any kind of node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.daemons import Inside, file_value, inside, pool
 from tests.sockets import Server, Writer, answer
 
-Play = Callable[[Inside], Awaitable[None]]
+Scenario = Callable[[Inside], Awaitable[None]]
 
 
 def get(path: str = "/x", fields: str = "", method: str = "GET") -> bytes:
@@ -30,13 +30,13 @@
 
 def play(
     tmp_path: Path,
-    act: Play,
+    act: Scenario,
     answerer: Any = None,
     host: Server | None = None,
     gateway: Mapping[str, Any] = {},
     **changes: Any,
 ) -> Server:
-    """One host that answers as it is told; returns it with what it has seen."""
+    """Run `act` against a daemon with one host; return the host, with the requests it received."""
     server = host or Server(answerer)
 
     async def run() -> None:
@@ -49,7 +49,7 @@
     return server
 
 
-def test_ordinary_requests_get_an_id_a_class_and_a_deadline(tmp_path: Path) -> None:
+def test_plain_requests_get_an_id_a_class_and_a_deadline(tmp_path: Path) -> None:
     async def act(it: Inside) -> None:
         client = await it.client()
         assert await client.ask(get()) == (200, b"served")
@@ -71,7 +71,7 @@
     assert len(names) == 3
 
 
-def test_a_client_may_bring_an_id_and_a_deadline_and_never_its_class(tmp_path: Path) -> None:
+def test_a_client_may_set_its_id_and_deadline_but_not_its_class(tmp_path: Path) -> None:
     async def act(it: Inside) -> None:
         client = await it.client()
         fields = "Req-Id: mine\r\nReq-Kind: page\r\nReq-Deadline-Ms: 500\r\n"
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "tries"),
+    ("data", "attempts"),
     [
         (get(), 3),
         (get(method="HEAD"), 3),
@@ -105,8 +105,8 @@
         (post("/claims"), 1),
     ],
 )
-def test_what_may_have_run_is_sent_again_only_where_the_file_lets_it(
-    data: bytes, tries: int, tmp_path: Path
+def test_a_request_that_may_have_run_is_retried_only_if_the_file_allows_it(
+    data: bytes, attempts: int, tmp_path: Path
 ) -> None:
     async def reset(_: bytes, writer: Writer) -> None:
         writer.transport.abort()
@@ -116,7 +116,7 @@
         client.send(data)
         head = await client.reader.readuntil(b"\r\n\r\n")
         status = int(head.split(b" ")[1])
-        assert status in ((502, 503) if tries > 1 else (502,))
+        assert status in ((502, 503) if attempts > 1 else (502,))
 
     changes: dict[str, Any] = {
         "classes": [
@@ -125,10 +125,10 @@
             {"name": "filing", "effect": "keyed", "aim": "2s", "deadline": "3s", "dedup": "pool"},
         ]
     }
-    assert len(play(tmp_path, act, reset, **changes).seen) == tries
+    assert len(play(tmp_path, act, reset, **changes).seen) == attempts
 
 
-def test_head_gets_the_head_of_what_get_would(tmp_path: Path) -> None:
+def test_head_gets_the_same_head_as_get(tmp_path: Path) -> None:
     async def act(it: Inside) -> None:
         client = await it.client()
         client.send(get(method="HEAD") + get())
@@ -140,10 +140,10 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "given"), [(201, 201), (301, 301), (404, 404), (422, 422), (500, 500), (503, 502)]
+    ("status", "expected"), [(201, 201), (301, 301), (404, 404), (422, 422), (500, 500), (503, 502)]
 )
-def test_a_nodes_own_answer_goes_to_the_client_but_for_a_503(
-    status: int, given: int, tmp_path: Path
+def test_a_nodes_response_is_passed_to_the_client_except_for_a_503(
+    status: int, expected: int, tmp_path: Path
 ) -> None:
     async def reply(_: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 %d Some\r\nContent-Length: 3\r\n\r\nwhy" % status)
@@ -151,13 +151,13 @@
     async def act(it: Inside) -> None:
         client = await it.client()
         got = await client.ask(post())
-        assert got == (given, b"why" if given == status else b"")
-        assert (await client.ask(post()))[0] == given
+        assert got == (expected, b"why" if expected == status else b"")
+        assert (await client.ask(post()))[0] == expected
 
     assert len(play(tmp_path, act, reply).seen) == 2
 
 
-def test_what_no_route_matches_is_a_404_and_the_connection_goes_on(tmp_path: Path) -> None:
+def test_a_request_without_a_route_gets_a_404_and_keeps_the_connection(tmp_path: Path) -> None:
     async def act(it: Inside) -> None:
         client = await it.client()
         assert await client.ask(post("/other")) == (404, b"no route matches\n")
@@ -181,7 +181,7 @@
         get("/a", "Req-Owner: a\r\nReq-Owner: b\r\n"),
     ],
 )
-def test_a_request_out_of_form_reaches_no_node(data: bytes, tmp_path: Path) -> None:
+def test_a_malformed_request_reaches_no_node(data: bytes, tmp_path: Path) -> None:
     async def act(it: Inside) -> None:
         client = await it.client()
         assert (await client.ask(data))[0] == 400
@@ -189,14 +189,14 @@
     assert play(tmp_path, act).seen == []
 
 
-def test_nodes_that_report_and_decline_are_heard(tmp_path: Path) -> None:
+def test_a_request_that_a_node_declined_is_retried(tmp_path: Path) -> None:
     async def run() -> None:
         faults = iter([Fault.REFUSE])
         async with Node(reports=True, script=lambda name: next(faults, None)) as node:
             value = file_value([pool("p", {"a": node})], free_port())
             async with inside(tmp_path, value) as it:
                 client = await it.client()
-                # Declined, it surely did not run: even a payout goes again.
+                # A declined request did not run, so even an unsafe one is retried.
                 assert (await client.ask(post()))[0] == 200
                 assert node.seen == 2
                 assert sum(node.effects.values()) == 1
@@ -204,7 +204,7 @@
     asyncio.run(run())
 
 
-def test_answers_without_a_body_are_passed_on(tmp_path: Path) -> None:
+def test_responses_without_a_body_are_passed_on(tmp_path: Path) -> None:
     async def reply(_: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
 
@@ -216,13 +216,13 @@
     play(tmp_path, act, reply)
 
 
-def test_a_split_is_kept_by_key_when_it_changes(tmp_path: Path) -> None:
+def test_a_key_keeps_its_pool_when_the_split_changes(tmp_path: Path) -> None:
     async def run() -> None:
         async with Node() as old, Node() as new:
             pools = [pool("claims", {"a": old}), pool("next", {"b": new})]
 
-            def value(part: float) -> dict[str, Any]:
-                split = {"claims": 1.0 - part, "next": part}
+            def value(new_share: float) -> dict[str, Any]:
+                split = {"claims": 1.0 - new_share, "next": new_share}
                 routes = [{"name": "all", "class": "filing", "pools": split}]
                 return file_value(pools, port, routes=routes)
 
@@ -235,20 +235,20 @@
 
                 for key in range(100):
                     await ask(key)
-                few = new.seen
-                assert 0 < few < 20
+                first_seen = new.seen
+                assert 0 < first_seen < 20
                 await it.go(value(0.5))
                 for key in range(100):
                     await ask(key)
-                assert new.seen == 2 * few  # a repeat goes where the first try went
+                assert new.seen == 2 * first_seen  # a retry goes to the pool of the first attempt
                 for key in range(100, 200):
                     await ask(key)
-                assert 30 < new.seen - 2 * few < 70
+                assert 30 < new.seen - 2 * first_seen < 70
 
     asyncio.run(run())
 
 
-def test_answers_come_through_whole_over_a_slow_and_large_body(tmp_path: Path) -> None:
+def test_a_large_response_body_is_passed_on_complete(tmp_path: Path) -> None:
     async def reply(_: bytes, writer: Writer) -> None:
         writer.write(answer(b"x" * 300_000))
 
