--- a/benchmarks/scale/budgets.py
+++ b/benchmarks/scale/budgets.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Final
 
-from sailhitch.daemon.schema import MOST_MEMBERS
+from sailhitch.daemon.schema import MAX_MEMBERS
 from sailhitch.daemon.state_applier import MAX_OPEN
 from sailhitch.daemon.store import MAX_STATES
 from sailhitch.tier.member import RENEWALS_PER_LEASE
@@ -197,7 +197,7 @@
             "s",
             "the tier's rounds, then fetch, read and switch, none beside another",
         ),
-        Verdict("members of a tier", MOST_MEMBERS, MEMBERS, "gateways", "the schema's bound"),
+        Verdict("members of a tier", MAX_MEMBERS, MEMBERS, "gateways", "the schema's bound"),
         Verdict(
             "hosts that a gateway is connected to",
             MAX_OPEN,
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-from sailhitch.daemon.schema import MOST_MEMBERS, parse_value
+from sailhitch.daemon.schema import MAX_MEMBERS, parse_value
 from sailhitch.daemon.state import State, canonical
 from sailhitch.lab.ports import free_port
 
@@ -63,9 +63,9 @@
         among = self.daemons if self.voters_are == "real" else self.members - self.daemons
         if self.voters > among:
             raise RigError(f"--voters: {self.voters} are more than the {among} {self.voters_are}")
-        if self.daemons and self.members > MOST_MEMBERS:
+        if self.daemons and self.members > MAX_MEMBERS:
             raise RigError(
-                f"--members: a daemon takes {MOST_MEMBERS} at most; more only with --daemons 0"
+                f"--members: a daemon takes {MAX_MEMBERS} at most; more only with --daemons 0"
             )
         if self.processes() > MOST_PROCESSES:
             raise RigError(f"{self.processes()} processes; {MOST_PROCESSES} at most")
--- a/sailhitch/daemon/schema.py
+++ b/sailhitch/daemon/schema.py
@@ -20,7 +20,7 @@
 from .schema_errors import FieldPath, FileError, describe_error, field_path, format_path
 from .schema_fields import format_duration, read_duration
 from .schema_models import (
-    MOST_MEMBERS,
+    MAX_MEMBERS,
     VERSION,
     ClassPart,
     GatewayPart,
@@ -35,7 +35,7 @@
 )
 
 __all__ = [
-    "MOST_MEMBERS",
+    "MAX_MEMBERS",
     "ClassPart",
     "FileError",
     "GatewayPart",
--- a/sailhitch/daemon/schema_models.py
+++ b/sailhitch/daemon/schema_models.py
@@ -20,7 +20,7 @@
 
 VERSION: Final = 1  # of the file's format
 # Members in a tier; 1,700 are required in two years.
-MOST_MEMBERS: Final = 2_000
+MAX_MEMBERS: Final = 2_000
 
 
 class Part(BaseModel):
@@ -137,7 +137,7 @@
     """The tier that this gateway belongs to; fixed for the life of the process."""
 
     name: Name
-    members: Annotated[list[TierMemberPart], Field(min_length=1, max_length=MOST_MEMBERS)]
+    members: Annotated[list[TierMemberPart], Field(min_length=1, max_length=MAX_MEMBERS)]
     voters: Annotated[list[str], Field(min_length=1, max_length=7)]
     key_file: str
     agree_within: Duration = 10_000_000
--- a/sailhitch/daemon/tier_commands.py
+++ b/sailhitch/daemon/tier_commands.py
@@ -10,7 +10,7 @@
 from ..tier.member import Member
 from .admin_replies import FetchRecord
 from .intake import RoutedIntake
-from .schema import MOST_MEMBERS, TierMemberPart, TierPart
+from .schema import MAX_MEMBERS, TierMemberPart, TierPart
 from .state_applier import ApplyError
 from .tier_decisions import wait_for_decision
 from .tier_link import TierLink, steady
@@ -71,8 +71,8 @@
         reason = member.why_not_admitted(name)
         if reason:
             raise ApplyError(f"{name!r}: {reason}")
-        if name not in known and len(known) >= MOST_MEMBERS:
-            raise ApplyError(f"a tier has {MOST_MEMBERS} members at most")
+        if name not in known and len(known) >= MAX_MEMBERS:
+            raise ApplyError(f"a tier has {MAX_MEMBERS} members at most")
         owners = {taken: owner for owner, taken in member.configuration.addresses.items()}
         for owner, (host, port) in self.link.addresses.items():
             owners[f"{host}:{port}"] = owner
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sailhitch.daemon.schema import MOST_MEMBERS, FileError, parse_value
+from sailhitch.daemon.schema import MAX_MEMBERS, FileError, parse_value
 from tests.daemons import file_value, pool
 
 FULL_SIZE = 1_700
@@ -22,7 +22,7 @@
     return copy.deepcopy({**value, "tier": tier})
 
 
-@pytest.mark.parametrize("count", [FULL_SIZE, MOST_MEMBERS])
+@pytest.mark.parametrize("count", [FULL_SIZE, MAX_MEMBERS])
 def test_a_file_may_name_as_many_members_as_the_full_size_has(count: int) -> None:
     made = parse_value(_value(count))
     assert made.tier is not None
@@ -30,8 +30,8 @@
 
 
 def test_one_member_more_is_refused_with_the_field_and_the_bound() -> None:
-    with pytest.raises(FileError, match=rf"tier\.members: .*{MOST_MEMBERS}"):
-        parse_value(_value(MOST_MEMBERS + 1))
+    with pytest.raises(FileError, match=rf"tier\.members: .*{MAX_MEMBERS}"):
+        parse_value(_value(MAX_MEMBERS + 1))
 
 
 def test_a_repeated_member_among_many_is_named() -> None:
--- a/tests/test_tier_parts.py
+++ b/tests/test_tier_parts.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sailhitch.daemon.schema import MOST_MEMBERS, FileError, parse_value
+from sailhitch.daemon.schema import MAX_MEMBERS, FileError, parse_value
 from sailhitch.lab.scenario import ScenarioError, load_scenario
 from sailhitch.model.explore import Explorer, LostUpdateError
 from sailhitch.model.tier import World
@@ -81,10 +81,10 @@
 def test_replays_are_rejected_in_the_largest_tier() -> None:
     keys = Keys(1, {1: OLD})
     receiver = Wire(keys, "receiver", 1)
-    sent = [Wire(keys, f"g{i}", i).seal("receiver", Ping(i, 0)) for i in range(MOST_MEMBERS)]
+    sent = [Wire(keys, f"g{i}", i).seal("receiver", Ping(i, 0)) for i in range(MAX_MEMBERS)]
     assert all(receiver.open(data) is not None for data in sent)
     assert not any(receiver.open(data) for data in sent)
-    assert receiver.refused == {"replay": MOST_MEMBERS}
+    assert receiver.refused == {"replay": MAX_MEMBERS}
 
 
 @given(st.data())
