--- a/benchmarks/pages.py
+++ b/benchmarks/pages.py
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from sailhitch.daemon.schema import NodePart, RoutePart, TenantPart  # noqa: E402
+from sailhitch.daemon.schema import NodeSection, RouteSection, TenantSection  # noqa: E402
 from sailhitch.pages import Key, build, compress, difference, read_entries, update  # noqa: E402
 
 NODES = 16_000
@@ -59,7 +59,7 @@
 
 def node_value(number: int, weight: float) -> bytes:
     zone = number % ZONES
-    part = NodePart(
+    part = NodeSection(
         id=f"node-{number:05}",
         address=f"10.{zone}.{number >> 8 & 255}.{number & 255}:{8000 + number % 10}",
         zone=f"region-{zone // 8}-zone-{zone % 8}",
@@ -85,12 +85,12 @@
         "class": f"class-{number % 12}",
         "pools": pools,
     }
-    return dump(RoutePart.model_validate(value).model_dump(mode="json", by_alias=True))
+    return dump(RouteSection.model_validate(value).model_dump(mode="json", by_alias=True))
 
 
 def tenant_value(number: int, rate: int) -> bytes:
     """A tenant as the file has it today, and the limits that it will have."""
-    part = TenantPart(name=f"tenant-{number:06}", share=round(1 / (number + 1), 9) or 1e-9)
+    part = TenantSection(name=f"tenant-{number:06}", share=round(1 / (number + 1), 9) or 1e-9)
     limits = {"rate": rate, "burst": rate * 2, "concurrency": 8 + number % 57}
     return dump(part.model_dump(mode="json") | {"limits": limits})
 
--- a/benchmarks/scale/gateway_slopes.py
+++ b/benchmarks/scale/gateway_slopes.py
@@ -20,7 +20,7 @@
 
 from sailhitch.core.core import GatewayCore
 from sailhitch.core.log import Log
-from sailhitch.daemon.schema import GatewayPart, OperatorFile, parse_value
+from sailhitch.daemon.schema import GatewaySection, OperatorFile, parse_value
 from sailhitch.daemon.state import State, canonical
 from sailhitch.daemon.state_applier import StateApplier, StateChange, resource_limits
 from sailhitch.daemon.store import Store
@@ -124,7 +124,7 @@
     work: Callable[[StateApplier, Path, float], Coroutine[Any, Any, dict[str, float]]],
 ) -> dict[str, float]:
     """Play something at a gateway that has no state yet, and keeps its states on disk."""
-    gateway = GatewayPart.model_validate(GATEWAY_PART)
+    gateway = GatewaySection.model_validate(GATEWAY_PART)
 
     async def main(folder: Path) -> dict[str, float]:
         core = GatewayCore(
--- a/sailhitch/daemon/endpoint_registry.py
+++ b/sailhitch/daemon/endpoint_registry.py
@@ -18,7 +18,7 @@
     EndpointState,
     WatchEventKind,
 )
-from .schema import NodePart, OperatorFile, PoolPart
+from .schema import NodeSection, OperatorFile, PoolSection
 from .store import AppliedState
 from .tables import Tables
 
@@ -72,7 +72,7 @@
         self.nodes = instances
 
     def _new_instance(
-        self, part: NodePart, address: Address, new_since: int, tables: Tables
+        self, part: NodeSection, address: Address, new_since: int, tables: Tables
     ) -> NodeInstance:
         incarnation = self._incarnations.get(part.id, 0) + 1
         self._incarnations[part.id] = incarnation
@@ -100,7 +100,9 @@
                 pool.retire()
         self.pools = new
 
-    def _endpoint_address(self, pool: PoolPart, part: NodePart, tables: Tables) -> EndpointAddress:
+    def _endpoint_address(
+        self, pool: PoolSection, part: NodeSection, tables: Tables
+    ) -> EndpointAddress:
         node = self.nodes[f"{pool.name}/{part.id}"]
         zone = tables.zones.of(part.zone)
         endpoint = Endpoint(
--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -23,7 +23,7 @@
     choose_pool,
     normal_path,
 )
-from .schema import ClassPart
+from .schema import ClassSection
 from .tables import Tables, effect_of
 
 _TEXT: Final = [(b"content-type", b"Content-Type", b"text/plain")]
@@ -124,7 +124,7 @@
         return True
 
     def _fill_in(
-        self, head: Head, found: dict[bytes, bytes], request: RequestContext, part: ClassPart
+        self, head: Head, found: dict[bytes, bytes], request: RequestContext, part: ClassSection
     ) -> None:
         """Set what does not depend on the pool: tenant, name, class and waiting time."""
         request.head_only = head.method == b"HEAD"
--- a/sailhitch/daemon/process.py
+++ b/sailhitch/daemon/process.py
@@ -19,7 +19,7 @@
 from ..tier.disk import DiskError
 from ..tier.wire import KeyFileError, load_keys
 from .admin import AdminError, AdminServer
-from .schema import FileError, OperatorFile, TierPart, load_file
+from .schema import FileError, OperatorFile, TierSection, load_file
 from .source import LocalStateSource, StateSource
 from .state import from_file, with_bans
 from .state_applier import ApplyError, StateApplier, resource_limits
@@ -136,7 +136,7 @@
         return Path(self.gateway.state_dir or "") / "tier"
 
     def _create_tier_source(
-        self, state_applier: StateApplier, part: TierPart, own_store: Store | None
+        self, state_applier: StateApplier, part: TierSection, own_store: Store | None
     ) -> TierStateSource:
         return TierStateSource(
             state_applier,
--- a/sailhitch/daemon/schema_checks.py
+++ b/sailhitch/daemon/schema_checks.py
@@ -8,7 +8,7 @@
 from .routes import Match, Route, tied
 from .schema_errors import suggest_name
 from .schema_fields import format_duration
-from .schema_models import GatewayPart, OperatorFile, RoutePart, TierPart, ZonesPart
+from .schema_models import GatewaySection, OperatorFile, RouteSection, TierSection, ZonesSection
 
 MIN_LEASE: Final = 1_000_000  # microseconds; allows several reads of the voters, and a slow disk
 
@@ -62,7 +62,7 @@
 
 
 def _zones_contradictions(
-    gateway: GatewayPart, tier: TierPart | None, zones: ZonesPart
+    gateway: GatewaySection, tier: TierSection | None, zones: ZonesSection
 ) -> Iterator[str]:
     if tier is None:
         yield "zones: requires [tier]: zones are left by a whole tier, not by a single gateway"
@@ -75,7 +75,7 @@
         )
 
 
-def _tier_contradictions(gateway: GatewayPart, tier: TierPart) -> Iterator[str]:
+def _tier_contradictions(gateway: GatewaySection, tier: TierSection) -> Iterator[str]:
     names = [member.name for member in tier.members]
     yield from _duplicates("tier.members", "name", names)
     yield from _duplicates("tier.members", "address", [member.address for member in tier.members])
@@ -131,7 +131,7 @@
         yield f"{path}: no {kind} is called {name!r}{suggest_name(name, known)}"
 
 
-def to_route(part: RoutePart) -> Route:
+def to_route(part: RouteSection) -> Route:
     """Return a route of the file in the form that the route lookup uses."""
     match = part.match
     return Route(
--- a/sailhitch/daemon/schema_errors.py
+++ b/sailhitch/daemon/schema_errors.py
@@ -9,36 +9,36 @@
 from pydantic_core import ErrorDetails
 
 from .schema_models import (
-    ClassPart,
-    GatewayPart,
-    ListenerPart,
-    MatchPart,
-    NodePart,
+    ClassSection,
+    GatewaySection,
+    ListenerSection,
+    MatchSection,
+    NodeSection,
     OperatorFile,
-    Part,
-    PoolPart,
-    RoutePart,
-    TenantPart,
-    TierMemberPart,
-    TierPart,
-    ZonesPart,
+    PoolSection,
+    RouteSection,
+    Section,
+    TenantSection,
+    TierMemberSection,
+    TierSection,
+    ZonesSection,
 )
 
 FieldPath = list[int | str]
 """The keys and list indices that lead from the top of the file to a field."""
 
-_MODELS: Final[dict[str, type[Part]]] = {
-    "gateway": GatewayPart,
-    "listeners": ListenerPart,
-    "classes": ClassPart,
-    "tenants": TenantPart,
-    "pools": PoolPart,
-    "nodes": NodePart,
-    "routes": RoutePart,
-    "match": MatchPart,
-    "tier": TierPart,
-    "zones": ZonesPart,
-    "members": TierMemberPart,
+_MODELS: Final[dict[str, type[Section]]] = {
+    "gateway": GatewaySection,
+    "listeners": ListenerSection,
+    "classes": ClassSection,
+    "tenants": TenantSection,
+    "pools": PoolSection,
+    "nodes": NodeSection,
+    "routes": RouteSection,
+    "match": MatchSection,
+    "tier": TierSection,
+    "zones": ZonesSection,
+    "members": TierMemberSection,
 }
 
 
--- a/sailhitch/daemon/schema_models.py
+++ b/sailhitch/daemon/schema_models.py
@@ -23,13 +23,13 @@
 MAX_MEMBERS: Final = 2_000
 
 
-class Part(BaseModel):
+class Section(BaseModel):
     """A table of the file; unknown keys are errors, and values are not converted."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
-class GatewayPart(Part):
+class GatewaySection(Section):
     """The gateway itself; fixed for the life of the process."""
 
     name: Name
@@ -55,7 +55,7 @@
         return number
 
 
-class ListenerPart(Part):
+class ListenerSection(Section):
     """An address at which clients connect."""
 
     name: Name
@@ -63,7 +63,7 @@
     protocol: Literal["http1"] = "http1"
 
 
-class ClassPart(Part):
+class ClassSection(Section):
     """A class of requests: its idempotency, latency objective, deadline and priority."""
 
     name: Name
@@ -80,14 +80,14 @@
         return self.deadline if self.window is None else self.window
 
 
-class TenantPart(Part):
+class TenantSection(Section):
     """A tenant, and its quota as a share of the gateway's rate."""
 
     name: Name
     share: Annotated[float, Field(gt=0, le=1, allow_inf_nan=False)]
 
 
-class NodePart(Part):
+class NodeSection(Section):
     """A node of a pool."""
 
     id: Name
@@ -97,16 +97,16 @@
     weight: Weight = 1.0
 
 
-class PoolPart(Part):
+class PoolSection(Section):
     """A set of nodes that serve the same requests."""
 
     name: Name
-    nodes: list[NodePart] = []
+    nodes: list[NodeSection] = []
     connect_timeout: Duration = 250_000
     idle_timeout: Duration = 15_000_000
 
 
-class MatchPart(Part):
+class MatchSection(Section):
     """The conditions on which a route matches a request; a missing one always holds."""
 
     path_prefix: PathPrefix = "/"
@@ -117,34 +117,34 @@
     tenant: str | None = None
 
 
-class RoutePart(Part):
+class RouteSection(Section):
     """A route: its conditions, and the pools and the class of the requests that match."""
 
     name: Name
-    match: MatchPart = MatchPart()
+    match: MatchSection = MatchSection()
     class_: Annotated[str, Field(alias="class")]
     pools: Annotated[dict[str, Share], Field(min_length=1)]
 
 
-class TierMemberPart(Part):
+class TierMemberSection(Section):
     """A gateway of the tier, and the UDP address at which it receives messages."""
 
     name: Name
     address: Listen
 
 
-class TierPart(Part):
+class TierSection(Section):
     """The tier that this gateway belongs to; fixed for the life of the process."""
 
     name: Name
-    members: Annotated[list[TierMemberPart], Field(min_length=1, max_length=MAX_MEMBERS)]
+    members: Annotated[list[TierMemberSection], Field(min_length=1, max_length=MAX_MEMBERS)]
     voters: Annotated[list[str], Field(min_length=1, max_length=7)]
     key_file: str
     agree_within: Duration = 10_000_000
     lease: Duration | None = None
 
 
-class ZonesPart(Part):
+class ZonesSection(Section):
     """How the fleet leaves zones; fixed for the life of the process."""
 
     mode: Literal["off", "advise", "act"] = "advise"
@@ -153,15 +153,15 @@
     leaves_an_hour: Annotated[int, Field(ge=0, le=100)] = 4
 
 
-class OperatorFile(Part):
+class OperatorFile(Section):
     """The whole operator file."""
 
     version: Literal[1]
-    gateway: GatewayPart
-    tier: TierPart | None = None
-    zones: ZonesPart | None = None
-    listeners: list[ListenerPart] = []
-    classes: list[ClassPart] = []
-    tenants: list[TenantPart] = []
-    pools: list[PoolPart] = []
-    routes: list[RoutePart] = []
+    gateway: GatewaySection
+    tier: TierSection | None = None
+    zones: ZonesSection | None = None
+    listeners: list[ListenerSection] = []
+    classes: list[ClassSection] = []
+    tenants: list[TenantSection] = []
+    pools: list[PoolSection] = []
+    routes: list[RouteSection] = []
--- a/sailhitch/daemon/state_applier.py
+++ b/sailhitch/daemon/state_applier.py
@@ -25,7 +25,7 @@
 from .intake import RequestClassOverlap, RoutedIntake, RoutingView
 from .plan import diff, summary
 from .routes import Routes
-from .schema import FileError, GatewayPart, OperatorFile, PoolPart, to_route
+from .schema import FileError, GatewaySection, OperatorFile, PoolSection, to_route
 from .state import EMPTY, Object, State, to_file
 from .store import AppliedState, Step, Store, ignore_step
 from .tables import Tables
@@ -75,7 +75,11 @@
     """Holds the applied state, and applies changes to it one at a time."""
 
     def __init__(
-        self, core: GatewayCore, gateway: GatewayPart, store: Store | None, step: Step = ignore_step
+        self,
+        core: GatewayCore,
+        gateway: GatewaySection,
+        store: Store | None,
+        step: Step = ignore_step,
     ) -> None:
         self.core = core
         self.gateway = gateway
@@ -172,7 +176,7 @@
             file, applied, tables, settings, routes, pools, bound, change, class_overlap
         )
 
-    def _pool(self, part: PoolPart, settings: Settings) -> Pool:
+    def _pool(self, part: PoolSection, settings: Settings) -> Pool:
         pool = self.pools.get(part.name)
         if pool is None:
             seed = secrets.randbits(48)
@@ -294,14 +298,14 @@
 # --- The file's values as the core's
 
 
-def resource_limits(gateway: GatewayPart, longest_deadline: int) -> ResourceLimits:
+def resource_limits(gateway: GatewaySection, longest_deadline: int) -> ResourceLimits:
     """Return the process's limits; `longest_deadline` is in microseconds."""
     return ResourceLimits(
         gateway.memory_mb, gateway.sockets, MAX_OPEN, longest_deadline, gateway.retry_after
     )
 
 
-def _connection_settings(pool: PoolPart) -> ConnectionSettings:
+def _connection_settings(pool: PoolSection) -> ConnectionSettings:
     return ConnectionSettings(
         pool.connect_timeout, idle_lifetime(pool.idle_timeout), passes_any_status=True
     )
--- a/sailhitch/daemon/tables.py
+++ b/sailhitch/daemon/tables.py
@@ -16,7 +16,7 @@
     Settings,
     Tenant,
 )
-from .schema import ClassPart, GatewayPart, OperatorFile
+from .schema import ClassSection, GatewaySection, OperatorFile
 
 # Each class has one number for each idempotency, in this order.
 EFFECTS: Final = (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
@@ -68,7 +68,7 @@
         self.cells: Numbers = before.cells if before else Numbers()
         self._classes: Numbers = before._classes if before else Numbers()
         self._tenants: Numbers = before._tenants if before else Numbers()
-        self._parts: dict[str, ClassPart] = dict(before._parts) if before else {}
+        self._parts: dict[str, ClassSection] = dict(before._parts) if before else {}
         self._shares: dict[str, float] = dict(before._shares) if before else {}
         for part in file.classes:
             self._classes.of(part.name)
@@ -77,7 +77,7 @@
             self._tenants.of(tenant.name)
             self._shares[tenant.name] = tenant.share
 
-    def settings(self, gateway: GatewayPart) -> Settings:
+    def settings(self, gateway: GatewaySection) -> Settings:
         """Return the policy settings, which are the same for all pools."""
         classes = tuple(
             _request_class(part, effect) for part in self._parts.values() for effect in EFFECTS
@@ -124,7 +124,7 @@
         """Return the longest deadline of all classes, in us."""
         return max((part.deadline for part in self._parts.values()), default=DEFAULT_DEADLINE)
 
-    def class_part(self, name: str) -> ClassPart:
+    def class_part(self, name: str) -> ClassSection:
         """Return a class as configured in the file."""
         return self._parts[name]
 
@@ -154,7 +154,7 @@
     return Idempotency.UNSAFE if effect == Idempotency.KEYED and not keyed else effect
 
 
-def _request_class(part: ClassPart, effect: Idempotency) -> RequestClass:
+def _request_class(part: ClassSection, effect: Idempotency) -> RequestClass:
     return RequestClass(
         name=f"{part.name}:{effect}",
         priority_weight=part.worth,
--- a/sailhitch/daemon/tier_changes.py
+++ b/sailhitch/daemon/tier_changes.py
@@ -11,7 +11,7 @@
 from ..tier.messages import RegisterState, Version
 from .plan import MovedError
 from .rules import contradictions
-from .schema import TierPart
+from .schema import TierSection
 from .source import StillPendingError
 from .state import State
 from .state_applier import ApplyError
@@ -24,7 +24,7 @@
 class TierChanges:
     """Proposes states, and waits until this process has applied them."""
 
-    def __init__(self, part: TierPart, applier: VersionApplier, states: VersionStates) -> None:
+    def __init__(self, part: TierSection, applier: VersionApplier, states: VersionStates) -> None:
         self.part = part
         self.link = applier.link
         self._applier = applier
--- a/sailhitch/daemon/tier_commands.py
+++ b/sailhitch/daemon/tier_commands.py
@@ -10,7 +10,7 @@
 from ..tier.member import Member
 from .admin_replies import FetchRecord
 from .intake import RoutedIntake
-from .schema import MAX_MEMBERS, TierMemberPart, TierPart
+from .schema import MAX_MEMBERS, TierMemberSection, TierSection
 from .state_applier import ApplyError
 from .tier_decisions import wait_for_decision
 from .tier_link import TierLink, steady
@@ -22,7 +22,7 @@
 class TierCommands:
     """Carries out operators' commands on the tier's register and configuration."""
 
-    def __init__(self, part: TierPart, link: TierLink, intake: RoutedIntake) -> None:
+    def __init__(self, part: TierSection, link: TierLink, intake: RoutedIntake) -> None:
         self.part = part
         self.link = link
         self._intake = intake
@@ -115,7 +115,7 @@
 def _check_member(name: str, address: str) -> None:
     """Raise ApplyError for a name or an address that the operator file would not take either."""
     try:
-        TierMemberPart(name=name, address=address)
+        TierMemberSection(name=name, address=address)
     except ValidationError as error:
         first = error.errors()[0]
         raise ApplyError(f"tier.join: {first['loc'][0]}: {first['msg']}") from None
--- a/sailhitch/daemon/tier_source.py
+++ b/sailhitch/daemon/tier_source.py
@@ -23,7 +23,7 @@
 from .endpoint_registry import address_of
 from .intake import come_back
 from .plan import PlanError, check_base, load_plan
-from .schema import OperatorFile, TierPart, ZonesPart
+from .schema import OperatorFile, TierSection, ZonesSection
 from .source import find
 from .state import State, banned, from_file
 from .state_applier import ApplyError, StateApplier, StateChange
@@ -51,12 +51,12 @@
     def __init__(
         self,
         state_applier: StateApplier,
-        part: TierPart,
+        part: TierSection,
         keys: Keys,
         folder: Path,
         own_store: Store | None,
         log: Log,
-        zones: ZonesPart | None = None,
+        zones: ZonesSection | None = None,
     ) -> None:
         """Open the member's disk.
 
--- a/sailhitch/daemon/zone_coordinator.py
+++ b/sailhitch/daemon/zone_coordinator.py
@@ -28,7 +28,7 @@
 )
 from ..zones.diagnosis import ZoneCondition
 from ..zones.traffic_policy import EMPTY_POLICY, TrafficPolicy, TrafficPolicyError, decode
-from .schema import GatewayPart, ZonesPart
+from .schema import GatewaySection, ZonesSection
 from .state import State
 from .state_applier import ApplyError, StateApplier
 from .tier_decisions import wait_for_decision
@@ -55,8 +55,8 @@
         self,
         link: TierLink,
         state_applier: StateApplier,
-        part: ZonesPart | None,
-        gateway: GatewayPart,
+        part: ZonesSection | None,
+        gateway: GatewaySection,
         agree_within: int,
     ) -> None:
         """Create the coordinator; an operator's order is waited for up to `agree_within` us."""
@@ -64,7 +64,7 @@
         self.state_applier = state_applier
         self.agree_within = agree_within
         self.part = part
-        part = part or ZonesPart(mode="off")
+        part = part or ZonesSection(mode="off")
         self.mode = part.mode
         step = 2 * gateway.cold_time if part.step is None else part.step
         terms = ZoneSettings(
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sailhitch.daemon.admin_requests import AdminRequests
-from sailhitch.daemon.schema import TierMemberPart, TierPart
+from sailhitch.daemon.schema import TierMemberSection, TierSection
 from sailhitch.daemon.tier_link import TierLink
 from sailhitch.daemon.tier_source import TierStateSource
 from sailhitch.daemon.zone_coordinator import ZoneCoordinator
@@ -39,8 +39,8 @@
         nonlocal status
         async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
             core = it.live.core
-            member = TierMemberPart(name="g1", address="127.0.0.1:9001")
-            part = TierPart(name="t", key_file="unused", members=[member], voters=["g1"])
+            member = TierMemberSection(name="g1", address="127.0.0.1:9001")
+            part = TierSection(name="t", key_file="unused", members=[member], voters=["g1"])
             keys = Keys(1, {1: b"k" * 32})
             source = TierStateSource(it.live, part, keys, tmp_path, None, core.logger)
             heartbeat = source.link.on_heartbeat
