--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -18,7 +18,7 @@
     Route,
     RouteQuery,
     Routes,
-    Sticky,
+    StickyPools,
     bare_host,
     choose_pool,
     normal_path,
@@ -76,7 +76,7 @@
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
-        self.sticky: Sticky[Pool] = Sticky()
+        self.sticky: StickyPools[Pool] = StickyPools()
         self._prefix = secrets.token_hex(6)  # so that no two processes generate the same id
         self._count = itertools.count(1)
 
--- a/sailhitch/daemon/routes.py
+++ b/sailhitch/daemon/routes.py
@@ -298,7 +298,7 @@
     return -weight / math.log(point)
 
 
-class Sticky(Generic[T]):
+class StickyPools(Generic[T]):
     """Remembers the pool of each idempotency key for as long as retries may arrive; bounded.
 
     A client may retry a keyed request after the split has changed. A different pool would not know
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -14,7 +14,7 @@
     Route,
     RouteQuery,
     Routes,
-    Sticky,
+    StickyPools,
     bare_host,
     choose_pool,
     normal_path,
@@ -224,7 +224,7 @@
 
 
 def test_a_key_stays_with_its_pool_for_its_window_and_memory_is_bounded() -> None:
-    sticky: Sticky[str] = Sticky(max_keys=10)
+    sticky: StickyPools[str] = StickyPools(max_keys=10)
     sticky.note(b"k", "claims", 0, 100)
     assert sticky.get(b"k", 99) == "claims"
     assert sticky.get(b"k", 100) is None
