--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -170,7 +170,7 @@
         """
         now = self.clock()
         pool = self.sticky.get(key, now) or self.view.pools[choose_pool(pools, key)]
-        self.sticky.note(key, pool, now, now + keep)
+        self.sticky.remember(key, pool, now, now + keep)
         return pool
 
 
--- a/sailhitch/daemon/routes.py
+++ b/sailhitch/daemon/routes.py
@@ -318,7 +318,7 @@
         entry = self._pool_by_key.get(key)
         return entry[0] if entry is not None and now < entry[1] else None
 
-    def note(self, key: bytes, pool: T, now: int, until: int) -> None:
+    def remember(self, key: bytes, pool: T, now: int, until: int) -> None:
         """Remember the pool of a key until `until` (microseconds)."""
         self._pool_by_key.pop(key, None)
         self._pool_by_key[key] = (pool, until)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -225,12 +225,12 @@
 
 def test_a_key_stays_with_its_pool_for_its_window_and_memory_is_bounded() -> None:
     sticky: StickyPools[str] = StickyPools(max_keys=10)
-    sticky.note(b"k", "claims", 0, 100)
+    sticky.remember(b"k", "claims", 0, 100)
     assert sticky.get(b"k", 99) == "claims"
     assert sticky.get(b"k", 100) is None
     for i in range(50):
-        sticky.note(str(i).encode(), "p", 0, 1000)
+        sticky.remember(str(i).encode(), "p", 0, 1000)
     assert len(sticky) == 10
     assert sticky.get(b"49", 1) == "p"
-    sticky.note(b"late", "p", 5000, 6000)
+    sticky.remember(b"late", "p", 5000, 6000)
     assert len(sticky) == 1
