--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from sailhitch.daemon.routes import Match, Route, RouteQuery, Routes, tied
+from sailhitch.daemon.routes import Match, Route, RouteQuery, Routes, find_ambiguous_routes
 
 SIZES = (10, 1_000, 10_000)
 LOOKUPS = 20_000
@@ -43,7 +43,7 @@
     started = time.perf_counter()
     table = Routes(routes)
     built = time.perf_counter()
-    assert not list(tied(routes))
+    assert not list(find_ambiguous_routes(routes))
     looked = time.perf_counter()
     asked = [pair[1] for pair in random.Random(1).choices(pairs, k=LOOKUPS)]
     begun = time.perf_counter()
--- a/sailhitch/daemon/routes.py
+++ b/sailhitch/daemon/routes.py
@@ -7,9 +7,9 @@
 3. a tenant; then 4. a class; then 5. more header fields; then 6. methods.
 
 Two routes that could match the same request and are equal in all six are an error in the file
-(`tied`). A lookup takes one step for each host pattern and each path prefix that match the request,
-and one for each field that the routes of such a host and prefix require. It does not depend on the
-number of routes.
+(`find_ambiguous_routes`). A lookup takes one step for each host pattern and each path prefix that
+match the request, and one for each field that the routes of such a host and prefix require. It does
+not depend on the number of routes.
 """
 
 from __future__ import annotations
@@ -136,7 +136,7 @@
     return any(name in fields and fields[name] != value for name, value in first.header)
 
 
-def tied(routes: Iterable[Route]) -> Iterator[tuple[Route, Route]]:
+def find_ambiguous_routes(routes: Iterable[Route]) -> Iterator[tuple[Route, Route]]:
     """Yield the pairs of routes of equal precedence that a single request could match, in order.
 
     Only routes of the same host and prefix are compared: two prefixes of one length that match the
--- a/sailhitch/daemon/schema_checks.py
+++ b/sailhitch/daemon/schema_checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from .routes import Match, Route, tied
+from .routes import Match, Route, find_ambiguous_routes
 from .schema_errors import suggest_name
 from .schema_fields import format_duration
 from .schema_models import GatewaySection, OperatorFile, RouteSection, TierSection, ZonesSection
@@ -119,7 +119,7 @@
         if sum(route.pools.values()) <= 0:
             yield f"{path}.pools: no pool has a weight above 0"
     indices = {route.name: i for i, route in enumerate(operator_file.routes)}
-    for first, second in tied([to_route(route) for route in operator_file.routes]):
+    for first, second in find_ambiguous_routes([to_route(route) for route in operator_file.routes]):
         yield (
             f"routes[{indices[second.name]}].match: a request can match it and "
             f"routes[{indices[first.name]}] ({first.name!r}) equally well; make one more specific"
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -17,8 +17,8 @@
     StickyPools,
     bare_host,
     choose_pool,
+    find_ambiguous_routes,
     normal_path,
-    tied,
 )
 
 
@@ -136,7 +136,7 @@
     conditions: list[Match], queries: list[RouteQuery]
 ) -> None:
     routes = [Route(str(i), match, "c", (("p", 1.0),)) for i, match in enumerate(conditions)]
-    pairs = {(a.name, b.name) for a, b in tied(routes)}
+    pairs = {(a.name, b.name) for a, b in find_ambiguous_routes(routes)}
     table = Routes(routes)
     for query in queries:
         matching = [r for r in routes if reference_matches(r.match, query)]
