--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -19,9 +19,9 @@
     RouteQuery,
     Routes,
     StickyPools,
-    bare_host,
     choose_pool,
-    normal_path,
+    normalize_host,
+    normalize_path,
 )
 from .schema import ClassSection
 from .tables import Tables, effect_of
@@ -143,7 +143,7 @@
 
     def _query(self, head: Head, found: dict[bytes, bytes], routes: Routes) -> RouteQuery:
         try:
-            path = normal_path(head.url)
+            path = normalize_path(head.url)
         except PathError as error:
             raise RejectError(400, str(error)) from None
         header: dict[str, str] = {}
@@ -157,7 +157,7 @@
         return RouteQuery(
             head.method.decode("latin-1"),
             path,
-            bare_host(found.get(b"host", b"").decode("latin-1")),
+            normalize_host(found.get(b"host", b"").decode("latin-1")),
             header,
             None if cls is None else cls.decode("latin-1"),
             None if tenant is None else tenant.decode("latin-1"),
--- a/sailhitch/daemon/routes.py
+++ b/sailhitch/daemon/routes.py
@@ -62,7 +62,7 @@
     """A path that a gateway and a node could interpret differently."""
 
 
-def normal_path(target: bytes) -> str:
+def normalize_path(target: bytes) -> str:
     """Return the path of a request's target, without needless escapes (RFC 3986, 6.2.2.2).
 
     Dot segments, escaped slashes, backslashes and NULs are rejected, because a node could resolve
@@ -266,7 +266,7 @@
         path = path[: path.rfind("/")].rstrip("/")
 
 
-def bare_host(value: str) -> str:
+def normalize_host(value: str) -> str:
     """Return a Host field in lower case, without its port and a trailing dot."""
     host = value.strip().lower()
     if host.startswith("["):
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -15,10 +15,10 @@
     RouteQuery,
     Routes,
     StickyPools,
-    bare_host,
     choose_pool,
     find_ambiguous_routes,
-    normal_path,
+    normalize_host,
+    normalize_path,
 )
 
 
@@ -162,7 +162,7 @@
     ],
 )
 def test_a_path_is_normalized(target: bytes, path: str) -> None:
-    assert normal_path(target) == path
+    assert normalize_path(target) == path
 
 
 @pytest.mark.parametrize(
@@ -183,13 +183,13 @@
 )
 def test_an_ambiguous_path_is_rejected(target: bytes) -> None:
     with pytest.raises(PathError):
-        normal_path(target)
+        normalize_path(target)
 
 
 def test_a_host_is_compared_without_its_port_and_case() -> None:
-    assert bare_host("A.Example.Org:8080") == "a.example.org"
-    assert bare_host("[::1]:80") == "[::1]"
-    assert bare_host("a.org.") == "a.org"
+    assert normalize_host("A.Example.Org:8080") == "a.example.org"
+    assert normalize_host("[::1]:80") == "[::1]"
+    assert normalize_host("a.org.") == "a.org"
 
 
 KEYS = [str(i).encode() for i in range(4000)]
