--- a/sailhitch/daemon/rules.py
+++ b/sailhitch/daemon/rules.py
@@ -145,7 +145,7 @@
 # --- The meet
 
 
-def meet(old: State, new: State) -> State:
+def intersect_states(old: State, new: State) -> State:
     """Return the state that allows only what both allow.
 
     Its routes are those of `old`; they are combined with those of `new` for each request, on
--- a/sailhitch/daemon/version_applier.py
+++ b/sailhitch/daemon/version_applier.py
@@ -14,7 +14,7 @@
 from ..core.interfaces import HasUnreadEvent, MayWrite
 from ..core.log import Log
 from ..tier.effects import AppliedVersions
-from .rules import meet
+from .rules import intersect_states
 from .state import State
 from .state_applier import StateApplier, StateChange
 from .store import AppliedState
@@ -163,7 +163,7 @@
         if versions.pending is None:
             return ResolvedVersions(active, None, active)
         pending = await asyncio.to_thread(self._states.read, contents, versions.pending.digest)
-        effective = await asyncio.to_thread(meet, active, pending)
+        effective = await asyncio.to_thread(intersect_states, active, pending)
         return ResolvedVersions(active, pending, effective)
 
     def _changes_rules(self, resolved: ResolvedVersions) -> bool:
--- a/tests/test_tier_rules.py
+++ b/tests/test_tier_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sailhitch.daemon.rules import contradictions, differences, meet
+from sailhitch.daemon.rules import contradictions, differences, intersect_states
 from sailhitch.daemon.schema import parse_text, parse_value
 from sailhitch.daemon.state import KINDS, State, from_file, to_file
 from sailhitch.daemon.state_tree import changed_names, changed_state, to_tree
@@ -110,7 +110,7 @@
 @given(states(), states())
 def test_the_meet_allows_what_both_allow_and_no_more(old: State, new: State) -> None:
     for a, b in ((old, new), (new, old)):
-        met = meet(a, b)
+        met = intersect_states(a, b)
         to_file({**met, "listeners": {}}, GATEWAY)  # it is a valid state
         both = {k: v for k, v in _sent_to(a).items() if _sent_to(b).get(k) == v}
         by_zone = any(c["dedup"] == "zone" for s in (a, b) for c in s["classes"].values())
@@ -125,8 +125,10 @@
             shares = [one["tenants"][name]["share"] for one in (a, b)]
             assert met["tenants"][name]["share"] == min(shares)
         assert met["tenants"].keys() == a["tenants"].keys() | b["tenants"].keys()
-    assert _sent_to(meet(old, new)).keys() == _sent_to(meet(new, old)).keys()
-    assert meet(old, old) == old
+    assert (
+        _sent_to(intersect_states(old, new)).keys() == _sent_to(intersect_states(new, old)).keys()
+    )
+    assert intersect_states(old, old) == old
 
 
 def _all_names(old: State, new: State) -> dict[str, set[str]]:
@@ -149,7 +151,7 @@
     assert contradictions(old, new, changed) == all_lines
     sharing = changed_state(old, before.root, source, after.root)
     assert contradictions(old, sharing, changed) == all_lines
-    assert meet(old, sharing) == meet(old, new)
+    assert intersect_states(old, sharing) == intersect_states(old, new)
 
 
 @settings(max_examples=100)
--- a/tests/test_tier_switch.py
+++ b/tests/test_tier_switch.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from sailhitch.core.request_context import Attempt
-from sailhitch.daemon.rules import meet
+from sailhitch.daemon.rules import intersect_states
 from sailhitch.daemon.state import State, from_file
 from sailhitch.daemon.state_applier import StateChange
 from sailhitch.daemon.tier_link import LinkError, TierLink
@@ -36,7 +36,13 @@
         value = file_value([pool("p", {"a": a}), pool("q", {"b": b})], free_port())
         async with inside(tmp_path, value) as it:
             also = from_file(made({**value, "routes": routes}))
-            await go(it, meet(it.live.applied.state, also), also, b"Tier-Version: 1, 2\r\n", 1)
+            await go(
+                it,
+                intersect_states(it.live.applied.state, also),
+                also,
+                b"Tier-Version: 1, 2\r\n",
+                1,
+            )
             yield it, a, b
 
 
