--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -24,7 +24,7 @@
     normalize_path,
 )
 from .schema import ClassSection
-from .tables import Tables, effect_of
+from .tables import Tables, request_idempotency
 
 _TEXT: Final = [(b"content-type", b"Content-Type", b"text/plain")]
 MAX_KEY_LENGTH: Final = 256  # bytes of an Idempotency-Key
@@ -194,7 +194,8 @@
             return True
         stated = overlap.stated_effects.get(other.cls)
         return (
-            effect_of(stated, query.method.encode("latin-1"), key is not None) == Idempotency.SAFE
+            request_idempotency(stated, query.method.encode("latin-1"), key is not None)
+            == Idempotency.SAFE
         )
     if other is None or other.cls != route.cls:
         return False
--- a/sailhitch/daemon/tables.py
+++ b/sailhitch/daemon/tables.py
@@ -140,11 +140,11 @@
         Idempotency-Key are keyed, and all others are unsafe. If it does, a client can only make
         its request less repeatable, by sending no key.
         """
-        effect = effect_of(self._parts[name].effect, method, keyed)
+        effect = request_idempotency(self._parts[name].effect, method, keyed)
         return len(EFFECTS) * self._classes.of(name) + EFFECTS.index(effect), effect
 
 
-def effect_of(configured: str | None, method: bytes, keyed: bool) -> Idempotency:
+def request_idempotency(configured: str | None, method: bytes, keyed: bool) -> Idempotency:
     """Return a request's idempotency, from its class's configured effect, its method and key."""
     if configured is None:
         if method in SAFE_METHODS:
--- a/tests/test_tier_rules.py
+++ b/tests/test_tier_rules.py
@@ -13,7 +13,7 @@
 from sailhitch.daemon.schema import parse_text, parse_value
 from sailhitch.daemon.state import KINDS, State, from_file, to_file
 from sailhitch.daemon.state_tree import changed_names, changed_state, to_tree
-from sailhitch.daemon.tables import EFFECTS, effect_of
+from sailhitch.daemon.tables import EFFECTS, request_idempotency
 from tests.operator_files import FILE, values
 from tests.page_sources import Pages
 
@@ -88,7 +88,7 @@
 
 
 def _may_repeat(state: State, name: str, method: bytes, keyed: bool) -> int:
-    return RANK[effect_of(state["classes"][name]["effect"], method, keyed)]
+    return RANK[request_idempotency(state["classes"][name]["effect"], method, keyed)]
 
 
 @st.composite
