--- a/sailhitch/daemon/endpoint_registry.py
+++ b/sailhitch/daemon/endpoint_registry.py
@@ -77,7 +77,7 @@
         incarnation = self._incarnations.get(part.id, 0) + 1
         self._incarnations[part.id] = incarnation
         name = part.id if incarnation == 1 else f"{part.id}~{incarnation}"
-        cell = tables.cells.of(f"cell {part.cell}" if part.cell else f"node {name}")
+        cell = tables.cells.number_of(f"cell {part.cell}" if part.cell else f"node {name}")
         return NodeInstance(name, address, cell, new_since)
 
     def _start_draining(self, pool: Pool, node: NodeInstance) -> None:
@@ -104,7 +104,7 @@
         self, pool: PoolSection, part: NodeSection, tables: Tables
     ) -> EndpointAddress:
         node = self.nodes[f"{pool.name}/{part.id}"]
-        zone = tables.zones.of(part.zone)
+        zone = tables.zones.number_of(part.zone)
         endpoint = Endpoint(
             node.name, part.weight, zone, node.cell, EndpointState.READY, node.new_since, 0
         )
--- a/sailhitch/daemon/tables.py
+++ b/sailhitch/daemon/tables.py
@@ -44,11 +44,11 @@
     def __len__(self) -> int:
         return len(self._by_name)
 
-    def of(self, name: str) -> int:
+    def number_of(self, name: str) -> int:
         """Return a name's number; assigns one at the first use."""
         return self._by_name.setdefault(name, len(self._by_name))
 
-    def known(self, name: str) -> int | None:
+    def find(self, name: str) -> int | None:
         """Return a name's number, or None if it has none yet."""
         return self._by_name.get(name)
 
@@ -71,10 +71,10 @@
         self._parts: dict[str, ClassSection] = dict(before._parts) if before else {}
         self._shares: dict[str, float] = dict(before._shares) if before else {}
         for part in file.classes:
-            self._classes.of(part.name)
+            self._classes.number_of(part.name)
             self._parts[part.name] = part
         for tenant in file.tenants:
-            self._tenants.of(tenant.name)
+            self._tenants.number_of(tenant.name)
             self._shares[tenant.name] = tenant.share
 
     def settings(self, gateway: GatewaySection) -> Settings:
@@ -86,7 +86,7 @@
         return Settings(
             gateway_index=default_index if gateway.number is None else gateway.number,
             gateway_count=gateway.gateways,
-            zone=self.zones.of(gateway.zone),
+            zone=self.zones.number_of(gateway.zone),
             tick=TICK,
             classes=classes,
             tenants=self._quotas(gateway.rate),
@@ -130,7 +130,7 @@
 
     def tenant(self, name: str) -> int:
         """Return a tenant's number; for a tenant of no state so far, the first unused number."""
-        known = self._tenants.known(name)
+        known = self._tenants.find(name)
         return len(self._tenants) if known is None else known
 
     def classify(self, name: str, method: bytes, keyed: bool) -> tuple[int, str]:
@@ -141,7 +141,7 @@
         its request less repeatable, by sending no key.
         """
         effect = request_idempotency(self._parts[name].effect, method, keyed)
-        return len(EFFECTS) * self._classes.of(name) + EFFECTS.index(effect), effect
+        return len(EFFECTS) * self._classes.number_of(name) + EFFECTS.index(effect), effect
 
 
 def request_idempotency(configured: str | None, method: bytes, keyed: bool) -> Idempotency:
