--- a/sailhitch/daemon/admin_requests.py
+++ b/sailhitch/daemon/admin_requests.py
@@ -25,7 +25,7 @@
     pending_reply,
     state_reply,
 )
-from .plan import MovedError, PlanError
+from .plan import PlanError, StaleBaseError
 from .source import StateSource, StillPendingError
 from .state_applier import ApplyError, StateApplier
 from .store import AppliedState, StoreError
@@ -118,7 +118,7 @@
         """Execute a change and return its reply, also if the change fails."""
         try:
             applied = await change()
-        except MovedError as error:
+        except StaleBaseError as error:
             return moved_reply(str(error), await self._applied_since(error.since))
         except StillPendingError as error:
             return pending_reply(error)
--- a/sailhitch/daemon/plan.py
+++ b/sailhitch/daemon/plan.py
@@ -30,7 +30,7 @@
     """A text is not a plan, was edited after it was made, or does not fit the state."""
 
 
-class MovedError(Exception):
+class StaleBaseError(Exception):
     """The live state is not the one that a plan was made against, whose serial is `since`."""
 
     def __init__(self, since: int, serial: int, pending: int | None = None) -> None:
@@ -217,21 +217,21 @@
 def check_base(
     plan: Plan, gateway: str, serial: int, state: State, base: str | None = None
 ) -> State:
-    """Return the state that a plan leads to from the live one; raises PlanError or MovedError.
+    """Return the state that a plan leads to from the live one; raises PlanError or StaleBaseError.
 
     `base` is the live state's identity, if it is known; otherwise it is computed.
     """
     if plan.gateway != gateway:
         raise PlanError(f"it was made for gateway {plan.gateway!r}, but this is {gateway!r}")
     if plan.serial != serial:
-        raise MovedError(plan.serial, serial)
+        raise StaleBaseError(plan.serial, serial)
     is_full_state = plan.format == FULL_STATE_FORMAT
     if is_full_state:
         base = digest(state)
     elif base is None:
         base = identity(state)
     if plan.base != base:
-        raise MovedError(plan.serial, serial)
+        raise StaleBaseError(plan.serial, serial)
     result = apply_changes(state, plan.changes)
     if plan.result != (digest(result) if is_full_state else _result_digest(result, plan.changes)):
         raise PlanError("its changes do not lead to the result that it states: make a new plan")
--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -49,7 +49,7 @@
         """Return a state that was in force; raises StoreError."""
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
-        """Apply exactly what a plan says; raises PlanError, MovedError or ApplyError."""
+        """Apply exactly what a plan says; raises PlanError, StaleBaseError or ApplyError."""
 
     async def apply_file(self, file: OperatorFile, by: str) -> AppliedState:
         """Apply an operator file; raises ApplyError."""
@@ -120,7 +120,7 @@
         return find(self.state_applier, serial)
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
-        """Apply exactly what a plan says; raises PlanError, MovedError or ApplyError."""
+        """Apply exactly what a plan says; raises PlanError, StaleBaseError or ApplyError."""
         async with self._deciding:
             plan, state = await asyncio.to_thread(self._read_plan, text)
             return await self._apply(state, by) if plan.changes else self.state_applier.applied
--- a/sailhitch/daemon/tier_changes.py
+++ b/sailhitch/daemon/tier_changes.py
@@ -9,7 +9,7 @@
 from ..tier.effects import JobCompleted, ProposalResult
 from ..tier.member import Member, MemberStatus
 from ..tier.messages import RegisterState, Version
-from .plan import MovedError
+from .plan import StaleBaseError
 from .rules import contradictions
 from .schema import TierSection
 from .source import StillPendingError
@@ -35,7 +35,7 @@
 
         Raises:
             ApplyError: The state was not proposed, not decided or withdrawn.
-            MovedError: Another version became active first, or is pending.
+            StaleBaseError: Another version became active first, or is pending.
             StillPendingError: The state is decided, and waits for members.
         """
         base = self._applier.base
@@ -64,7 +64,7 @@
             try:
                 return member.propose(tree, base.serial, must_wait, operator, proposed_at)
             except ValueError:  # the base's pages were released: another version is active by now
-                raise MovedError(base.serial, _known_serial(member)) from None
+                raise StaleBaseError(base.serial, _known_serial(member)) from None
 
         return await wait_for_decision(self.link, propose)
 
@@ -112,10 +112,10 @@
 
 
 def _check_unmoved(base: AppliedState, register: RegisterState) -> None:
-    """Raise MovedError where another version than the base is active, or one is pending."""
+    """Raise StaleBaseError where another version than the base is active, or one is pending."""
     if register.active.serial != base.serial or register.pending is not None:
         pending = None if register.pending is None else register.pending.serial
-        raise MovedError(base.serial, register.active.serial, pending)
+        raise StaleBaseError(base.serial, register.active.serial, pending)
 
 
 def _known_serial(member: Member) -> int:
--- a/sailhitch/daemon/tier_source.py
+++ b/sailhitch/daemon/tier_source.py
@@ -226,7 +226,7 @@
         return replace(applied, state={**applied.state, "listeners": {}})
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
-        """Propose exactly what a plan says; raises PlanError, MovedError or ApplyError."""
+        """Propose exactly what a plan says; raises PlanError, StaleBaseError or ApplyError."""
         state = await asyncio.to_thread(self._read_plan, text)
         return await self.changes.propose(state, by)
 
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from sailhitch.daemon.plan import MovedError, PlanError
+from sailhitch.daemon.plan import PlanError, StaleBaseError
 from sailhitch.daemon.process import Daemon
 from sailhitch.daemon.schema import OperatorFile, load_file
 from sailhitch.daemon.state_applier import ApplyError
@@ -49,7 +49,7 @@
                 first = it.plan(file_value([pool("p", {"a": a, "b": b})], port))
                 second = it.plan(file_value([pool("p", {"a": a, "c": c})], port))
                 await it.source.apply_plan(first, "one")
-                with pytest.raises(MovedError, match="serial 1, and the live state is 2"):
+                with pytest.raises(StaleBaseError, match="serial 1, and the live state is 2"):
                     await it.source.apply_plan(second, "two")
                 answer = await _ask(it, {"op": "apply", "plan": second})
                 assert answer["code"] == "moved"
@@ -74,7 +74,10 @@
                 ends = await asyncio.gather(
                     *(it.source.apply_plan(plan, "t") for plan in plans), return_exceptions=True
                 )
-                assert sorted(type(end).__name__ for end in ends) == ["AppliedState", "MovedError"]
+                assert sorted(type(end).__name__ for end in ends) == [
+                    "AppliedState",
+                    "StaleBaseError",
+                ]
                 assert it.live.applied.serial == 2
 
     run(work)
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 
 from sailhitch.daemon.plan import (
-    MovedError,
     Plan,
     PlanError,
+    StaleBaseError,
     apply_changes,
     check_base,
     describe,
@@ -116,9 +116,9 @@
 
 def test_a_plan_is_refused_once_the_state_has_changed() -> None:
     loaded_plan = load_plan(json.dumps(plan()))
-    with pytest.raises(MovedError, match="serial 7, and the live state is 8"):
+    with pytest.raises(StaleBaseError, match="serial 7, and the live state is 8"):
         check_base(loaded_plan, "g1", 8, A)
-    with pytest.raises(MovedError):
+    with pytest.raises(StaleBaseError):
         check_base(loaded_plan, "g1", 7, B)
 
 
@@ -155,9 +155,9 @@
     loaded_plan = load_plan(text)
     assert (loaded_plan.base, loaded_plan.result) == (digest(A), digest(B))
     assert check_base(loaded_plan, "g1", 7, A) == B
-    with pytest.raises(MovedError):
+    with pytest.raises(StaleBaseError):
         check_base(loaded_plan, "g1", 7, B)
-    with pytest.raises(MovedError):
+    with pytest.raises(StaleBaseError):
         check_base(loaded_plan, "g1", 8, A)
 
 
@@ -165,7 +165,7 @@
     plan_with_identity = make_plan("g1", 7, A, B, identity(A))
     assert plan_with_identity == make_plan("g1", 7, A, B)
     assert check_base(plan_with_identity, "g1", 7, A, identity(A)) == B
-    with pytest.raises(MovedError):
+    with pytest.raises(StaleBaseError):
         check_base(plan_with_identity, "g1", 7, A, identity(B))
 
 
--- a/tests/test_plan_identity.py
+++ b/tests/test_plan_identity.py
@@ -13,8 +13,8 @@
 from sailhitch.daemon import cli
 from sailhitch.daemon.cli_gateway import request_live_state
 from sailhitch.daemon.plan import (
-    MovedError,
     PlanError,
+    StaleBaseError,
     identity,
     load_plan,
     make_plan,
@@ -62,14 +62,14 @@
                 text = plan("g1", live.serial, live.state, wanted).dump()
                 await it.source.apply_plan(text, "t")
                 assert it.live.applied.state == wanted
-                with pytest.raises(MovedError):
+                with pytest.raises(StaleBaseError):
                     await it.source.apply_plan(text, "t")
                 await it.go(_with_pools("p", port=port))
                 live = it.live.applied
             # The serial matches, but the state is a different one.
             other = from_file(made(_with_pools("other", port=port)))
             for plan in (make_plan, make_whole_plan):
-                with pytest.raises(MovedError):
+                with pytest.raises(StaleBaseError):
                     await it.source.apply_plan(plan("g1", live.serial, other, wanted).dump(), "t")
             valid = make_plan("g1", live.serial, live.state, wanted)
             empty = make_plan("g1", live.serial, live.state, live.state)
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -15,7 +15,7 @@
 
 from sailhitch.core.core import GatewayCore
 from sailhitch.core.log import Log
-from sailhitch.daemon.plan import MovedError, identity
+from sailhitch.daemon.plan import StaleBaseError, identity
 from sailhitch.daemon.schema import parse_text, parse_value
 from sailhitch.daemon.state import State, canonical, from_file
 from sailhitch.daemon.state_applier import ApplyError, StateApplier, resource_limits
@@ -270,7 +270,7 @@
 
             monkeypatch.setattr(tier.changes, "_tree", tree)
             monkeypatch.setattr(Member, "propose", watched)
-            with pytest.raises(MovedError, match=f"against serial {base.serial}, and .* is 15"):
+            with pytest.raises(StaleBaseError, match=f"against serial {base.serial}, and .* is 15"):
                 await tier.ban("p/n99", _ban(), "late")
             assert len(refused) == 1
             assert "p/n99" not in tier.base().state["bans"]
