--- a/sailhitch/daemon/cli_change.py
+++ b/sailhitch/daemon/cli_change.py
@@ -21,7 +21,7 @@
     wait_if_asked,
 )
 from .cli_outcome import CHANGES, DONE, REFUSED, CommandError
-from .plan import Plan, describe, load_plan, make_plan, make_whole_plan, summary
+from .plan import Plan, describe, load_plan, make_format_1_plan, make_plan, summary
 from .rules import contradictions
 from .schema import OperatorFile, load_file
 from .state import State, from_file, with_bans
@@ -70,7 +70,7 @@
     if "identity" in live_reply:
         return make_plan(gateway, serial, state, wanted, live_reply["identity"])
     # A gateway that has not been restarted since an upgrade sends no identity.
-    return make_whole_plan(gateway, serial, state, wanted)
+    return make_format_1_plan(gateway, serial, state, wanted)
 
 
 def _print_plan(new_plan: Plan, live_reply: StateReply, wanted: State) -> None:
--- a/sailhitch/daemon/plan.py
+++ b/sailhitch/daemon/plan.py
@@ -131,7 +131,7 @@
     return Plan(gateway, serial, base, _result_digest(new, changes), changes)
 
 
-def make_whole_plan(gateway: str, serial: int, old: State, new: State) -> Plan:
+def make_format_1_plan(gateway: str, serial: int, old: State, new: State) -> Plan:
     """Return a plan of format 1, the only one that gateways of the previous version can read."""
     return Plan(gateway, serial, digest(old), digest(new), diff(old, new), FULL_STATE_FORMAT)
 
--- a/tests/recorded_values.py
+++ b/tests/recorded_values.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from sailhitch.core.maintenance import CompletedBan
-from sailhitch.daemon.plan import load_plan, make_plan, make_whole_plan
+from sailhitch.daemon.plan import load_plan, make_format_1_plan, make_plan
 from sailhitch.daemon.state import EMPTY, State
 from sailhitch.daemon.store import AppliedState, Store, ignore_step
 from sailhitch.handover import frames as handover_frames
@@ -164,7 +164,9 @@
         make_plan("g1", 4, STATE, NEXT_STATE), lambda value: value.dump().encode(), load_plan
     ),
     "plan_of_format_1": Codec(
-        make_whole_plan("g1", 4, STATE, NEXT_STATE), lambda value: value.dump().encode(), load_plan
+        make_format_1_plan("g1", 4, STATE, NEXT_STATE),
+        lambda value: value.dump().encode(),
+        load_plan,
     ),
 }
 FRAME_KINDS = {
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -19,8 +19,8 @@
     diff,
     identity,
     load_plan,
+    make_format_1_plan,
     make_plan,
-    make_whole_plan,
     summary,
 )
 from sailhitch.daemon.schema import parse_text, parse_value
@@ -143,14 +143,14 @@
     )
     with pytest.raises(PlanError, match="do not lead to the result that it states"):
         check_base(wrong_result, "g1", 7, A)
-    full_state_plan = make_whole_plan("g1", 7, A, B)
+    full_state_plan = make_format_1_plan("g1", 7, A, B)
     wrong_result = replace(full_state_plan, result=digest(A))
     with pytest.raises(PlanError, match="do not lead to the result that it states"):
         check_base(wrong_result, "g1", 7, A)
 
 
 def test_a_format_1_plan_is_checked_by_digests_of_full_states() -> None:
-    text = make_whole_plan("g1", 7, A, B).dump()
+    text = make_format_1_plan("g1", 7, A, B).dump()
     assert json.loads(text)["format"] == 1
     loaded_plan = load_plan(text)
     assert (loaded_plan.base, loaded_plan.result) == (digest(A), digest(B))
--- a/tests/test_plan_identity.py
+++ b/tests/test_plan_identity.py
@@ -17,8 +17,8 @@
     StaleBaseError,
     identity,
     load_plan,
+    make_format_1_plan,
     make_plan,
-    make_whole_plan,
 )
 from sailhitch.daemon.schema import OperatorFile
 from sailhitch.daemon.state import from_file
@@ -58,7 +58,7 @@
         async with inside(tmp_path, _with_pools("p", port=port), stored=stored) as it:
             live = it.live.applied
             wanted = from_file(made(_with_pools("p", "q", port=port)))
-            for plan in (make_plan, make_whole_plan):
+            for plan in (make_plan, make_format_1_plan):
                 text = plan("g1", live.serial, live.state, wanted).dump()
                 await it.source.apply_plan(text, "t")
                 assert it.live.applied.state == wanted
@@ -68,7 +68,7 @@
                 live = it.live.applied
             # The serial matches, but the state is a different one.
             other = from_file(made(_with_pools("other", port=port)))
-            for plan in (make_plan, make_whole_plan):
+            for plan in (make_plan, make_format_1_plan):
                 with pytest.raises(StaleBaseError):
                     await it.source.apply_plan(plan("g1", live.serial, other, wanted).dump(), "t")
             valid = make_plan("g1", live.serial, live.state, wanted)
