--- a/benchmarks/state_difference.py
+++ b/benchmarks/state_difference.py
@@ -219,13 +219,15 @@
     state: State, names: list[str], weight: float, identity: str | None, timer: Timer
 ) -> State:
     """Plan as the command does, and do the gateway's part of it; the new state."""
-    from sailhitch.daemon.plan import check_base, diff, load_plan, make_plan, summary
+    from sailhitch.daemon.plan import compute_plan_result, diff, load_plan, make_plan, summary
     from sailhitch.daemon.rules import contradictions
 
     told = () if identity is None else (identity,)
     live, wanted = copy.deepcopy(state), with_weights(copy.deepcopy(state), names, weight)
     text = timer.run("plan", lambda: make_plan("tier t", 1, live, wanted, *told).dump())
-    made: State = timer.run("check", lambda: check_base(load_plan(text), "tier t", 1, state, *told))
+    made: State = timer.run(
+        "check", lambda: compute_plan_result(load_plan(text), "tier t", 1, state, *told)
+    )
     timer.run("contradictions", lambda: contradictions(state, made))
     timer.run("summary", lambda: summary(diff(state, made)))
     return made
--- a/sailhitch/daemon/plan.py
+++ b/sailhitch/daemon/plan.py
@@ -214,7 +214,7 @@
     return {**state, **copies}
 
 
-def check_base(
+def compute_plan_result(
     plan: Plan, gateway: str, serial: int, state: State, base: str | None = None
 ) -> State:
     """Return the state that a plan leads to from the live one; raises PlanError or StaleBaseError.
--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -9,7 +9,7 @@
 import asyncio
 from typing import Any, Protocol
 
-from .plan import ROOT_PREFIX, Plan, check_base, identity, load_plan
+from .plan import ROOT_PREFIX, Plan, compute_plan_result, identity, load_plan
 from .schema import OperatorFile
 from .state import State, banned, from_file, with_bans
 from .state_applier import StateApplier, StateChange
@@ -128,7 +128,7 @@
     def _read_plan(self, text: str) -> tuple[Plan, State]:
         plan = load_plan(text)
         base = self.state_applier.applied
-        return plan, check_base(
+        return plan, compute_plan_result(
             plan, self.owner, base.serial, base.state, self.identity(base.state)
         )
 
--- a/sailhitch/daemon/tier_source.py
+++ b/sailhitch/daemon/tier_source.py
@@ -22,7 +22,7 @@
 from .catch_up import CatchUp
 from .endpoint_registry import address_of
 from .intake import come_back
-from .plan import PlanError, check_base, load_plan
+from .plan import PlanError, compute_plan_result, load_plan
 from .schema import OperatorFile, TierSection, ZonesSection
 from .source import find
 from .state import State, banned, from_file
@@ -236,7 +236,7 @@
         if any(change.kind == "listeners" for change in plan.changes):
             raise PlanError("listeners are each gateway's own: change its file, and restart it")
         identity = self.identity(base.state)
-        return check_base(plan, self.owner, base.serial, base.state, identity)
+        return compute_plan_result(plan, self.owner, base.serial, base.state, identity)
 
     async def apply_file(self, file: OperatorFile, by: str) -> AppliedState:
         """Raise ApplyError: a tier's state does not come from one gateway's file."""
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -14,7 +14,7 @@
     PlanError,
     StaleBaseError,
     apply_changes,
-    check_base,
+    compute_plan_result,
     describe,
     diff,
     identity,
@@ -44,9 +44,9 @@
     a, b = state_of(one), state_of(other)
     forward = load_plan(make_plan("g1", 4, a, b).dump())
     assert apply_changes(a, forward.changes) == b
-    assert check_base(forward, "g1", 4, a) == b
+    assert compute_plan_result(forward, "g1", 4, a) == b
     back = load_plan(make_plan("g1", 5, b, a).dump())
-    assert check_base(back, "g1", 5, b) == a
+    assert compute_plan_result(back, "g1", 5, b) == a
     assert diff(a, a) == diff(b, b) == ()
     assert (digest(a) == digest(b)) == (not forward.changes)
 
@@ -111,15 +111,15 @@
 
 def test_a_plan_for_another_gateway_is_refused() -> None:
     with pytest.raises(PlanError, match="made for gateway 'g1', but this is 'g2'"):
-        check_base(load_plan(json.dumps(plan())), "g2", 7, A)
+        compute_plan_result(load_plan(json.dumps(plan())), "g2", 7, A)
 
 
 def test_a_plan_is_refused_once_the_state_has_changed() -> None:
     loaded_plan = load_plan(json.dumps(plan()))
     with pytest.raises(StaleBaseError, match="serial 7, and the live state is 8"):
-        check_base(loaded_plan, "g1", 8, A)
+        compute_plan_result(loaded_plan, "g1", 8, A)
     with pytest.raises(StaleBaseError):
-        check_base(loaded_plan, "g1", 7, B)
+        compute_plan_result(loaded_plan, "g1", 7, B)
 
 
 def test_changes_that_do_not_fit_are_named() -> None:
@@ -142,11 +142,11 @@
         original_plan.changes,
     )
     with pytest.raises(PlanError, match="do not lead to the result that it states"):
-        check_base(wrong_result, "g1", 7, A)
+        compute_plan_result(wrong_result, "g1", 7, A)
     full_state_plan = make_format_1_plan("g1", 7, A, B)
     wrong_result = replace(full_state_plan, result=digest(A))
     with pytest.raises(PlanError, match="do not lead to the result that it states"):
-        check_base(wrong_result, "g1", 7, A)
+        compute_plan_result(wrong_result, "g1", 7, A)
 
 
 def test_a_format_1_plan_is_checked_by_digests_of_full_states() -> None:
@@ -154,23 +154,23 @@
     assert json.loads(text)["format"] == 1
     loaded_plan = load_plan(text)
     assert (loaded_plan.base, loaded_plan.result) == (digest(A), digest(B))
-    assert check_base(loaded_plan, "g1", 7, A) == B
+    assert compute_plan_result(loaded_plan, "g1", 7, A) == B
     with pytest.raises(StaleBaseError):
-        check_base(loaded_plan, "g1", 7, B)
+        compute_plan_result(loaded_plan, "g1", 7, B)
     with pytest.raises(StaleBaseError):
-        check_base(loaded_plan, "g1", 8, A)
+        compute_plan_result(loaded_plan, "g1", 8, A)
 
 
 def test_a_plan_is_the_same_with_the_gateways_identity_and_a_computed_one() -> None:
     plan_with_identity = make_plan("g1", 7, A, B, identity(A))
     assert plan_with_identity == make_plan("g1", 7, A, B)
-    assert check_base(plan_with_identity, "g1", 7, A, identity(A)) == B
+    assert compute_plan_result(plan_with_identity, "g1", 7, A, identity(A)) == B
     with pytest.raises(StaleBaseError):
-        check_base(plan_with_identity, "g1", 7, A, identity(B))
+        compute_plan_result(plan_with_identity, "g1", 7, A, identity(B))
 
 
 def test_objects_that_a_plan_does_not_change_are_shared_with_the_live_state() -> None:
-    result = check_base(make_plan("g1", 7, A, B), "g1", 7, A)
+    result = compute_plan_result(make_plan("g1", 7, A, B), "g1", 7, A)
     assert result["nodes"] is A["nodes"]
     assert result["routes"]["payouts"] is not A["routes"]["payouts"]
     assert all(
