--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -74,7 +74,7 @@
     }
 
 
-class Inside:
+class InProcessDaemon:
     """A daemon in this process."""
 
     def __init__(
@@ -104,9 +104,9 @@
 
 
 @contextlib.asynccontextmanager
-async def inside(
+async def in_process_daemon(
     tmp_path: Path, value: Mapping[str, Any], step: Step = lambda step: None, stored: bool = False
-) -> AsyncIterator[Inside]:
+) -> AsyncIterator[InProcessDaemon]:
     """Run a daemon in this process that is configured by this file's value."""
     operator_file = made(value)
     gateway = operator_file.gateway
@@ -121,7 +121,7 @@
         await admin.start()
         core.ready = True
         port = int(operator_file.listeners[0].address.rpartition(":")[2])
-        yield Inside(live, source, port, admin)
+        yield InProcessDaemon(live, source, port, admin)
     finally:
         admin.close()
         live.stop_listening()
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -24,7 +24,7 @@
 from sailhitch.lab.load import Load
 from sailhitch.lab.node import Fault, Memory, Node, doubled
 from sailhitch.lab.ports import free_port
-from tests.daemons import Inside, file_value, inside, made, outside, part, pool
+from tests.daemons import InProcessDaemon, file_value, in_process_daemon, made, outside, part, pool
 from tests.sockets import PATIENCE, Client, dial, until
 from tests.test_daemon import get, post
 
@@ -45,7 +45,7 @@
         async with Node() as a, Node() as b, Node() as c:
             port = free_port()
             value = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 first = it.plan(file_value([pool("p", {"a": a, "b": b})], port))
                 second = it.plan(file_value([pool("p", {"a": a, "c": c})], port))
                 await it.source.apply_plan(first, "one")
@@ -67,7 +67,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b, Node() as c:
             port = free_port()
-            async with inside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with in_process_daemon(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 plans = [
                     it.plan(file_value([pool("p", {"a": a, "x": other})], port)) for other in (b, c)
                 ]
@@ -87,7 +87,7 @@
     async def work() -> None:
         async with Node() as a:
             value = file_value([pool("p", {"a": a})], free_port())
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 await it.go(value)
                 assert it.live.applied.serial == 1
 
@@ -98,7 +98,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with inside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with in_process_daemon(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 await it.go(file_value([pool("p", {"a": a, "b": b})], port))
                 answer = await _ask(it, {"op": "state", "serial": 1})
                 assert set(answer["state"]["nodes"]) == {"p/a"}
@@ -116,7 +116,7 @@
         async with Node(0.2) as a, Node(0.01) as b:
             port = free_port()
             value = file_value([pool("p", {"a": a, "b": b})], port)
-            async with inside(tmp_path, value) as it, Load(it.addr, 8) as load:
+            async with in_process_daemon(tmp_path, value) as it, Load(it.addr, 8) as load:
                 await until(lambda: a.seen > 5 and b.seen > 5)
                 await it.go(file_value([pool("p", {"b": b})], port))
                 a.drain()
@@ -137,7 +137,7 @@
             port = free_port()
             gateway = {"cold_time": "60s"}
             both = file_value([pool("p", {"a": a, "b": b, "w": w})], port, gateway)
-            async with inside(tmp_path, both) as it:
+            async with in_process_daemon(tmp_path, both) as it:
                 module = it.live.pools["p"].policy
                 assert not module.endpoint_table.slow_start.servers
                 await it.go(file_value([pool("p", {"b": b, "w": w})], port, gateway))
@@ -177,7 +177,7 @@
             routes = [{"name": "r", "class": "filing", "pools": {"p": 1.0}}]
             more: dict[str, Any] = {"classes": classes, "routes": routes}
             value = file_value([pool("p", {"a": old})], port, **more)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 client.send(post("/c", "Idempotency-Key: k\r\n"))
                 await hold.wait()
@@ -206,7 +206,7 @@
                     [pool(name, {f"{name}1": node})], port, classes=classes, routes=routes
                 )
 
-            async with inside(tmp_path, value("old", a)) as it:
+            async with in_process_daemon(tmp_path, value("old", a)) as it:
                 unsafe, keyed, late = [await it.client() for _ in range(3)]
                 unsafe.send(post("/x"))
                 keyed.send(post("/x", "Idempotency-Key: k\r\n"))
@@ -230,7 +230,7 @@
         async with Node() as a, Node() as b:
             port = free_port()
             first = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, first) as it:
+            async with in_process_daemon(tmp_path, first) as it:
                 client = await it.client()
                 data = post("/claims", "Idempotency-Key: k\r\n")
                 assert (await client.ask(data))[0] == 200
@@ -248,7 +248,7 @@
         port = free_port()
         async with Node() as b:
             value = file_value([pool("old", {})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 client.send(post("/claims", "Idempotency-Key: k\r\n"))
                 await until(lambda: len(it.live.core.open_requests) == 1)
@@ -271,7 +271,7 @@
                 routes = [{"name": "r", "class": "page", "pools": {"p": 1.0}}]
                 return file_value([pool("p", {"a": a})], port, classes=classes, routes=routes)
 
-            async with inside(tmp_path, value("3s", "2s")) as it:
+            async with in_process_daemon(tmp_path, value("3s", "2s")) as it:
                 old, new = await it.client(), await it.client()
                 old.send(post("/x"))
                 await until(lambda: a.seen == 1)
@@ -292,7 +292,7 @@
                 taken.listen()
                 other = taken.getsockname()[1]
                 value = file_value([pool("p", {"a": a, "b": b})], port)
-                async with inside(tmp_path, value, stored=True) as it:
+                async with in_process_daemon(tmp_path, value, stored=True) as it:
                     wanted = file_value([pool("p", {"b": b, "c": c}), pool("q", {})], port)
                     wanted["listeners"] = [
                         {"name": "web", "address": f"127.0.0.1:{free_port()}"},
@@ -329,7 +329,7 @@
                     {"name": "more", "address": f"127.0.0.1:{more}"},
                 ],
             }
-            async with inside(tmp_path, both) as it:
+            async with in_process_daemon(tmp_path, both) as it:
                 busy = Client(*await asyncio.open_connection("127.0.0.1", more))
                 idle = Client(*await asyncio.open_connection("127.0.0.1", more))
                 assert (await idle.ask(get()))[0] == 200
@@ -351,7 +351,7 @@
     async def work() -> None:
         async with Node() as a:
             value = file_value([pool("p", {"a": a})], free_port())
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 assert (await client.ask(get()))[0] == 200
                 renamed = [{**value["listeners"][0], "name": "other"}]
@@ -391,7 +391,10 @@
             worth = [{**one, "worth": 1.0 + i % 2} for one in classes]
             return file_value([{"name": "p", "nodes": here}], port, gateway, classes=worth)
 
-        async with inside(tmp_path, value(0), stored=True) as it, Load(it.addr, 10) as load:
+        async with (
+            in_process_daemon(tmp_path, value(0), stored=True) as it,
+            Load(it.addr, 10) as load,
+        ):
             for i in range(1, 51):
                 asked = load.asked
                 back = out_at(i - 1) - out_at(i)
@@ -436,7 +439,10 @@
                 }
                 for i in range(2000)
             ]
-            async with inside(tmp_path, small, stored=True) as it, Load(it.addr, 2) as load:
+            async with (
+                in_process_daemon(tmp_path, small, stored=True) as it,
+                Load(it.addr, 2) as load,
+            ):
                 await it.go(large)
                 assert len(it.live.pools["q"].endpoints) == 10_000
                 client = await it.client()
@@ -460,7 +466,9 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with inside(tmp_path, file_value([pool("p", {"a": a})], port), stored=True) as it:
+            async with in_process_daemon(
+                tmp_path, file_value([pool("p", {"a": a})], port), stored=True
+            ) as it:
                 real = os.fsync
 
                 def full(number: int) -> None:
@@ -493,7 +501,9 @@
 ) -> None:
     async def work() -> None:
         port = free_port()
-        async with inside(tmp_path, file_value([pool("p", {})], port), stored=True) as it:
+        async with in_process_daemon(
+            tmp_path, file_value([pool("p", {})], port), stored=True
+        ) as it:
 
             def broken(store: Store) -> None:
                 raise OSError(errno.EIO, os.strerror(errno.EIO))
@@ -531,7 +541,9 @@
 
     async def work() -> None:
         port = free_port()
-        async with inside(tmp_path, file_value([pool("p", {})], port), stored=True) as it:
+        async with in_process_daemon(
+            tmp_path, file_value([pool("p", {})], port), stored=True
+        ) as it:
             await it.go(file_value([pool("p", {}), pool("q", {})], port))
 
     run(work)
@@ -593,7 +605,9 @@
 
     async def work() -> None:
         port = free_port()
-        async with inside(tmp_path, file_value([pool("p", {})], port), stored=True) as it:
+        async with in_process_daemon(
+            tmp_path, file_value([pool("p", {})], port), stored=True
+        ) as it:
             for i in range(5):
                 await it.go(file_value([pool("p", {}), pool(f"q{i}", {})], port))
             assert [one.serial for one in it.source.history()] == [4, 5, 6]
@@ -731,7 +745,7 @@
         monkeypatch.setattr("sailhitch.daemon.process.load_file", held)
         file, port = tmp_path / "g1.toml", free_port()
         values = [file_value([pool("p", {name: "127.0.0.1:9"})], port) for name in "abc"]
-        async with inside(tmp_path, values[0]) as it:
+        async with in_process_daemon(tmp_path, values[0]) as it:
             daemon = Daemon(str(file), made(values[0]))
             for count, value in enumerate(values[1:], 1):
                 file.write_text(toml_text(value))
@@ -753,7 +767,7 @@
         async with Node() as a:
             port, more = free_port(), free_port()
             value = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 assert (await client.ask(get()))[0] == 200
                 it.live.stop_listening()
@@ -773,7 +787,7 @@
 # --- The admin socket
 
 
-async def _ask(it: Inside, request: dict[str, Any]) -> dict[str, Any]:
+async def _ask(it: InProcessDaemon, request: dict[str, Any]) -> dict[str, Any]:
     reader, writer = await asyncio.open_unix_connection(str(it.admin.path), limit=1 << 24)
     writer.write(json.dumps(request).encode() + b"\n")
     async with asyncio.timeout(PATIENCE):
@@ -782,7 +796,7 @@
     return dict(answer)
 
 
-async def _say(it: Inside, data: bytes, end: bool = True) -> dict[str, Any]:
+async def _say(it: InProcessDaemon, data: bytes, end: bool = True) -> dict[str, Any]:
     reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
     writer.write(data)
     if end:
@@ -793,9 +807,9 @@
     return dict(answer)
 
 
-def admin(tmp_path: Path, act: Callable[[Inside], Awaitable[None]]) -> None:
+def admin(tmp_path: Path, act: Callable[[InProcessDaemon], Awaitable[None]]) -> None:
     async def work() -> None:
-        async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
+        async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())) as it:
             await act(it)
             assert (await _ask(it, {"op": "state"}))["ok"]
 
@@ -817,7 +831,7 @@
     ],
 )
 def test_an_admin_request_out_of_form_is_told_so(data: bytes, said: str, tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         answer = await _say(it, data)
         assert not answer["ok"]
         assert said in answer["error"]
@@ -826,7 +840,7 @@
 
 
 def test_an_admin_client_with_sixty_megabytes_is_stopped(tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
         try:
             for _ in range(60):
@@ -850,7 +864,7 @@
 ) -> None:
     monkeypatch.setattr("sailhitch.daemon.admin.CLIENT_TIMEOUT", 0.2)
 
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         silent = [await asyncio.open_unix_connection(str(it.admin.path)) for _ in range(12)]
         async with asyncio.timeout(PATIENCE):
             ends = [await reader.read() for reader, _ in silent]
@@ -865,7 +879,7 @@
 def test_another_user_is_refused_by_the_kernels_word(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         assert it.admin.path.stat().st_mode & 0o777 == 0o600
         with monkeypatch.context() as patch:
             patch.setattr("sailhitch.daemon.admin.peer_uid", lambda sock: 12345)
@@ -881,14 +895,14 @@
         with socket.socket(socket.AF_UNIX) as stale:
             stale.bind(str(path))
         value = file_value([pool("p", {})], free_port())
-        async with inside(tmp_path, value):
+        async with in_process_daemon(tmp_path, value):
             with pytest.raises(Exception, match="another gateway is using it"):
-                async with inside(tmp_path, file_value([pool("p", {})], free_port())):
+                async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())):
                     pass
         path.unlink(missing_ok=True)
         path.write_text("notes")
         with pytest.raises(Exception, match="exists and is not a socket"):
-            async with inside(tmp_path, file_value([pool("p", {})], free_port())):
+            async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())):
                 pass
         assert path.read_text() == "notes"
 
@@ -900,7 +914,7 @@
         async with Node() as a, Node() as b:
             port = free_port()
             value = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, value, stored=True) as it:
+            async with in_process_daemon(tmp_path, value, stored=True) as it:
                 plan = it.plan(file_value([pool("p", {"a": a, "b": b})], port))
                 _, writer = await asyncio.open_unix_connection(str(it.admin.path))
                 writer.write(json.dumps({"op": "apply", "plan": plan}).encode() + b"\n")
@@ -915,7 +929,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with inside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with in_process_daemon(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 plan = it.plan(file_value([pool("p", {"a": a, "b": b})], port))
                 with pytest.raises(PlanError, match="changed after it was made"):
                     await it.source.apply_plan(plan.replace(b.addr, "127.0.0.1:1"), "t")
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -11,7 +11,7 @@
 from sailhitch.lab.message import build
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import file_value, inside, made, outside, pool
+from tests.daemons import file_value, in_process_daemon, made, outside, pool
 from tests.sockets import PATIENCE, dial
 
 
@@ -27,7 +27,7 @@
         async with Node() as a, Node() as b:
             port = free_port()
             value = file_value([pool("p", {"a": a, "b": b})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 ban = {"by": "t", "when": 1, "why": "disk"}
                 await it.source.ban("p/a", ban, "t")
                 before = a.seen
@@ -83,7 +83,7 @@
         async with Node() as a:
             port = free_port()
             value = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 await it.source.ban("p/a", {"by": "t", "when": 1, "why": ""}, "t")
                 await it.source.apply_file(made(file_value([pool("p", {})], port)), "t")
                 waits = asyncio.create_task(_get(it.addr, 1))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,7 @@
 from sailhitch.lab.files import toml_text
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import Inside, file_value, inside, pool
+from tests.daemons import InProcessDaemon, file_value, in_process_daemon, pool
 from tests.operator_files import FILE
 
 
@@ -117,7 +117,7 @@
 ) -> None:
     path, plan = tmp_path / "g.toml", tmp_path / "plan"
 
-    async def command(it: Inside, *arguments: str) -> tuple[int, str, str]:
+    async def command(it: InProcessDaemon, *arguments: str) -> tuple[int, str, str]:
         code = await asyncio.to_thread(main, [*arguments, "--admin", str(it.admin.path)])
         printed = capsys.readouterr()
         return code, printed.out, printed.err
@@ -128,7 +128,7 @@
             old = file_value([pool("p", {"a": a})], port)
             new: dict[str, Any] = file_value([pool("p", {"a": a, "b": b})], port)
             path.write_text(toml_text(old))
-            async with inside(tmp_path, old) as it:
+            async with in_process_daemon(tmp_path, old) as it:
                 code, out, _ = await command(it, "plan", str(path))
                 assert (code, out) == (
                     0,
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -11,10 +11,10 @@
 
 from sailhitch.lab.node import Fault, Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import Inside, file_value, inside, pool
+from tests.daemons import InProcessDaemon, file_value, in_process_daemon, pool
 from tests.sockets import Server, Writer, answer
 
-Scenario = Callable[[Inside], Awaitable[None]]
+Scenario = Callable[[InProcessDaemon], Awaitable[None]]
 
 
 def get(path: str = "/x", fields: str = "", method: str = "GET") -> bytes:
@@ -42,7 +42,7 @@
     async def run() -> None:
         async with server:
             value = file_value([pool("p", {"a": server.addr})], free_port(), gateway, **changes)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 await act(it)
 
     asyncio.run(run())
@@ -50,7 +50,7 @@
 
 
 def test_plain_requests_get_an_id_a_class_and_a_deadline(tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         assert await client.ask(get()) == (200, b"served")
         assert await client.ask(post()) == (200, b"served")
@@ -72,7 +72,7 @@
 
 
 def test_a_client_may_set_its_id_and_deadline_but_not_its_class(tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         fields = "Req-Id: mine\r\nReq-Kind: page\r\nReq-Deadline-Ms: 500\r\n"
         assert (await client.ask(post(fields=fields)))[0] == 200
@@ -111,7 +111,7 @@
     async def reset(_: bytes, writer: Writer) -> None:
         writer.transport.abort()
 
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         client.send(data)
         head = await client.reader.readuntil(b"\r\n\r\n")
@@ -129,7 +129,7 @@
 
 
 def test_head_gets_the_same_head_as_get(tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         client.send(get(method="HEAD") + get())
         head = await client.reader.readuntil(b"\r\n\r\n")
@@ -148,7 +148,7 @@
     async def reply(_: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 %d Some\r\nContent-Length: 3\r\n\r\nwhy" % status)
 
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         got = await client.ask(post())
         assert got == (expected, b"why" if expected == status else b"")
@@ -158,7 +158,7 @@
 
 
 def test_a_request_without_a_route_gets_a_404_and_keeps_the_connection(tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         assert await client.ask(post("/other")) == (404, b"no route matches\n")
         assert (await client.ask(get("/a")))[0] == 200
@@ -182,7 +182,7 @@
     ],
 )
 def test_a_malformed_request_reaches_no_node(data: bytes, tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         assert (await client.ask(data))[0] == 400
 
@@ -194,7 +194,7 @@
         faults = iter([Fault.REFUSE])
         async with Node(reports=True, script=lambda name: next(faults, None)) as node:
             value = file_value([pool("p", {"a": node})], free_port())
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 # A declined request did not run, so even an unsafe one is retried.
                 assert (await client.ask(post()))[0] == 200
@@ -208,7 +208,7 @@
     async def reply(_: bytes, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
 
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         assert await client.ask(post()) == (204, b"")
         assert await client.ask(post()) == (204, b"")
@@ -227,7 +227,7 @@
                 return file_value(pools, port, routes=routes)
 
             port = free_port()
-            async with inside(tmp_path, value(0.05)) as it:
+            async with in_process_daemon(tmp_path, value(0.05)) as it:
                 client = await it.client()
 
                 async def ask(key: int) -> None:
@@ -252,7 +252,7 @@
     async def reply(_: bytes, writer: Writer) -> None:
         writer.write(answer(b"x" * 300_000))
 
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         client = await it.client()
         assert await client.ask(get()) == (200, b"x" * 300_000)
 
--- a/tests/test_plan_identity.py
+++ b/tests/test_plan_identity.py
@@ -24,7 +24,7 @@
 from sailhitch.daemon.state import from_file
 from sailhitch.lab.files import toml_text
 from sailhitch.lab.ports import free_port
-from tests.daemons import Inside, file_value, inside, made, pool
+from tests.daemons import InProcessDaemon, file_value, in_process_daemon, made, pool
 from tests.test_apply import _ask, run
 
 
@@ -37,7 +37,7 @@
 def test_a_gateway_reports_the_identity_of_its_live_state(stored: bool, tmp_path: Path) -> None:
     async def work() -> None:
         port = free_port()
-        async with inside(tmp_path, _with_pools("p", port=port), stored=stored) as it:
+        async with in_process_daemon(tmp_path, _with_pools("p", port=port), stored=stored) as it:
             identities = []
             for names in (("p",), ("p", "q"), ("p",)):
                 await it.go(_with_pools(*names, port=port))
@@ -55,7 +55,7 @@
 ) -> None:
     async def work() -> None:
         port = free_port()
-        async with inside(tmp_path, _with_pools("p", port=port), stored=stored) as it:
+        async with in_process_daemon(tmp_path, _with_pools("p", port=port), stored=stored) as it:
             live = it.live.applied
             wanted = from_file(made(_with_pools("p", "q", port=port)))
             for plan in (make_plan, make_format_1_plan):
@@ -93,7 +93,7 @@
         del reply["identity"]
         return reply
 
-    async def plan(it: Inside) -> dict[str, Any]:
+    async def plan(it: InProcessDaemon) -> dict[str, Any]:
         path, plan = tmp_path / "new.toml", tmp_path / "plan"
         path.write_text(toml_text(_with_pools("p", "q", port=it.port)))
         options = ["plan", str(path), "-o", str(plan), "--admin", str(it.admin.path)]
@@ -102,7 +102,7 @@
         return dict(json.loads(plan.read_text()))
 
     async def work() -> None:
-        async with inside(tmp_path, _with_pools("p", port=free_port())) as it:
+        async with in_process_daemon(tmp_path, _with_pools("p", port=free_port())) as it:
             new_plan = await plan(it)
             assert new_plan["format"] == 2
             assert new_plan["base"] == identity(it.live.applied.state)
--- a/tests/test_tier_switch.py
+++ b/tests/test_tier_switch.py
@@ -23,18 +23,20 @@
 from sailhitch.settings import Idempotency
 from sailhitch.tier.member import TierConfig
 from sailhitch.tier.wire import Keys
-from tests.daemons import ROUTES, Inside, file_value, inside, made, pool
+from tests.daemons import ROUTES, InProcessDaemon, file_value, in_process_daemon, made, pool
 from tests.sockets import PATIENCE, Client, read_message, until
 
 Routes = list[dict[str, Any]]
 
 
 @contextlib.asynccontextmanager
-async def pending(tmp_path: Path, routes: Routes) -> AsyncIterator[tuple[Inside, Node, Node]]:
+async def pending(
+    tmp_path: Path, routes: Routes
+) -> AsyncIterator[tuple[InProcessDaemon, Node, Node]]:
     """A daemon that goes by its file met with one with other routes, and a node of each pool."""
     async with Node() as a, Node(compares=True) as b:
         value = file_value([pool("p", {"a": a}), pool("q", {"b": b})], free_port())
-        async with inside(tmp_path, value) as it:
+        async with in_process_daemon(tmp_path, value) as it:
             also = from_file(made({**value, "routes": routes}))
             await go(
                 it,
@@ -46,7 +48,9 @@
             yield it, a, b
 
 
-async def go(it: Inside, state: State, also: State | None, stamp: bytes, rules: int) -> None:
+async def go(
+    it: InProcessDaemon, state: State, also: State | None, stamp: bytes, rules: int
+) -> None:
     serial = it.live.applied.serial
     await it.live.change(StateChange(state, "t", serial, None, False, stamp, also, rules))
 
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -17,7 +17,7 @@
 from sailhitch.lab.ports import free_port
 from sailhitch.tier.member import MemberStatus
 from sailhitch.tier.wire import Keys
-from tests.daemons import file_value, inside, pool
+from tests.daemons import file_value, in_process_daemon, pool
 
 Patch = pytest.MonkeyPatch
 PATIENCE = 5.0  # s
@@ -37,7 +37,7 @@
 
     async def story() -> None:
         nonlocal status
-        async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
+        async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())) as it:
             core = it.live.core
             member = TierMemberSection(name="g1", address="127.0.0.1:9001")
             part = TierSection(name="t", key_file="unused", members=[member], voters=["g1"])
@@ -52,7 +52,7 @@
             heartbeat()
             assert not core.ready
             assert core.counters.faults == 2
-            core.counters.faults = 0  # `inside` expects none
+            core.counters.faults = 0  # `in_process_daemon` expects none
 
     asyncio.run(story())
 
@@ -64,7 +64,7 @@
         _fail()
 
     async def story() -> None:
-        async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
+        async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())) as it:
             monkeypatch.setattr(AdminRequests, "execute", failing)
             reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
             writer.write(b'{"op": "hosts"}\n')
@@ -74,6 +74,6 @@
             assert (reply["ok"], reply["code"]) == (False, "failed")
             assert "ZeroDivisionError" in reply["error"]
             assert it.live.core.counters.faults == 1
-            it.live.core.counters.faults = 0  # `inside` expects none
+            it.live.core.counters.faults = 0  # `in_process_daemon` expects none
 
     asyncio.run(story())
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -15,7 +15,7 @@
 from sailhitch.lab.message import build
 from sailhitch.lab.node import Fault, Memory, Node, doubled
 from sailhitch.lab.ports import free_port
-from tests.daemons import Inside, file_value, inside, pool
+from tests.daemons import InProcessDaemon, file_value, in_process_daemon, pool
 from tests.sockets import PATIENCE, Client, Gate, Registry, dial, entry, gate, until
 
 # What each kind is called on the platform, and by which path the daemon's routes know it.
@@ -75,7 +75,9 @@
 
 
 class Daemon(Wiring):
-    def __init__(self, it: Inside, nodes: dict[str, Node], value: Callable[..., Any]) -> None:
+    def __init__(
+        self, it: InProcessDaemon, nodes: dict[str, Node], value: Callable[..., Any]
+    ) -> None:
         self.core, self.addr, self.it, self.nodes = it.live.core, it.addr, it, dict(nodes)
         self.value = value
 
@@ -107,7 +109,7 @@
         gateway = {"cold_time": f"{int(COLD * 1000)}ms", "cold_share": 0.3}
         return file_value([pool("p", some)], port, gateway)
 
-    async with inside(tmp_path, value(nodes)) as it:
+    async with in_process_daemon(tmp_path, value(nodes)) as it:
         yield Daemon(it, nodes, value)
 
 
