--- a/benchmarks/apply.py
+++ b/benchmarks/apply.py
@@ -29,7 +29,7 @@
 from sailhitch.lab.load import Load
 from sailhitch.lab.node import Memory, Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import Outside, file_value, part
+from tests.daemons import DaemonProcess, file_value, part
 
 SECONDS = 8.0
 
@@ -56,7 +56,7 @@
     port = free_port()
     value = file_value([{"name": "p", "nodes": listed(count, 1.0)}], port, {"memory_mb": 512})
     value["gateway"] |= {"state_dir": str(folder / "state"), "admin": str(folder / "g1.sock")}
-    daemon = Outside(folder, value)
+    daemon = DaemonProcess(folder, value)
     other = folder / "other.toml"
     other.write_text(toml_text({**value, "pools": [{"name": "p", "nodes": listed(count, 2.0)}]}))
     started = time.perf_counter()
@@ -103,7 +103,7 @@
         found["gateway"] |= {"state_dir": str(folder / "state"), "admin": str(folder / "g1.sock")}
         return found
 
-    daemon = Outside(folder, value(1.0))
+    daemon = DaemonProcess(folder, value(1.0))
     await daemon.start()
     count = 0
     try:
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -143,7 +143,7 @@
 """
 
 
-class Outside:
+class DaemonProcess:
     """A daemon in a process of its own."""
 
     def __init__(self, path: Path, value: Mapping[str, Any]) -> None:
@@ -201,12 +201,12 @@
 
 
 @contextlib.asynccontextmanager
-async def outside(tmp_path: Path, value: Mapping[str, Any]) -> AsyncIterator[Outside]:
+async def daemon_process(tmp_path: Path, value: Mapping[str, Any]) -> AsyncIterator[DaemonProcess]:
     gateway = value["gateway"] | {
         "state_dir": str(tmp_path / "state"),
         "admin": str(tmp_path / "g1.sock"),
     }
-    daemon = Outside(tmp_path, {**value, "gateway": gateway})
+    daemon = DaemonProcess(tmp_path, {**value, "gateway": gateway})
     try:
         yield daemon
     finally:
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -24,7 +24,15 @@
 from sailhitch.lab.load import Load
 from sailhitch.lab.node import Fault, Memory, Node, doubled
 from sailhitch.lab.ports import free_port
-from tests.daemons import InProcessDaemon, file_value, in_process_daemon, made, outside, part, pool
+from tests.daemons import (
+    InProcessDaemon,
+    daemon_process,
+    file_value,
+    in_process_daemon,
+    made,
+    part,
+    pool,
+)
 from tests.sockets import PATIENCE, Client, dial, until
 from tests.test_daemon import get, post
 
@@ -520,7 +528,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with outside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with daemon_process(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 await it.start()
                 assert it.program is not None
                 plan = await it.plan(file_value([pool("p", {"a": a, "b": b})], port))
@@ -644,7 +652,7 @@
             port = free_port()
             old = file_value([pool("p", {"a": a})], port)
             new = file_value([pool("p", {"b": b}), pool("q", {})], port)
-            async with outside(tmp_path, old) as it:
+            async with daemon_process(tmp_path, old) as it:
                 await it.start(kill_at=step)
                 async with Load(f"127.0.0.1:{port}", 4) as load:
                     await until(lambda: load.ends["served"] > 20)
@@ -682,7 +690,7 @@
             port = free_port()
             old = file_value([pool("p", {"a": a})], port)
             new = file_value([pool("p", {"a": a, "b": b})], port)
-            async with outside(tmp_path, old) as it:
+            async with daemon_process(tmp_path, old) as it:
                 await it.start(kill_at=step, number=number)
                 plan = await it.plan(new)
                 it.armed.touch()
@@ -707,7 +715,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with outside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with daemon_process(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 await it.start()
                 assert it.program is not None
                 plan = await it.plan(file_value([pool("p", {"b": b})], port))
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -11,7 +11,7 @@
 from sailhitch.lab.message import build
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import file_value, in_process_daemon, made, outside, pool
+from tests.daemons import daemon_process, file_value, in_process_daemon, made, pool
 from tests.sockets import PATIENCE, dial
 
 
@@ -56,7 +56,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             value = file_value([pool("p", {"a": a, "b": b})], free_port())
-            async with outside(tmp_path, value) as daemon:
+            async with daemon_process(tmp_path, value) as daemon:
                 await daemon.start()
                 admin = ["--admin", str(daemon.admin)]
                 said = ["maintenance", "enter", "p/a", "--why", "fan"]
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -34,7 +34,7 @@
 from sailhitch.tier.member import CHOSEN_KEY, BootstrapVersion, Member, TierConfig
 from sailhitch.tier.messages import ChosenState
 from sailhitch.tier.wire import Keys
-from tests.daemons import file_value, made, outside, pool
+from tests.daemons import daemon_process, file_value, made, pool
 from tests.operator_files import FILE
 from tests.page_sources import Pages
 from tests.sockets import until
@@ -188,7 +188,7 @@
         await _found_by_whole_content(folder, state, udp)
         digest, _ = _active(folder)
         assert root_of(digest) is None
-        async with outside(tmp_path, value) as it:
+        async with daemon_process(tmp_path, value) as it:
             await it.start()
             await _holds(it, 1)
             live = await it.ask({"op": "state"})
