--- a/benchmarks/apply.py
+++ b/benchmarks/apply.py
@@ -29,7 +29,7 @@
 from sailhitch.lab.load import Load
 from sailhitch.lab.node import Memory, Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import DaemonProcess, file_value, part
+from tests.daemons import DaemonProcess, file_value, node_entry
 
 SECONDS = 8.0
 
@@ -37,7 +37,7 @@
 def listed(count: int, weight: float) -> list[dict[str, Any]]:
     """Nodes that nobody is at; every tenth has this weight."""
     return [
-        part(
+        node_entry(
             f"x{i}",
             f"127.{1 + i // 60_000}.{i // 250 % 250}.{1 + i % 250}:9000",
             weight=weight if i % 10 == 0 else 1.0,
@@ -96,7 +96,7 @@
     port = free_port()
 
     def value(weight: float) -> dict[str, Any]:
-        real = [part(f"n{i}", node.addr, weight=weight) for i, node in enumerate(nodes)]
+        real = [node_entry(f"n{i}", node.addr, weight=weight) for i, node in enumerate(nodes)]
         # Another pool, so that requests never go to nodes that are not there.
         pools = [{"name": "p", "nodes": real}, {"name": "q", "nodes": listed(100, weight)}]
         found = file_value(pools, port)
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -48,12 +48,12 @@
 ]
 
 
-def part(name: str, addr: str, **more: Any) -> dict[str, Any]:
+def node_entry(name: str, addr: str, **more: Any) -> dict[str, Any]:
     return {"id": name, "address": addr, **more}
 
 
 def pool(name: str, nodes: Mapping[str, str | Node], **more: Any) -> dict[str, Any]:
-    node_values = [part(i, n.addr if isinstance(n, Node) else n) for i, n in nodes.items()]
+    node_values = [node_entry(i, n.addr if isinstance(n, Node) else n) for i, n in nodes.items()]
     return {"name": name, "nodes": node_values, **more}
 
 
@@ -88,7 +88,7 @@
 
     def plan(self, value: Mapping[str, Any]) -> str:
         """Return the text of a plan from the live state to a file's state."""
-        wanted = from_file(made(value))
+        wanted = from_file(checked_file(value))
         live = self.live
         plan = make_plan(live.gateway.name, live.applied.serial, live.applied.state, wanted)
         return plan.dump()
@@ -99,7 +99,7 @@
         await self.source.apply_plan(plan, "test")
 
 
-def made(value: Mapping[str, Any]) -> OperatorFile:
+def checked_file(value: Mapping[str, Any]) -> OperatorFile:
     return parse_value(json.loads(json.dumps(value)))
 
 
@@ -108,7 +108,7 @@
     tmp_path: Path, value: Mapping[str, Any], step: Step = lambda step: None, stored: bool = False
 ) -> AsyncIterator[InProcessDaemon]:
     """Run a daemon in this process that is configured by this file's value."""
-    operator_file = made(value)
+    operator_file = checked_file(value)
     gateway = operator_file.gateway
     core = GatewayCore(resource_limits(gateway, 1_000_000), asyncio.get_running_loop(), Log("g1"))
     store = Store(tmp_path / "state", gateway.name) if stored else None
@@ -185,7 +185,7 @@
 
     async def plan(self, value: Mapping[str, Any]) -> str:
         live = await self.ask({"op": "state"})
-        wanted = from_file(made(value))
+        wanted = from_file(checked_file(value))
         base = live["serial"], live["state"], wanted, live["identity"]
         return make_plan("g1", *base).dump()
 
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -26,11 +26,11 @@
 from sailhitch.lab.ports import free_port
 from tests.daemons import (
     InProcessDaemon,
+    checked_file,
     daemon_process,
     file_value,
     in_process_daemon,
-    made,
-    part,
+    node_entry,
     pool,
 )
 from tests.sockets import PATIENCE, Client, dial, until
@@ -158,8 +158,8 @@
                     "a~2",
                     "b~2",
                 }
-                heavier = [part("a", a.addr, weight=2.0, zone="z"), part("b", c.addr)]
-                heavier.append(part("w", w.addr))
+                heavier = [node_entry("a", a.addr, weight=2.0, zone="z"), node_entry("b", c.addr)]
+                heavier.append(node_entry("w", w.addr))
                 await it.go(file_value([{"name": "p", "nodes": heavier}], port, gateway))
                 assert {server.name for server in module.endpoint_table.slow_start.servers} == {
                     "a~2",
@@ -391,7 +391,7 @@
         def value(i: int) -> dict[str, Any]:
             out = out_at(i)
             here = [
-                part(name, node.addr, weight=1.0 + (i + j) % 3)
+                node_entry(name, node.addr, weight=1.0 + (i + j) % 3)
                 for j, (name, node) in enumerate(nodes.items())
                 if name not in out
             ]
@@ -434,7 +434,7 @@
             port = free_port()
             small = file_value([pool("p", {"a": a}), pool("q", {})], port)
             many = [
-                part(f"x{i}", f"127.{1 + i // 62_500}.{i // 250 % 250}.{1 + i % 250}:9000")
+                node_entry(f"x{i}", f"127.{1 + i // 62_500}.{i // 250 % 250}.{1 + i % 250}:9000")
                 for i in range(10_000)
             ]
             large = file_value([pool("p", {"a": a}), {"name": "q", "nodes": many}], port)
@@ -754,7 +754,7 @@
         file, port = tmp_path / "g1.toml", free_port()
         values = [file_value([pool("p", {name: "127.0.0.1:9"})], port) for name in "abc"]
         async with in_process_daemon(tmp_path, values[0]) as it:
-            daemon = Daemon(str(file), made(values[0]))
+            daemon = Daemon(str(file), checked_file(values[0]))
             for count, value in enumerate(values[1:], 1):
                 file.write_text(toml_text(value))
                 daemon._reload(it.source)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -11,7 +11,7 @@
 from sailhitch.lab.message import build
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import daemon_process, file_value, in_process_daemon, made, pool
+from tests.daemons import checked_file, daemon_process, file_value, in_process_daemon, pool
 from tests.sockets import PATIENCE, dial
 
 
@@ -37,11 +37,13 @@
                 await it.source.ban("p/a", {**ban, "why": "other"}, "t")
                 assert it.live.applied.state["bans"]["p/a"]["why"] == "disk"
                 more = file_value([pool("p", {"a": a, "b": b}), pool("q", {})], port)
-                await it.source.apply_file(made(more), "SIGHUP")
+                await it.source.apply_file(checked_file(more), "SIGHUP")
                 assert it.live.applied.state["bans"].keys() == {"p/a"}
                 # Taken out of the list and put in again, it is another life of a banned node.
-                await it.source.apply_file(made(file_value([pool("p", {"b": b})], port)), "t")
-                await it.source.apply_file(made(value), "t")
+                await it.source.apply_file(
+                    checked_file(file_value([pool("p", {"b": b})], port)), "t"
+                )
+                await it.source.apply_file(checked_file(value), "t")
                 await _get(it.addr, 40)
                 assert a.seen == before
                 await it.source.ban("p/a", None, "t")
@@ -85,12 +87,12 @@
             value = file_value([pool("p", {"a": a})], port)
             async with in_process_daemon(tmp_path, value) as it:
                 await it.source.ban("p/a", {"by": "t", "when": 1, "why": ""}, "t")
-                await it.source.apply_file(made(file_value([pool("p", {})], port)), "t")
+                await it.source.apply_file(checked_file(file_value([pool("p", {})], port)), "t")
                 waits = asyncio.create_task(_get(it.addr, 1))
                 async with asyncio.timeout(PATIENCE):
                     while not it.live.core.open_requests:
                         await asyncio.sleep(0.01)
-                await it.source.apply_file(made(value), "t")
+                await it.source.apply_file(checked_file(value), "t")
                 assert it.live.core.open_requests
                 assert it.live.core.upstream_descriptors() == a.seen == 0
                 await it.source.ban("p/a", None, "t")
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -26,7 +26,7 @@
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
 from sailhitch.tier.disk import Disk, DiskError
-from tests.daemons import file_value, made, pool
+from tests.daemons import checked_file, file_value, pool
 from tests.generations import Generation, hosted, told
 from tests.sockets import PATIENCE, Server, dial, request, until
 
@@ -146,7 +146,7 @@
         async with Node() as a, Node() as b:
             value = tier_of_one(tmp_path, {"a": a, "b": b})
             ready: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-            daemon = Daemon("g1.toml", made(value))
+            daemon = Daemon("g1.toml", checked_file(value))
             running = asyncio.create_task(daemon.run(ready.set_result))
             live = await ready
             await until(lambda: live.core.ready)
--- a/tests/test_plan_identity.py
+++ b/tests/test_plan_identity.py
@@ -24,7 +24,7 @@
 from sailhitch.daemon.state import from_file
 from sailhitch.lab.files import toml_text
 from sailhitch.lab.ports import free_port
-from tests.daemons import InProcessDaemon, file_value, in_process_daemon, made, pool
+from tests.daemons import InProcessDaemon, checked_file, file_value, in_process_daemon, pool
 from tests.test_apply import _ask, run
 
 
@@ -57,7 +57,7 @@
         port = free_port()
         async with in_process_daemon(tmp_path, _with_pools("p", port=port), stored=stored) as it:
             live = it.live.applied
-            wanted = from_file(made(_with_pools("p", "q", port=port)))
+            wanted = from_file(checked_file(_with_pools("p", "q", port=port)))
             for plan in (make_plan, make_format_1_plan):
                 text = plan("g1", live.serial, live.state, wanted).dump()
                 await it.source.apply_plan(text, "t")
@@ -67,7 +67,7 @@
                 await it.go(_with_pools("p", port=port))
                 live = it.live.applied
             # The serial matches, but the state is a different one.
-            other = from_file(made(_with_pools("other", port=port)))
+            other = from_file(checked_file(_with_pools("other", port=port)))
             for plan in (make_plan, make_format_1_plan):
                 with pytest.raises(StaleBaseError):
                     await it.source.apply_plan(plan("g1", live.serial, other, wanted).dump(), "t")
--- a/tests/test_tier_switch.py
+++ b/tests/test_tier_switch.py
@@ -23,7 +23,7 @@
 from sailhitch.settings import Idempotency
 from sailhitch.tier.member import TierConfig
 from sailhitch.tier.wire import Keys
-from tests.daemons import ROUTES, InProcessDaemon, file_value, in_process_daemon, made, pool
+from tests.daemons import ROUTES, InProcessDaemon, checked_file, file_value, in_process_daemon, pool
 from tests.sockets import PATIENCE, Client, read_message, until
 
 Routes = list[dict[str, Any]]
@@ -37,7 +37,7 @@
     async with Node() as a, Node(compares=True) as b:
         value = file_value([pool("p", {"a": a}), pool("q", {"b": b})], free_port())
         async with in_process_daemon(tmp_path, value) as it:
-            also = from_file(made({**value, "routes": routes}))
+            also = from_file(checked_file({**value, "routes": routes}))
             await go(
                 it,
                 intersect_states(it.live.applied.state, also),
@@ -142,7 +142,7 @@
     async def work() -> None:
         async with pending(tmp_path, routed()) as (it, _, b):
             value = file_value([pool("q", {"b": b})], it.port)
-            state = {**from_file(made(value)), "bans": {}}
+            state = {**from_file(checked_file(value)), "bans": {}}
             for stamp, status in ((b"7", 200), (b"6, 7", 200), (b"6", 503), (b"8", 200)):
                 await go(it, state, None, b"Tier-Version: %s\r\n" % stamp, 1)
                 client = await it.client()
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -34,7 +34,7 @@
 from sailhitch.tier.member import CHOSEN_KEY, BootstrapVersion, Member, TierConfig
 from sailhitch.tier.messages import ChosenState
 from sailhitch.tier.wire import Keys
-from tests.daemons import daemon_process, file_value, made, pool
+from tests.daemons import checked_file, daemon_process, file_value, pool
 from tests.operator_files import FILE
 from tests.page_sources import Pages
 from tests.sockets import until
@@ -321,7 +321,7 @@
         "voters": ["g1"],
         "members": [{"name": "g1", "address": f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"}],
     }
-    whole = made(value)
+    whole = checked_file(value)
     assert whole.tier is not None
     core = GatewayCore(
         resource_limits(whole.gateway, 1_000_000), asyncio.get_running_loop(), Log("g1")
