--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -93,7 +93,7 @@
         plan = make_plan(live.gateway.name, live.applied.serial, live.applied.state, wanted)
         return plan.dump()
 
-    async def go(self, value: Mapping[str, Any]) -> None:
+    async def plan_and_apply(self, value: Mapping[str, Any]) -> None:
         # In a thread: an operator makes plans in another process, and here it would block the loop.
         plan = await asyncio.to_thread(self.plan, value)
         await self.source.apply_plan(plan, "test")
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -96,7 +96,7 @@
         async with Node() as a:
             value = file_value([pool("p", {"a": a})], free_port())
             async with in_process_daemon(tmp_path, value) as it:
-                await it.go(value)
+                await it.plan_and_apply(value)
                 assert it.live.applied.serial == 1
 
     run(work)
@@ -107,7 +107,7 @@
         async with Node() as a, Node() as b:
             port = free_port()
             async with in_process_daemon(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
-                await it.go(file_value([pool("p", {"a": a, "b": b})], port))
+                await it.plan_and_apply(file_value([pool("p", {"a": a, "b": b})], port))
                 answer = await _ask(it, {"op": "state", "serial": 1})
                 assert set(answer["state"]["nodes"]) == {"p/a"}
                 missing = await _ask(it, {"op": "state", "serial": 77})
@@ -126,7 +126,7 @@
             value = file_value([pool("p", {"a": a, "b": b})], port)
             async with in_process_daemon(tmp_path, value) as it, Load(it.addr, 8) as load:
                 await until(lambda: a.seen > 5 and b.seen > 5)
-                await it.go(file_value([pool("p", {"b": b})], port))
+                await it.plan_and_apply(file_value([pool("p", {"b": b})], port))
                 a.drain()
                 served = load.ends["served"]
                 await until(lambda: load.ends["served"] > served + 50)
@@ -148,19 +148,23 @@
             async with in_process_daemon(tmp_path, both) as it:
                 module = it.live.pools["p"].policy
                 assert not module.endpoint_table.slow_start.servers
-                await it.go(file_value([pool("p", {"b": b, "w": w})], port, gateway))
-                await it.go(both)
+                await it.plan_and_apply(file_value([pool("p", {"b": b, "w": w})], port, gateway))
+                await it.plan_and_apply(both)
                 assert [server.name for server in module.endpoint_table.slow_start.servers] == [
                     "a~2"
                 ]
-                await it.go(file_value([pool("p", {"a": a, "b": c, "w": w})], port, gateway))
+                await it.plan_and_apply(
+                    file_value([pool("p", {"a": a, "b": c, "w": w})], port, gateway)
+                )
                 assert {server.name for server in module.endpoint_table.slow_start.servers} == {
                     "a~2",
                     "b~2",
                 }
                 heavier = [node_entry("a", a.addr, weight=2.0, zone="z"), node_entry("b", c.addr)]
                 heavier.append(node_entry("w", w.addr))
-                await it.go(file_value([{"name": "p", "nodes": heavier}], port, gateway))
+                await it.plan_and_apply(
+                    file_value([{"name": "p", "nodes": heavier}], port, gateway)
+                )
                 assert {server.name for server in module.endpoint_table.slow_start.servers} == {
                     "a~2",
                     "b~2",
@@ -189,7 +193,7 @@
                 client = await it.client()
                 client.send(post("/c", "Idempotency-Key: k\r\n"))
                 await hold.wait()
-                await it.go(file_value([pool("p", {"a": new})], port, **more))
+                await it.plan_and_apply(file_value([pool("p", {"a": new})], port, **more))
                 old.stop()  # it may have run, and its place is taken by another
                 status, _ = await client.answer()
                 assert status == 502
@@ -219,7 +223,7 @@
                 unsafe.send(post("/x"))
                 keyed.send(post("/x", "Idempotency-Key: k\r\n"))
                 await until(lambda: a.seen == 2)
-                await it.go(value("new", b))
+                await it.plan_and_apply(value("new", b))
                 assert len(it.live.core.pools) == 2
                 # A repeat of a key that the old pool may have run is no other pool's business.
                 assert (await late.ask(post("/x", "Idempotency-Key: k\r\n")))[0] == 503
@@ -243,8 +247,10 @@
                 data = post("/claims", "Idempotency-Key: k\r\n")
                 assert (await client.ask(data))[0] == 200
                 routes = [{"name": "r", "class": "page", "pools": {"q": 1.0}}]
-                await it.go(file_value([pool("q", {"c": "127.0.0.1:9"})], port, routes=routes))
-                await it.go(file_value([pool("p", {"b": b})], port))
+                await it.plan_and_apply(
+                    file_value([pool("q", {"c": "127.0.0.1:9"})], port, routes=routes)
+                )
+                await it.plan_and_apply(file_value([pool("p", {"b": b})], port))
                 assert (await client.ask(data))[0] == 503
                 assert b.seen == 0
 
@@ -261,7 +267,7 @@
                 client.send(post("/claims", "Idempotency-Key: k\r\n"))
                 await until(lambda: len(it.live.core.open_requests) == 1)
                 routes = [{"name": "r", "class": "page", "pools": {"new": 1.0}}]
-                await it.go(file_value([pool("new", {"b": b})], port, routes=routes))
+                await it.plan_and_apply(file_value([pool("new", {"b": b})], port, routes=routes))
                 assert not it.live.core.open_requests  # before anything else has its turn
                 assert (await client.answer())[0] == 503
                 await until(lambda: len(it.live.core.pools) == 1)
@@ -283,7 +289,7 @@
                 old, new = await it.client(), await it.client()
                 old.send(post("/x"))
                 await until(lambda: a.seen == 1)
-                await it.go(value("200ms", "150ms"))
+                await it.plan_and_apply(value("200ms", "150ms"))
                 new.send(post("/x"))
                 assert (await new.answer())[0] in (502, 504)
                 assert (await old.answer())[0] == 200
@@ -309,7 +315,7 @@
                     wanted["classes"] = [{**one, "worth": 2.0} for one in wanted["classes"]]
                     before = _descriptors()
                     with pytest.raises(ApplyError, match=r"listeners\[1\] 'more'.*in use"):
-                        await it.go(wanted)
+                        await it.plan_and_apply(wanted)
                     assert _descriptors() == before
                     assert it.live.applied.serial == 1
                     assert it.live.store is not None
@@ -343,7 +349,7 @@
                 assert (await idle.ask(get()))[0] == 200
                 busy.send(get())
                 await until(lambda: a.seen == 2)
-                await it.go(value)
+                await it.plan_and_apply(value)
                 assert await idle.rest() == b""
                 assert (await busy.answer())[0] == 200
                 assert await busy.rest() == b""
@@ -363,7 +369,7 @@
                 client = await it.client()
                 assert (await client.ask(get()))[0] == 200
                 renamed = [{**value["listeners"][0], "name": "other"}]
-                await it.go({**value, "listeners": renamed})
+                await it.plan_and_apply({**value, "listeners": renamed})
                 assert (await client.ask(get()))[0] == 200
                 assert set(it.live.listeners) == {"other"}
 
@@ -408,7 +414,7 @@
                 back = out_at(i - 1) - out_at(i)
                 for name in back:
                     nodes[name].restart()
-                await it.go(value(i))
+                await it.plan_and_apply(value(i))
                 for name in out_at(i) - out_at(i - 1):
                     nodes[name].drain()
                 await until(lambda asked=asked: load.asked > asked + 10)  # type: ignore[misc]
@@ -451,13 +457,13 @@
                 in_process_daemon(tmp_path, small, stored=True) as it,
                 Load(it.addr, 2) as load,
             ):
-                await it.go(large)
+                await it.plan_and_apply(large)
                 assert len(it.live.pools["q"].endpoints) == 10_000
                 client = await it.client()
                 assert (await client.ask(get("/r1999/x")))[0] == 200
                 answer = await _ask(it, {"op": "state"})
                 assert len(answer["state"]["nodes"]) == 10_001
-                await it.go(small)
+                await it.plan_and_apply(small)
                 await until(lambda: not it.live.pools["q"].endpoints)
                 await load.finish()
                 assert load.ends["served"] == load.asked > 0
@@ -487,7 +493,7 @@
                 wanted["listeners"].append({"name": "x", "address": f"127.0.0.1:{free_port()}"})
                 before = _descriptors()
                 with pytest.raises(ApplyError, match="No space left on device; nothing was chang"):
-                    await it.go(wanted)
+                    await it.plan_and_apply(wanted)
                 assert _descriptors() == before
                 monkeypatch.setattr(os, "fsync", real)
                 assert sorted(os.listdir(tmp_path / "state")) == [
@@ -498,7 +504,7 @@
                 assert it.live.store is not None
                 assert {root.serial for root in it.live.store.pages.roots()} == {1}
                 assert set(it.live.pools["p"].endpoints) == {"a"}
-                await it.go(wanted)
+                await it.plan_and_apply(wanted)
                 assert it.live.applied.serial == 2
 
     run(work)
@@ -517,7 +523,7 @@
                 raise OSError(errno.EIO, os.strerror(errno.EIO))
 
             monkeypatch.setattr(Store, "_sync_folder", broken)
-            await it.go(file_value([pool("p", {}), pool("q", {})], port))
+            await it.plan_and_apply(file_value([pool("p", {}), pool("q", {})], port))
             assert it.live.applied.serial == 2
             assert set(it.live.pools) == {"p", "q"}
 
@@ -552,7 +558,7 @@
         async with in_process_daemon(
             tmp_path, file_value([pool("p", {})], port), stored=True
         ) as it:
-            await it.go(file_value([pool("p", {}), pool("q", {})], port))
+            await it.plan_and_apply(file_value([pool("p", {}), pool("q", {})], port))
 
     run(work)
     return tmp_path / "state"
@@ -617,7 +623,7 @@
             tmp_path, file_value([pool("p", {})], port), stored=True
         ) as it:
             for i in range(5):
-                await it.go(file_value([pool("p", {}), pool(f"q{i}", {})], port))
+                await it.plan_and_apply(file_value([pool("p", {}), pool(f"q{i}", {})], port))
             assert [one.serial for one in it.source.history()] == [4, 5, 6]
 
     run(work)
@@ -782,7 +788,7 @@
                 listeners = [{"name": "more", "address": f"127.0.0.1:{more}"}]
                 if what == "one more":
                     listeners = value["listeners"] + listeners
-                await it.go({**value, "listeners": [] if what == "none" else listeners})
+                await it.plan_and_apply({**value, "listeners": [] if what == "none" else listeners})
                 for gone in (port, more):
                     with pytest.raises(ConnectionRefusedError):
                         await dial(f"127.0.0.1:{gone}")
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -237,7 +237,7 @@
                     await ask(key)
                 first_seen = new.seen
                 assert 0 < first_seen < 20
-                await it.go(value(0.5))
+                await it.plan_and_apply(value(0.5))
                 for key in range(100):
                     await ask(key)
                 assert new.seen == 2 * first_seen  # a retry goes to the pool of the first attempt
--- a/tests/test_plan_identity.py
+++ b/tests/test_plan_identity.py
@@ -40,7 +40,7 @@
         async with in_process_daemon(tmp_path, _with_pools("p", port=port), stored=stored) as it:
             identities = []
             for names in (("p",), ("p", "q"), ("p",)):
-                await it.go(_with_pools(*names, port=port))
+                await it.plan_and_apply(_with_pools(*names, port=port))
                 reply = await _ask(it, {"op": "state"})
                 assert reply["identity"] == identity(reply["state"])
                 identities.append(reply["identity"])
@@ -64,7 +64,7 @@
                 assert it.live.applied.state == wanted
                 with pytest.raises(StaleBaseError):
                     await it.source.apply_plan(text, "t")
-                await it.go(_with_pools("p", port=port))
+                await it.plan_and_apply(_with_pools("p", port=port))
                 live = it.live.applied
             # The serial matches, but the state is a different one.
             other = from_file(checked_file(_with_pools("other", port=port)))
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -83,11 +83,11 @@
 
     async def drain(self, name: str) -> None:
         del self.nodes[name]
-        await self.it.go(self.value(self.nodes))
+        await self.it.plan_and_apply(self.value(self.nodes))
 
     async def add(self, name: str, node: Node) -> None:
         self.nodes[name] = node
-        await self.it.go(self.value(self.nodes))
+        await self.it.plan_and_apply(self.value(self.nodes))
 
 
 @contextlib.asynccontextmanager
