--- a/benchmarks/apply.py
+++ b/benchmarks/apply.py
@@ -29,7 +29,7 @@
 from sailhitch.lab.load import Load
 from sailhitch.lab.node import Memory, Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import Outside, file_value, part
+from tests.daemons import DaemonProcess, file_value, node_entry
 
 SECONDS = 8.0
 
@@ -37,7 +37,7 @@
 def missing_nodes(count: int, weight: float) -> list[dict[str, Any]]:
     """Return the configuration of nodes that don't exist; every tenth has this weight."""
     return [
-        part(
+        node_entry(
             f"x{i}",
             f"127.{1 + i // 60_000}.{i // 250 % 250}.{1 + i % 250}:9000",
             weight=weight if i % 10 == 0 else 1.0,
@@ -58,7 +58,7 @@
         [{"name": "p", "nodes": missing_nodes(count, 1.0)}], port, {"memory_mb": 512}
     )
     value["gateway"] |= {"state_dir": str(folder / "state"), "admin": str(folder / "g1.sock")}
-    daemon = Outside(folder, value)
+    daemon = DaemonProcess(folder, value)
     other = folder / "other.toml"
     other.write_text(
         toml_text({**value, "pools": [{"name": "p", "nodes": missing_nodes(count, 2.0)}]})
@@ -102,14 +102,14 @@
     port = free_port()
 
     def value(weight: float) -> dict[str, Any]:
-        real = [part(f"n{i}", node.addr, weight=weight) for i, node in enumerate(nodes)]
+        real = [node_entry(f"n{i}", node.addr, weight=weight) for i, node in enumerate(nodes)]
         # The absent nodes are in a pool of their own, so that no request is sent to them.
         pools = [{"name": "p", "nodes": real}, {"name": "q", "nodes": missing_nodes(100, weight)}]
         config = file_value(pools, port)
         config["gateway"] |= {"state_dir": str(folder / "state"), "admin": str(folder / "g1.sock")}
         return config
 
-    daemon = Outside(folder, value(1.0))
+    daemon = DaemonProcess(folder, value(1.0))
     await daemon.start()
     count = 0
     try:
--- a/sailhitch/daemon/endpoint_registry.py
+++ b/sailhitch/daemon/endpoint_registry.py
@@ -18,7 +18,7 @@
     EndpointState,
     WatchEventKind,
 )
-from .schema import NodePart, OperatorFile, PoolPart
+from .schema import NodeSection, OperatorFile, PoolSection
 from .store import AppliedState
 from .tables import Tables
 
@@ -72,12 +72,12 @@
         self.nodes = instances
 
     def _new_instance(
-        self, part: NodePart, address: Address, new_since: int, tables: Tables
+        self, part: NodeSection, address: Address, new_since: int, tables: Tables
     ) -> NodeInstance:
         incarnation = self._incarnations.get(part.id, 0) + 1
         self._incarnations[part.id] = incarnation
         name = part.id if incarnation == 1 else f"{part.id}~{incarnation}"
-        cell = tables.cells.of(f"cell {part.cell}" if part.cell else f"node {name}")
+        cell = tables.cells.number_of(f"cell {part.cell}" if part.cell else f"node {name}")
         return NodeInstance(name, address, cell, new_since)
 
     def _start_draining(self, pool: Pool, node: NodeInstance) -> None:
@@ -100,9 +100,11 @@
                 pool.retire()
         self.pools = new
 
-    def _endpoint_address(self, pool: PoolPart, part: NodePart, tables: Tables) -> EndpointAddress:
+    def _endpoint_address(
+        self, pool: PoolSection, part: NodeSection, tables: Tables
+    ) -> EndpointAddress:
         node = self.nodes[f"{pool.name}/{part.id}"]
-        zone = tables.zones.of(part.zone)
+        zone = tables.zones.number_of(part.zone)
         endpoint = Endpoint(
             node.name, part.weight, zone, node.cell, EndpointState.READY, node.new_since, 0
         )
--- a/sailhitch/daemon/intake.py
+++ b/sailhitch/daemon/intake.py
@@ -25,13 +25,13 @@
     Route,
     RouteQuery,
     Routes,
-    Sticky,
-    bare_host,
+    StickyPools,
     choose_pool,
-    normal_path,
+    normalize_host,
+    normalize_path,
 )
-from .schema import ClassPart
-from .tables import Tables, effect_of
+from .schema import ClassSection
+from .tables import Tables, request_idempotency
 
 _TEXT: Final = [(b"content-type", b"Content-Type", b"text/plain")]
 MAX_KEY_LENGTH: Final = 256  # bytes of an Idempotency-Key
@@ -83,7 +83,7 @@
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self.clock = clock
-        self.sticky: Sticky[Pool] = Sticky()
+        self.sticky: StickyPools[Pool] = StickyPools()
         self._prefix = secrets.token_hex(6)  # makes generated ids unique among processes
         self._count = itertools.count(1)
 
@@ -131,7 +131,7 @@
         return True
 
     def _fill_in(
-        self, head: Head, found: dict[bytes, bytes], request: RequestContext, part: ClassPart
+        self, head: Head, found: dict[bytes, bytes], request: RequestContext, part: ClassSection
     ) -> None:
         """Set the fields that do not depend on the pool: tenant, name, class and waiting time."""
         request.head_only = head.method == b"HEAD"
@@ -150,7 +150,7 @@
 
     def _query(self, head: Head, found: dict[bytes, bytes], routes: Routes) -> RouteQuery:
         try:
-            path = normal_path(head.url)
+            path = normalize_path(head.url)
         except PathError as error:
             raise RejectError(400, str(error)) from None
         header: dict[str, str] = {}
@@ -164,7 +164,7 @@
         return RouteQuery(
             head.method.decode("latin-1"),
             path,
-            bare_host(found.get(b"host", b"").decode("latin-1")),
+            normalize_host(found.get(b"host", b"").decode("latin-1")),
             header,
             None if cls is None else cls.decode("latin-1"),
             None if tenant is None else tenant.decode("latin-1"),
@@ -177,7 +177,7 @@
         """
         now = self.clock()
         pool = self.sticky.get(key, now) or self.view.pools[choose_pool(pools, key)]
-        self.sticky.note(key, pool, now, now + keep)
+        self.sticky.remember(key, pool, now, now + keep)
         return pool
 
 
@@ -201,7 +201,8 @@
             return True
         stated = overlap.stated_effects.get(other.cls)
         return (
-            effect_of(stated, query.method.encode("latin-1"), key is not None) == Idempotency.SAFE
+            request_idempotency(stated, query.method.encode("latin-1"), key is not None)
+            == Idempotency.SAFE
         )
     if other is None or other.cls != route.cls:
         return False
--- a/sailhitch/daemon/source.py
+++ b/sailhitch/daemon/source.py
@@ -9,7 +9,7 @@
 import asyncio
 from typing import Any, Protocol
 
-from .plan import ROOT_PREFIX, Plan, check_base, identity, load_plan
+from .plan import ROOT_PREFIX, Plan, compute_plan_result, identity, load_plan
 from .schema import OperatorFile
 from .state import State, from_file, with_bans, with_node_ban
 from .state_applier import StateApplier, StateChange
@@ -49,7 +49,7 @@
         """Return a state that was in force; raises StoreError."""
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
-        """Apply exactly what a plan says; raises PlanError, MovedError or ApplyError."""
+        """Apply exactly what a plan says; raises PlanError, StaleBaseError or ApplyError."""
 
     async def apply_file(self, file: OperatorFile, by: str) -> AppliedState:
         """Apply an operator file; raises ApplyError."""
@@ -120,7 +120,7 @@
         return find_applied(self.state_applier, serial)
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
-        """Apply exactly what a plan says; raises PlanError, MovedError or ApplyError."""
+        """Apply exactly what a plan says; raises PlanError, StaleBaseError or ApplyError."""
         async with self._deciding:
             plan, state = await asyncio.to_thread(self._read_plan, text)
             return await self._apply(state, by) if plan.changes else self.state_applier.applied
@@ -128,7 +128,7 @@
     def _read_plan(self, text: str) -> tuple[Plan, State]:
         plan = load_plan(text)
         base = self.state_applier.applied
-        return plan, check_base(
+        return plan, compute_plan_result(
             plan, self.owner, base.serial, base.state, self.identity(base.state)
         )
 
--- a/sailhitch/daemon/tier_changes.py
+++ b/sailhitch/daemon/tier_changes.py
@@ -9,9 +9,9 @@
 from ..tier.effects import JobCompleted, ProposalResult
 from ..tier.member import Member, MemberStatus
 from ..tier.messages import RegisterState, Version
-from .plan import MovedError
+from .plan import StaleBaseError
 from .rules import contradictions
-from .schema import TierPart
+from .schema import TierSection
 from .source import StillPendingError
 from .state import State
 from .state_applier import ApplyError
@@ -24,7 +24,7 @@
 class TierChanges:
     """Proposes states, and waits until this process has applied them."""
 
-    def __init__(self, part: TierPart, applier: VersionApplier, states: VersionStates) -> None:
+    def __init__(self, part: TierSection, applier: VersionApplier, states: VersionStates) -> None:
         self.part = part
         self.link = applier.link
         self._applier = applier
@@ -35,7 +35,7 @@
 
         Raises:
             ApplyError: The state was not proposed, was not decided, or was withdrawn.
-            MovedError: Another version became active first, or is pending.
+            StaleBaseError: Another version became active first, or is pending.
             StillPendingError: The state is decided but waits for members.
         """
         base = self._applier.base
@@ -65,7 +65,7 @@
             try:
                 return member.propose(tree, base.serial, must_wait, operator, proposed_at)
             except ValueError:  # the base's pages were released as another version became active
-                raise MovedError(base.serial, _known_serial(member)) from None
+                raise StaleBaseError(base.serial, _known_serial(member)) from None
 
         return await wait_for_decision(self.link, propose)
 
@@ -113,10 +113,10 @@
 
 
 def _check_unmoved(base: AppliedState, register: RegisterState) -> None:
-    """Raise MovedError if a version other than the base is active, or one is pending."""
+    """Raise StaleBaseError if a version other than the base is active, or one is pending."""
     if register.active.serial != base.serial or register.pending is not None:
         pending = None if register.pending is None else register.pending.serial
-        raise MovedError(base.serial, register.active.serial, pending)
+        raise StaleBaseError(base.serial, register.active.serial, pending)
 
 
 def _known_serial(member: Member) -> int:
--- a/sailhitch/daemon/tier_commands.py
+++ b/sailhitch/daemon/tier_commands.py
@@ -10,7 +10,7 @@
 from ..tier.member import Member
 from .admin_replies import FetchRecord
 from .intake import RoutedIntake
-from .schema import MOST_MEMBERS, TierMemberPart, TierPart
+from .schema import MAX_MEMBERS, TierMemberSection, TierSection
 from .state_applier import ApplyError
 from .tier_decisions import wait_for_decision
 from .tier_link import TierLink, steady
@@ -22,7 +22,7 @@
 class TierCommands:
     """Executes operators' commands on the tier's register and configuration."""
 
-    def __init__(self, part: TierPart, link: TierLink, intake: RoutedIntake) -> None:
+    def __init__(self, part: TierSection, link: TierLink, intake: RoutedIntake) -> None:
         self.part = part
         self.link = link
         self._intake = intake
@@ -72,8 +72,8 @@
         reason = member.why_not_admitted(name)
         if reason:
             raise ApplyError(f"{name!r}: {reason}")
-        if name not in known and len(known) >= MOST_MEMBERS:
-            raise ApplyError(f"a tier has at most {MOST_MEMBERS} members")
+        if name not in known and len(known) >= MAX_MEMBERS:
+            raise ApplyError(f"a tier has at most {MAX_MEMBERS} members")
         owners = {taken: owner for owner, taken in member.configuration.addresses.items()}
         for owner, (host, port) in self.link.addresses.items():
             owners[f"{host}:{port}"] = owner
@@ -116,7 +116,7 @@
 def _check_member(name: str, address: str) -> None:
     """Raise ApplyError for a name or an address that is not valid in the operator file."""
     try:
-        TierMemberPart(name=name, address=address)
+        TierMemberSection(name=name, address=address)
     except ValidationError as error:
         first = error.errors()[0]
         raise ApplyError(f"tier.join: {first['loc'][0]}: {first['msg']}") from None
--- a/sailhitch/daemon/tier_source.py
+++ b/sailhitch/daemon/tier_source.py
@@ -22,8 +22,8 @@
 from .catch_up import CatchUp
 from .endpoint_registry import address_of
 from .intake import retry_soon_response
-from .plan import PlanError, check_base, load_plan
-from .schema import OperatorFile, TierPart, ZonesPart
+from .plan import PlanError, compute_plan_result, load_plan
+from .schema import OperatorFile, TierSection, ZonesSection
 from .source import find_applied
 from .state import State, from_file, with_node_ban
 from .state_applier import ApplyError, StateApplier, StateChange
@@ -51,12 +51,12 @@
     def __init__(
         self,
         state_applier: StateApplier,
-        part: TierPart,
+        part: TierSection,
         keys: Keys,
         folder: Path,
         own_store: Store | None,
         log: Log,
-        zones: ZonesPart | None = None,
+        zones: ZonesSection | None = None,
     ) -> None:
         """Open the member's disk.
 
@@ -226,7 +226,7 @@
         return replace(applied, state={**applied.state, "listeners": {}})
 
     async def apply_plan(self, text: str, by: str) -> AppliedState:
-        """Propose exactly what a plan says; raises PlanError, MovedError or ApplyError."""
+        """Propose exactly what a plan says; raises PlanError, StaleBaseError or ApplyError."""
         state = await asyncio.to_thread(self._read_plan, text)
         return await self.changes.propose(state, by)
 
@@ -236,7 +236,7 @@
         if any(change.kind == "listeners" for change in plan.changes):
             raise PlanError("listeners are each gateway's own: change its file, and restart it")
         identity = self.identity(base.state)
-        return check_base(plan, self.owner, base.serial, base.state, identity)
+        return compute_plan_result(plan, self.owner, base.serial, base.state, identity)
 
     async def apply_file(self, file: OperatorFile, by: str) -> AppliedState:
         """Raise ApplyError: a tier's state does not come from one gateway's file."""
--- a/tests/test_apply.py
+++ b/tests/test_apply.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from sailhitch.daemon.plan import MovedError, PlanError
+from sailhitch.daemon.plan import PlanError, StaleBaseError
 from sailhitch.daemon.process import Daemon
 from sailhitch.daemon.schema import OperatorFile, load_file
 from sailhitch.daemon.state_applier import ApplyError
@@ -24,7 +24,15 @@
 from sailhitch.lab.load import Load
 from sailhitch.lab.node import Fault, Memory, Node, executed_twice
 from sailhitch.lab.ports import free_port
-from tests.daemons import Inside, file_value, inside, made, outside, part, pool
+from tests.daemons import (
+    InProcessDaemon,
+    checked_file,
+    daemon_process,
+    file_value,
+    in_process_daemon,
+    node_entry,
+    pool,
+)
 from tests.sockets import TEST_TIMEOUT, Client, dial, until
 from tests.test_daemon import get, post
 
@@ -45,11 +53,11 @@
         async with Node() as a, Node() as b, Node() as c:
             port = free_port()
             value = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 first = it.plan(file_value([pool("p", {"a": a, "b": b})], port))
                 second = it.plan(file_value([pool("p", {"a": a, "c": c})], port))
                 await it.source.apply_plan(first, "one")
-                with pytest.raises(MovedError, match="serial 1, and the live state is 2"):
+                with pytest.raises(StaleBaseError, match="serial 1, and the live state is 2"):
                     await it.source.apply_plan(second, "two")
                 answer = await _ask(it, {"op": "apply", "plan": second})
                 assert answer["code"] == "moved"
@@ -67,14 +75,17 @@
     async def work() -> None:
         async with Node() as a, Node() as b, Node() as c:
             port = free_port()
-            async with inside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with in_process_daemon(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 plans = [
                     it.plan(file_value([pool("p", {"a": a, "x": other})], port)) for other in (b, c)
                 ]
                 ends = await asyncio.gather(
                     *(it.source.apply_plan(plan, "t") for plan in plans), return_exceptions=True
                 )
-                assert sorted(type(end).__name__ for end in ends) == ["AppliedState", "MovedError"]
+                assert sorted(type(end).__name__ for end in ends) == [
+                    "AppliedState",
+                    "StaleBaseError",
+                ]
                 assert it.live.applied.serial == 2
 
     run(work)
@@ -84,8 +95,8 @@
     async def work() -> None:
         async with Node() as a:
             value = file_value([pool("p", {"a": a})], free_port())
-            async with inside(tmp_path, value) as it:
-                await it.go(value)
+            async with in_process_daemon(tmp_path, value) as it:
+                await it.plan_and_apply(value)
                 assert it.live.applied.serial == 1
 
     run(work)
@@ -95,8 +106,8 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with inside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
-                await it.go(file_value([pool("p", {"a": a, "b": b})], port))
+            async with in_process_daemon(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+                await it.plan_and_apply(file_value([pool("p", {"a": a, "b": b})], port))
                 answer = await _ask(it, {"op": "state", "serial": 1})
                 assert set(answer["state"]["nodes"]) == {"p/a"}
                 missing = await _ask(it, {"op": "state", "serial": 77})
@@ -113,9 +124,9 @@
         async with Node(0.2) as a, Node(0.01) as b:
             port = free_port()
             value = file_value([pool("p", {"a": a, "b": b})], port)
-            async with inside(tmp_path, value) as it, Load(it.addr, 8) as load:
+            async with in_process_daemon(tmp_path, value) as it, Load(it.addr, 8) as load:
                 await until(lambda: a.seen > 5 and b.seen > 5)
-                await it.go(file_value([pool("p", {"b": b})], port))
+                await it.plan_and_apply(file_value([pool("p", {"b": b})], port))
                 a.drain()
                 served = load.ends["served"]
                 await until(lambda: load.ends["served"] > served + 50)
@@ -134,22 +145,26 @@
             port = free_port()
             gateway = {"cold_time": "60s"}
             both = file_value([pool("p", {"a": a, "b": b, "w": w})], port, gateway)
-            async with inside(tmp_path, both) as it:
+            async with in_process_daemon(tmp_path, both) as it:
                 module = it.live.pools["p"].policy
                 assert not module.endpoint_table.slow_start.servers
-                await it.go(file_value([pool("p", {"b": b, "w": w})], port, gateway))
-                await it.go(both)
+                await it.plan_and_apply(file_value([pool("p", {"b": b, "w": w})], port, gateway))
+                await it.plan_and_apply(both)
                 assert [server.name for server in module.endpoint_table.slow_start.servers] == [
                     "a~2"
                 ]
-                await it.go(file_value([pool("p", {"a": a, "b": c, "w": w})], port, gateway))
+                await it.plan_and_apply(
+                    file_value([pool("p", {"a": a, "b": c, "w": w})], port, gateway)
+                )
                 assert {server.name for server in module.endpoint_table.slow_start.servers} == {
                     "a~2",
                     "b~2",
                 }
-                heavier = [part("a", a.addr, weight=2.0, zone="z"), part("b", c.addr)]
-                heavier.append(part("w", w.addr))
-                await it.go(file_value([{"name": "p", "nodes": heavier}], port, gateway))
+                heavier = [node_entry("a", a.addr, weight=2.0, zone="z"), node_entry("b", c.addr)]
+                heavier.append(node_entry("w", w.addr))
+                await it.plan_and_apply(
+                    file_value([{"name": "p", "nodes": heavier}], port, gateway)
+                )
                 assert {server.name for server in module.endpoint_table.slow_start.servers} == {
                     "a~2",
                     "b~2",
@@ -174,11 +189,11 @@
             routes = [{"name": "r", "class": "filing", "pools": {"p": 1.0}}]
             more: dict[str, Any] = {"classes": classes, "routes": routes}
             value = file_value([pool("p", {"a": old})], port, **more)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 client.send(post("/c", "Idempotency-Key: k\r\n"))
                 await hold.wait()
-                await it.go(file_value([pool("p", {"a": new})], port, **more))
+                await it.plan_and_apply(file_value([pool("p", {"a": new})], port, **more))
                 old.stop()  # the request may have run there, and another node has its id now
                 status, _ = await client.answer()
                 assert status == 502
@@ -203,12 +218,12 @@
                     [pool(name, {f"{name}1": node})], port, classes=classes, routes=routes
                 )
 
-            async with inside(tmp_path, value("old", a)) as it:
+            async with in_process_daemon(tmp_path, value("old", a)) as it:
                 unsafe, keyed, late = [await it.client() for _ in range(3)]
                 unsafe.send(post("/x"))
                 keyed.send(post("/x", "Idempotency-Key: k\r\n"))
                 await until(lambda: a.seen == 2)
-                await it.go(value("new", b))
+                await it.plan_and_apply(value("new", b))
                 assert len(it.live.core.pools) == 2
                 # A key that the old pool may have executed must not be repeated in another pool.
                 assert (await late.ask(post("/x", "Idempotency-Key: k\r\n")))[0] == 503
@@ -227,13 +242,15 @@
         async with Node() as a, Node() as b:
             port = free_port()
             first = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, first) as it:
+            async with in_process_daemon(tmp_path, first) as it:
                 client = await it.client()
                 data = post("/claims", "Idempotency-Key: k\r\n")
                 assert (await client.ask(data))[0] == 200
                 routes = [{"name": "r", "class": "page", "pools": {"q": 1.0}}]
-                await it.go(file_value([pool("q", {"c": "127.0.0.1:9"})], port, routes=routes))
-                await it.go(file_value([pool("p", {"b": b})], port))
+                await it.plan_and_apply(
+                    file_value([pool("q", {"c": "127.0.0.1:9"})], port, routes=routes)
+                )
+                await it.plan_and_apply(file_value([pool("p", {"b": b})], port))
                 assert (await client.ask(data))[0] == 503
                 assert b.seen == 0
 
@@ -245,12 +262,12 @@
         port = free_port()
         async with Node() as b:
             value = file_value([pool("old", {})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 client.send(post("/claims", "Idempotency-Key: k\r\n"))
                 await until(lambda: len(it.live.core.open_requests) == 1)
                 routes = [{"name": "r", "class": "page", "pools": {"new": 1.0}}]
-                await it.go(file_value([pool("new", {"b": b})], port, routes=routes))
+                await it.plan_and_apply(file_value([pool("new", {"b": b})], port, routes=routes))
                 assert not it.live.core.open_requests  # before the event loop runs anything else
                 assert (await client.answer())[0] == 503
                 await until(lambda: len(it.live.core.pools) == 1)
@@ -268,11 +285,11 @@
                 routes = [{"name": "r", "class": "page", "pools": {"p": 1.0}}]
                 return file_value([pool("p", {"a": a})], port, classes=classes, routes=routes)
 
-            async with inside(tmp_path, value("3s", "2s")) as it:
+            async with in_process_daemon(tmp_path, value("3s", "2s")) as it:
                 old, new = await it.client(), await it.client()
                 old.send(post("/x"))
                 await until(lambda: a.seen == 1)
-                await it.go(value("200ms", "150ms"))
+                await it.plan_and_apply(value("200ms", "150ms"))
                 new.send(post("/x"))
                 assert (await new.answer())[0] in (502, 504)
                 assert (await old.answer())[0] == 200
@@ -289,7 +306,7 @@
                 taken.listen()
                 other = taken.getsockname()[1]
                 value = file_value([pool("p", {"a": a, "b": b})], port)
-                async with inside(tmp_path, value, stored=True) as it:
+                async with in_process_daemon(tmp_path, value, stored=True) as it:
                     wanted = file_value([pool("p", {"b": b, "c": c}), pool("q", {})], port)
                     wanted["listeners"] = [
                         {"name": "web", "address": f"127.0.0.1:{free_port()}"},
@@ -298,7 +315,7 @@
                     wanted["classes"] = [{**one, "worth": 2.0} for one in wanted["classes"]]
                     before = _descriptors()
                     with pytest.raises(ApplyError, match=r"listeners\[1\] 'more'.*in use"):
-                        await it.go(wanted)
+                        await it.plan_and_apply(wanted)
                     assert _descriptors() == before
                     assert it.live.applied.serial == 1
                     assert it.live.store is not None
@@ -326,13 +343,13 @@
                     {"name": "more", "address": f"127.0.0.1:{more}"},
                 ],
             }
-            async with inside(tmp_path, both) as it:
+            async with in_process_daemon(tmp_path, both) as it:
                 busy = Client(*await asyncio.open_connection("127.0.0.1", more))
                 idle = Client(*await asyncio.open_connection("127.0.0.1", more))
                 assert (await idle.ask(get()))[0] == 200
                 busy.send(get())
                 await until(lambda: a.seen == 2)
-                await it.go(value)
+                await it.plan_and_apply(value)
                 assert await idle.read_to_end() == b""
                 assert (await busy.answer())[0] == 200
                 assert await busy.read_to_end() == b""
@@ -348,11 +365,11 @@
     async def work() -> None:
         async with Node() as a:
             value = file_value([pool("p", {"a": a})], free_port())
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 assert (await client.ask(get()))[0] == 200
                 renamed = [{**value["listeners"][0], "name": "other"}]
-                await it.go({**value, "listeners": renamed})
+                await it.plan_and_apply({**value, "listeners": renamed})
                 assert (await client.ask(get()))[0] == 200
                 assert set(it.live.listeners) == {"other"}
 
@@ -380,7 +397,7 @@
         def value(i: int) -> dict[str, Any]:
             out = out_at(i)
             here = [
-                part(name, node.addr, weight=1.0 + (i + j) % 3)
+                node_entry(name, node.addr, weight=1.0 + (i + j) % 3)
                 for j, (name, node) in enumerate(nodes.items())
                 if name not in out
             ]
@@ -388,13 +405,16 @@
             worth = [{**one, "worth": 1.0 + i % 2} for one in classes]
             return file_value([{"name": "p", "nodes": here}], port, gateway, classes=worth)
 
-        async with inside(tmp_path, value(0), stored=True) as it, Load(it.addr, 10) as load:
+        async with (
+            in_process_daemon(tmp_path, value(0), stored=True) as it,
+            Load(it.addr, 10) as load,
+        ):
             for i in range(1, 51):
                 asked = load.asked
                 back = out_at(i - 1) - out_at(i)
                 for name in back:
                     nodes[name].restart()
-                await it.go(value(i))
+                await it.plan_and_apply(value(i))
                 for name in out_at(i) - out_at(i - 1):
                     nodes[name].drain()
                 await until(lambda asked=asked: load.asked > asked + 10)  # type: ignore[misc]
@@ -420,7 +440,7 @@
             port = free_port()
             small = file_value([pool("p", {"a": a}), pool("q", {})], port)
             many = [
-                part(f"x{i}", f"127.{1 + i // 62_500}.{i // 250 % 250}.{1 + i % 250}:9000")
+                node_entry(f"x{i}", f"127.{1 + i // 62_500}.{i // 250 % 250}.{1 + i % 250}:9000")
                 for i in range(10_000)
             ]
             large = file_value([pool("p", {"a": a}), {"name": "q", "nodes": many}], port)
@@ -433,14 +453,17 @@
                 }
                 for i in range(2000)
             ]
-            async with inside(tmp_path, small, stored=True) as it, Load(it.addr, 2) as load:
-                await it.go(large)
+            async with (
+                in_process_daemon(tmp_path, small, stored=True) as it,
+                Load(it.addr, 2) as load,
+            ):
+                await it.plan_and_apply(large)
                 assert len(it.live.pools["q"].endpoints) == 10_000
                 client = await it.client()
                 assert (await client.ask(get("/r1999/x")))[0] == 200
                 answer = await _ask(it, {"op": "state"})
                 assert len(answer["state"]["nodes"]) == 10_001
-                await it.go(small)
+                await it.plan_and_apply(small)
                 await until(lambda: not it.live.pools["q"].endpoints)
                 await load.finish()
                 assert load.ends["served"] == load.asked > 0
@@ -455,7 +478,9 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with inside(tmp_path, file_value([pool("p", {"a": a})], port), stored=True) as it:
+            async with in_process_daemon(
+                tmp_path, file_value([pool("p", {"a": a})], port), stored=True
+            ) as it:
                 real = os.fsync
 
                 def full(number: int) -> None:
@@ -466,7 +491,7 @@
                 wanted["listeners"].append({"name": "x", "address": f"127.0.0.1:{free_port()}"})
                 before = _descriptors()
                 with pytest.raises(ApplyError, match="No space left on device; nothing was chang"):
-                    await it.go(wanted)
+                    await it.plan_and_apply(wanted)
                 assert _descriptors() == before
                 monkeypatch.setattr(os, "fsync", real)
                 assert sorted(os.listdir(tmp_path / "state")) == [
@@ -477,7 +502,7 @@
                 assert it.live.store is not None
                 assert {root.serial for root in it.live.store.pages.roots()} == {1}
                 assert set(it.live.pools["p"].endpoints) == {"a"}
-                await it.go(wanted)
+                await it.plan_and_apply(wanted)
                 assert it.live.applied.serial == 2
 
     run(work)
@@ -488,13 +513,15 @@
 ) -> None:
     async def work() -> None:
         port = free_port()
-        async with inside(tmp_path, file_value([pool("p", {})], port), stored=True) as it:
+        async with in_process_daemon(
+            tmp_path, file_value([pool("p", {})], port), stored=True
+        ) as it:
 
             def broken(store: Store) -> None:
                 raise OSError(errno.EIO, os.strerror(errno.EIO))
 
             monkeypatch.setattr(Store, "_sync_folder", broken)
-            await it.go(file_value([pool("p", {}), pool("q", {})], port))
+            await it.plan_and_apply(file_value([pool("p", {}), pool("q", {})], port))
             assert it.live.applied.serial == 2
             assert set(it.live.pools) == {"p", "q"}
 
@@ -505,7 +532,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with outside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with daemon_process(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 await it.start()
                 assert it.program is not None
                 plan = await it.plan(file_value([pool("p", {"a": a, "b": b})], port))
@@ -516,7 +543,7 @@
                 await it.start()
                 live = await it.ask({"op": "state"})
                 assert (live["serial"], set(live["state"]["nodes"])) == (2, {"p/a", "p/b"})
-                assert "the last applied state holds; " in it.log.read_text()
+                assert "the last applied state is in effect; " in it.log.read_text()
 
     run(work)
 
@@ -526,8 +553,10 @@
 
     async def work() -> None:
         port = free_port()
-        async with inside(tmp_path, file_value([pool("p", {})], port), stored=True) as it:
-            await it.go(file_value([pool("p", {}), pool("q", {})], port))
+        async with in_process_daemon(
+            tmp_path, file_value([pool("p", {})], port), stored=True
+        ) as it:
+            await it.plan_and_apply(file_value([pool("p", {}), pool("q", {})], port))
 
     run(work)
     return tmp_path / "state"
@@ -590,9 +619,11 @@
 
     async def work() -> None:
         port = free_port()
-        async with inside(tmp_path, file_value([pool("p", {})], port), stored=True) as it:
+        async with in_process_daemon(
+            tmp_path, file_value([pool("p", {})], port), stored=True
+        ) as it:
             for i in range(5):
-                await it.go(file_value([pool("p", {}), pool(f"q{i}", {})], port))
+                await it.plan_and_apply(file_value([pool("p", {}), pool(f"q{i}", {})], port))
             assert [one.serial for one in it.source.history()] == [4, 5, 6]
 
     run(work)
@@ -628,13 +659,13 @@
             port = free_port()
             old = file_value([pool("p", {"a": a})], port)
             new = file_value([pool("p", {"b": b}), pool("q", {})], port)
-            async with outside(tmp_path, old) as it:
+            async with daemon_process(tmp_path, old) as it:
                 await it.start(kill_at=step)
                 async with Load(f"127.0.0.1:{port}", 4) as load:
                     await until(lambda: load.ends["served"] > 20)
                     plan = await it.plan(new)
                     it.armed.touch()
-                    with pytest.raises(Exception, match=r"cut short|reset|no answer|Connection"):
+                    with pytest.raises(Exception, match=r"is incomplete|reset|no reply|Connection"):
                         await it.ask({"op": "apply", "plan": plan})
                     assert await it.wait() == -signal.SIGKILL
                     await it.start()
@@ -666,7 +697,7 @@
             port = free_port()
             old = file_value([pool("p", {"a": a})], port)
             new = file_value([pool("p", {"a": a, "b": b})], port)
-            async with outside(tmp_path, old) as it:
+            async with daemon_process(tmp_path, old) as it:
                 await it.start(kill_at=step, number=number)
                 plan = await it.plan(new)
                 it.armed.touch()
@@ -691,7 +722,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with outside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with daemon_process(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 await it.start()
                 assert it.program is not None
                 plan = await it.plan(file_value([pool("p", {"b": b})], port))
@@ -732,8 +763,8 @@
         monkeypatch.setattr("sailhitch.daemon.process.load_file", held)
         file, port = tmp_path / "g1.toml", free_port()
         values = [file_value([pool("p", {name: "127.0.0.1:9"})], port) for name in "abc"]
-        async with inside(tmp_path, values[0]) as it:
-            daemon = Daemon(str(file), made(values[0]))
+        async with in_process_daemon(tmp_path, values[0]) as it:
+            daemon = Daemon(str(file), checked_file(values[0]))
             for count, value in enumerate(values[1:], 1):
                 file.write_text(toml_text(value))
                 daemon._reload(it.source)
@@ -754,14 +785,14 @@
         async with Node() as a:
             port, more = free_port(), free_port()
             value = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 client = await it.client()
                 assert (await client.ask(get()))[0] == 200
                 it.live.stop_listening()
                 listeners = [{"name": "more", "address": f"127.0.0.1:{more}"}]
                 if what == "one more":
                     listeners = value["listeners"] + listeners
-                await it.go({**value, "listeners": [] if what == "none" else listeners})
+                await it.plan_and_apply({**value, "listeners": [] if what == "none" else listeners})
                 for gone in (port, more):
                     with pytest.raises(ConnectionRefusedError):
                         await dial(f"127.0.0.1:{gone}")
@@ -774,7 +805,7 @@
 # --- The admin socket
 
 
-async def _ask(it: Inside, request: dict[str, Any]) -> dict[str, Any]:
+async def _ask(it: InProcessDaemon, request: dict[str, Any]) -> dict[str, Any]:
     reader, writer = await asyncio.open_unix_connection(str(it.admin.path), limit=1 << 24)
     writer.write(json.dumps(request).encode() + b"\n")
     async with asyncio.timeout(TEST_TIMEOUT):
@@ -783,7 +814,7 @@
     return dict(answer)
 
 
-async def _send(it: Inside, data: bytes, end: bool = True) -> dict[str, Any]:
+async def _send(it: InProcessDaemon, data: bytes, end: bool = True) -> dict[str, Any]:
     reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
     writer.write(data)
     if end:
@@ -794,9 +825,9 @@
     return dict(answer)
 
 
-def admin(tmp_path: Path, act: Callable[[Inside], Awaitable[None]]) -> None:
+def admin(tmp_path: Path, act: Callable[[InProcessDaemon], Awaitable[None]]) -> None:
     async def work() -> None:
-        async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
+        async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())) as it:
             await act(it)
             assert (await _ask(it, {"op": "state"}))["ok"]
 
@@ -806,19 +837,19 @@
 @pytest.mark.parametrize(
     ("data", "expected"),
     [
-        (b"", "cut short"),
-        (b'{"op": "state"}', "cut short"),
+        (b"", "request is incomplete"),
+        (b'{"op": "state"}', "request is incomplete"),
         (b"nonsense\n", "not JSON"),
         (b"[" * 100_000 + b"\n", "not JSON"),
         (b"[1]\n", "not an object"),
-        (b'{"op": "explode"}\n', "not known"),
+        (b'{"op": "explode"}\n', "op: unknown"),
         (b'{"op": "state", "serial": "x"}\n', "invalid literal"),
         (b'{"op": "apply", "plan": "{}"}\n', "not a plan"),
         (b'{"op": "apply"}\n', "not a plan"),
     ],
 )
 def test_an_invalid_admin_request_is_reported(data: bytes, expected: str, tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         answer = await _send(it, data)
         assert not answer["ok"]
         assert expected in answer["error"]
@@ -827,7 +858,7 @@
 
 
 def test_an_admin_request_of_sixty_megabytes_is_rejected(tmp_path: Path) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
         try:
             for _ in range(60):
@@ -851,7 +882,7 @@
 ) -> None:
     monkeypatch.setattr("sailhitch.daemon.admin.CLIENT_TIMEOUT", 0.2)
 
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         silent = [await asyncio.open_unix_connection(str(it.admin.path)) for _ in range(12)]
         async with asyncio.timeout(TEST_TIMEOUT):
             ends = [await reader.read() for reader, _ in silent]
@@ -866,12 +897,12 @@
 def test_another_user_is_rejected_by_its_peer_credentials(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(it: Inside) -> None:
+    async def act(it: InProcessDaemon) -> None:
         assert it.admin.path.stat().st_mode & 0o777 == 0o600
         with monkeypatch.context() as patch:
             patch.setattr("sailhitch.daemon.admin.peer_uid", lambda sock: 12345)
             answer = await _ask(it, {"op": "state"})
-        assert "user 12345 may not" in answer["error"]
+        assert "user 12345 is not permitted" in answer["error"]
 
     admin(tmp_path, act)
 
@@ -882,14 +913,14 @@
         with socket.socket(socket.AF_UNIX) as stale:
             stale.bind(str(path))
         value = file_value([pool("p", {})], free_port())
-        async with inside(tmp_path, value):
-            with pytest.raises(Exception, match="another gateway serves it"):
-                async with inside(tmp_path, file_value([pool("p", {})], free_port())):
+        async with in_process_daemon(tmp_path, value):
+            with pytest.raises(Exception, match="another gateway is using it"):
+                async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())):
                     pass
         path.unlink(missing_ok=True)
         path.write_text("notes")
-        with pytest.raises(Exception, match="is there and no socket"):
-            async with inside(tmp_path, file_value([pool("p", {})], free_port())):
+        with pytest.raises(Exception, match="exists and is not a socket"):
+            async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())):
                 pass
         assert path.read_text() == "notes"
 
@@ -901,7 +932,7 @@
         async with Node() as a, Node() as b:
             port = free_port()
             value = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, value, stored=True) as it:
+            async with in_process_daemon(tmp_path, value, stored=True) as it:
                 plan = it.plan(file_value([pool("p", {"a": a, "b": b})], port))
                 _, writer = await asyncio.open_unix_connection(str(it.admin.path))
                 writer.write(json.dumps({"op": "apply", "plan": plan}).encode() + b"\n")
@@ -916,7 +947,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             port = free_port()
-            async with inside(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
+            async with in_process_daemon(tmp_path, file_value([pool("p", {"a": a})], port)) as it:
                 plan = it.plan(file_value([pool("p", {"a": a, "b": b})], port))
                 with pytest.raises(PlanError, match="changed after it was made"):
                     await it.source.apply_plan(plan.replace(b.addr, "127.0.0.1:1"), "t")
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -11,7 +11,7 @@
 from sailhitch.lab.message import build
 from sailhitch.lab.node import Node
 from sailhitch.lab.ports import free_port
-from tests.daemons import file_value, inside, made, outside, pool
+from tests.daemons import checked_file, daemon_process, file_value, in_process_daemon, pool
 from tests.sockets import TEST_TIMEOUT, dial
 
 
@@ -27,7 +27,7 @@
         async with Node() as a, Node() as b:
             port = free_port()
             value = file_value([pool("p", {"a": a, "b": b})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 ban = {"by": "t", "when": 1, "why": "disk"}
                 await it.source.ban("p/a", ban, "t")
                 before = a.seen
@@ -37,11 +37,13 @@
                 await it.source.ban("p/a", {**ban, "why": "other"}, "t")
                 assert it.live.applied.state["bans"]["p/a"]["why"] == "disk"
                 more = file_value([pool("p", {"a": a, "b": b}), pool("q", {})], port)
-                await it.source.apply_file(made(more), "SIGHUP")
+                await it.source.apply_file(checked_file(more), "SIGHUP")
                 assert it.live.applied.state["bans"].keys() == {"p/a"}
                 # Removed from the file and added again, the node is still banned.
-                await it.source.apply_file(made(file_value([pool("p", {"b": b})], port)), "t")
-                await it.source.apply_file(made(value), "t")
+                await it.source.apply_file(
+                    checked_file(file_value([pool("p", {"b": b})], port)), "t"
+                )
+                await it.source.apply_file(checked_file(value), "t")
                 await _get(it.addr, 40)
                 assert a.seen == before
                 await it.source.ban("p/a", None, "t")
@@ -56,7 +58,7 @@
     async def work() -> None:
         async with Node() as a, Node() as b:
             value = file_value([pool("p", {"a": a, "b": b})], free_port())
-            async with outside(tmp_path, value) as daemon:
+            async with daemon_process(tmp_path, value) as daemon:
                 await daemon.start()
                 admin = ["--admin", str(daemon.admin)]
                 said = ["maintenance", "enter", "p/a", "--why", "fan"]
@@ -85,14 +87,14 @@
         async with Node() as a:
             port = free_port()
             value = file_value([pool("p", {"a": a})], port)
-            async with inside(tmp_path, value) as it:
+            async with in_process_daemon(tmp_path, value) as it:
                 await it.source.ban("p/a", {"by": "t", "when": 1, "why": ""}, "t")
-                await it.source.apply_file(made(file_value([pool("p", {})], port)), "t")
+                await it.source.apply_file(checked_file(file_value([pool("p", {})], port)), "t")
                 waits = asyncio.create_task(_get(it.addr, 1))
                 async with asyncio.timeout(TEST_TIMEOUT):
                     while not it.live.core.open_requests:
                         await asyncio.sleep(0.01)
-                await it.source.apply_file(made(value), "t")
+                await it.source.apply_file(checked_file(value), "t")
                 assert it.live.core.open_requests
                 assert it.live.core.upstream_descriptors() == a.seen == 0
                 await it.source.ban("p/a", None, "t")
--- a/tests/test_many_members.py
+++ b/tests/test_many_members.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sailhitch.daemon.schema import MOST_MEMBERS, FileError, parse_value
+from sailhitch.daemon.schema import MAX_MEMBERS, FileError, parse_value
 from tests.daemons import file_value, pool
 
 FULL_SIZE = 1_700
@@ -22,7 +22,7 @@
     return copy.deepcopy({**value, "tier": tier})
 
 
-@pytest.mark.parametrize("count", [FULL_SIZE, MOST_MEMBERS])
+@pytest.mark.parametrize("count", [FULL_SIZE, MAX_MEMBERS])
 def test_a_file_may_list_as_many_members_as_a_full_size_tier_has(count: int) -> None:
     made = parse_value(_value(count))
     assert made.tier is not None
@@ -30,12 +30,14 @@
 
 
 def test_one_member_too_many_is_rejected_with_the_field_and_the_limit() -> None:
-    with pytest.raises(FileError, match=rf"tier\.members: .*{MOST_MEMBERS}"):
-        parse_value(_value(MOST_MEMBERS + 1))
+    with pytest.raises(FileError, match=rf"tier\.members: .*{MAX_MEMBERS}"):
+        parse_value(_value(MAX_MEMBERS + 1))
 
 
 def test_a_duplicate_member_among_many_is_named() -> None:
     value = _value(FULL_SIZE)
     value["tier"]["members"][1_699]["name"] = "g7"
-    with pytest.raises(FileError, match=r"tier\.members\[1699\]\.name: 'g7' is that of .*\[7\]"):
+    with pytest.raises(
+        FileError, match=r"tier\.members\[1699\]\.name: 'g7' is already used by .*\[7\]"
+    ):
         parse_value(value)
--- a/tests/test_tier_switch.py
+++ b/tests/test_tier_switch.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from sailhitch.core.request_context import Attempt
-from sailhitch.daemon.rules import meet
+from sailhitch.daemon.rules import intersect_states
 from sailhitch.daemon.state import State, from_file
 from sailhitch.daemon.state_applier import StateChange
 from sailhitch.daemon.tier_link import LinkError, TierLink
@@ -23,27 +23,37 @@
 from sailhitch.settings import Idempotency
 from sailhitch.tier.member import TierConfig
 from sailhitch.tier.wire import Keys
-from tests.daemons import ROUTES, Inside, file_value, inside, made, pool
+from tests.daemons import ROUTES, InProcessDaemon, checked_file, file_value, in_process_daemon, pool
 from tests.sockets import TEST_TIMEOUT, Client, read_message, until
 
 Routes = list[dict[str, Any]]
 
 
 @contextlib.asynccontextmanager
-async def pending(tmp_path: Path, routes: Routes) -> AsyncIterator[tuple[Inside, Node, Node]]:
+async def pending(
+    tmp_path: Path, routes: Routes
+) -> AsyncIterator[tuple[InProcessDaemon, Node, Node]]:
     """Yield a daemon whose rules are combined with pending ones that have other routes.
 
     Also yields a node of each pool.
     """
     async with Node() as a, Node(compares=True) as b:
         value = file_value([pool("p", {"a": a}), pool("q", {"b": b})], free_port())
-        async with inside(tmp_path, value) as it:
-            also = from_file(made({**value, "routes": routes}))
-            await apply(it, meet(it.live.applied.state, also), also, b"Tier-Version: 1, 2\r\n", 1)
+        async with in_process_daemon(tmp_path, value) as it:
+            also = from_file(checked_file({**value, "routes": routes}))
+            await apply(
+                it,
+                intersect_states(it.live.applied.state, also),
+                also,
+                b"Tier-Version: 1, 2\r\n",
+                1,
+            )
             yield it, a, b
 
 
-async def apply(it: Inside, state: State, also: State | None, stamp: bytes, rules: int) -> None:
+async def apply(
+    it: InProcessDaemon, state: State, also: State | None, stamp: bytes, rules: int
+) -> None:
     serial = it.live.applied.serial
     await it.live.change(StateChange(state, "t", serial, None, False, stamp, also, rules))
 
@@ -135,7 +145,7 @@
     async def work() -> None:
         async with pending(tmp_path, routed()) as (it, _, b):
             value = file_value([pool("q", {"b": b})], it.port)
-            state = {**from_file(made(value)), "bans": {}}
+            state = {**from_file(checked_file(value)), "bans": {}}
             for stamp, status in ((b"7", 200), (b"6, 7", 200), (b"6", 503), (b"8", 200)):
                 await apply(it, state, None, b"Tier-Version: %s\r\n" % stamp, 1)
                 client = await it.client()
--- a/tests/test_unexpected_errors.py
+++ b/tests/test_unexpected_errors.py
@@ -10,14 +10,14 @@
 import pytest
 
 from sailhitch.daemon.admin_requests import AdminRequests
-from sailhitch.daemon.schema import TierMemberPart, TierPart
+from sailhitch.daemon.schema import TierMemberSection, TierSection
 from sailhitch.daemon.tier_link import TierLink
 from sailhitch.daemon.tier_source import TierStateSource
 from sailhitch.daemon.zone_coordinator import ZoneCoordinator
 from sailhitch.lab.ports import free_port
 from sailhitch.tier.member import MemberStatus
 from sailhitch.tier.wire import Keys
-from tests.daemons import file_value, inside, pool
+from tests.daemons import file_value, in_process_daemon, pool
 
 Patch = pytest.MonkeyPatch
 PATIENCE = 5.0  # s
@@ -37,10 +37,10 @@
 
     async def work() -> None:
         nonlocal status
-        async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
+        async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())) as it:
             core = it.live.core
-            member = TierMemberPart(name="g1", address="127.0.0.1:9001")
-            part = TierPart(name="t", key_file="unused", members=[member], voters=["g1"])
+            member = TierMemberSection(name="g1", address="127.0.0.1:9001")
+            part = TierSection(name="t", key_file="unused", members=[member], voters=["g1"])
             keys = Keys(1, {1: b"k" * 32})
             source = TierStateSource(it.live, part, keys, tmp_path, None, core.logger)
             heartbeat = source.link.on_heartbeat
@@ -52,7 +52,7 @@
             heartbeat()
             assert not core.ready
             assert core.counters.faults == 2
-            core.counters.faults = 0  # `inside` expects none
+            core.counters.faults = 0  # `in_process_daemon` expects none
 
     asyncio.run(work())
 
@@ -64,7 +64,7 @@
         _fail()
 
     async def work() -> None:
-        async with inside(tmp_path, file_value([pool("p", {})], free_port())) as it:
+        async with in_process_daemon(tmp_path, file_value([pool("p", {})], free_port())) as it:
             monkeypatch.setattr(AdminRequests, "execute", failing)
             reader, writer = await asyncio.open_unix_connection(str(it.admin.path))
             writer.write(b'{"op": "hosts"}\n')
@@ -74,6 +74,6 @@
             assert (reply["ok"], reply["code"]) == (False, "failed")
             assert "ZeroDivisionError" in reply["error"]
             assert it.live.core.counters.faults == 1
-            it.live.core.counters.faults = 0  # `inside` expects none
+            it.live.core.counters.faults = 0  # `in_process_daemon` expects none
 
     asyncio.run(work())
--- a/tests/test_version_states.py
+++ b/tests/test_version_states.py
@@ -15,7 +15,7 @@
 
 from sailhitch.core.core import GatewayCore
 from sailhitch.core.log import Log
-from sailhitch.daemon.plan import MovedError, identity
+from sailhitch.daemon.plan import StaleBaseError, identity
 from sailhitch.daemon.schema import parse_text, parse_value
 from sailhitch.daemon.state import State, canonical, from_file
 from sailhitch.daemon.state_applier import (
@@ -38,7 +38,7 @@
 from sailhitch.tier.member import CHOSEN_KEY, BootstrapVersion, Member, TierConfig
 from sailhitch.tier.messages import ChosenState
 from sailhitch.tier.wire import Keys
-from tests.daemons import file_value, made, outside, pool
+from tests.daemons import checked_file, daemon_process, file_value, pool
 from tests.operator_files import FILE
 from tests.page_sources import Pages
 from tests.sockets import until
@@ -194,7 +194,7 @@
         await _write_earlier_disk(folder, state, udp)
         digest, _ = _active(folder)
         assert root_of(digest) is None
-        async with outside(tmp_path, value) as it:
+        async with daemon_process(tmp_path, value) as it:
             await it.start()
             await _wait_until_active(it, 1)
             live = await it.ask({"op": "state"})
@@ -276,7 +276,7 @@
 
             monkeypatch.setattr(tier.changes, "_tree", tree)
             monkeypatch.setattr(Member, "propose", record_refusals)
-            with pytest.raises(MovedError, match=f"against serial {base.serial}, and .* is 15"):
+            with pytest.raises(StaleBaseError, match=f"against serial {base.serial}, and .* is 15"):
                 await tier.ban("p/n99", _ban(), "late")
             assert len(refused) == 1
             assert "p/n99" not in tier.base().state["bans"]
@@ -327,7 +327,7 @@
         "voters": ["g1"],
         "members": [{"name": "g1", "address": f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"}],
     }
-    whole = made(value)
+    whole = checked_file(value)
     assert whole.tier is not None
     core = GatewayCore(
         resource_limits(whole.gateway, 1_000_000), asyncio.get_running_loop(), Log("g1")
--- a/tests/test_wirings.py
+++ b/tests/test_wirings.py
@@ -15,7 +15,7 @@
 from sailhitch.lab.message import build
 from sailhitch.lab.node import Fault, Memory, Node, executed_twice
 from sailhitch.lab.ports import free_port
-from tests.daemons import Inside, file_value, inside, pool
+from tests.daemons import InProcessDaemon, file_value, in_process_daemon, pool
 from tests.sockets import (
     TEST_TIMEOUT,
     Client,
@@ -89,7 +89,9 @@
 
 
 class DaemonWiring(Wiring):
-    def __init__(self, gateway: Inside, nodes: dict[str, Node], value: Callable[..., Any]) -> None:
+    def __init__(
+        self, gateway: InProcessDaemon, nodes: dict[str, Node], value: Callable[..., Any]
+    ) -> None:
         self.core, self.addr, self.gateway, self.nodes = (
             gateway.live.core,
             gateway.addr,
@@ -100,11 +102,11 @@
 
     async def drain(self, name: str) -> None:
         del self.nodes[name]
-        await self.gateway.go(self.value(self.nodes))
+        await self.gateway.plan_and_apply(self.value(self.nodes))
 
     async def add(self, name: str, node: Node) -> None:
         self.nodes[name] = node
-        await self.gateway.go(self.value(self.nodes))
+        await self.gateway.plan_and_apply(self.value(self.nodes))
 
 
 @contextlib.asynccontextmanager
@@ -126,7 +128,7 @@
         gateway_table = {"cold_time": f"{int(COLD * 1000)}ms", "cold_share": 0.3}
         return file_value([pool("p", current)], port, gateway_table)
 
-    async with inside(tmp_path, value(nodes)) as gateway:
+    async with in_process_daemon(tmp_path, value(nodes)) as gateway:
         yield DaemonWiring(gateway, nodes, value)
 
 
