--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a play: they keep connections, send one request at a time, and some leave early."""
+"""Clients of a run: they reuse connections without pipelining; some disconnect early."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 from tests.soak.records import End, Kind, Records, Sent
 from tests.sockets import Client, dial, read_message
 
-WAITS = (0.3, 0.6, 1.0, 2.0)  # s that clients wait
-KEPT = 0.6  # share of requests that are sent on a connection that is kept
-IDLE_MOST = 1.5  # s for which a connection is kept, by most clients...
-RESTING = 0.3  # ...and by this share of them until the gateway ends it
-PATIENCE = 0.6  # s past its time for which an answer is waited for
-LOOP_TURN = 0.001  # s in which the event loop reads what has come
+WAITS = (0.3, 0.6, 1.0, 2.0)  # s; the waits that clients state in their requests
+REUSE_SHARE = 0.6  # share of requests that reuse an idle connection, if there is one
+MAX_IDLE = 1.5  # s for which most clients keep an idle connection...
+KEEP_OPEN_SHARE = 0.3  # ...and the share of connections kept until the gateway closes them
+PATIENCE = 0.6  # s past its deadline for which a client still waits for an answer
+LOOP_TURN = 0.001  # s; lets the event loop read data that has arrived
 
 
 class Crowd:
-    """All clients."""
+    """Sends the requests of all clients, in an open loop."""
 
     def __init__(self, gateways: list[Gateway], records: Records, rng: random.Random) -> None:
         self.gateways, self.records, self.rng = gateways, records, rng
-        self.leaving = 0.05  # share of requests whose clients leave early
-        self.surge = 1.0  # times the rate
+        self.leaving = 0.05  # share of requests whose clients disconnect early
+        self.surge = 1.0  # factor of the request rate
         self._idle: dict[tuple[str, int], list[tuple[float, Client]]] = defaultdict(list)
         self._tasks: set[asyncio.Task[None]] = set()
         self._count = 0
 
     async def run(self, seconds: float, rate: float) -> None:
-        """Send so many requests a second for a while, whatever becomes of them."""
+        """Send `rate` requests a second for `seconds`, without waiting for their answers."""
         loop = asyncio.get_running_loop()
         over = loop.time() + seconds
         while loop.time() < over:
             await asyncio.sleep(self.rng.expovariate(rate * self.surge))
-            open_ones = [one for one in self.gateways if one.open or self._has_open(one)]
-            if open_ones:
-                task = loop.create_task(self._one(self.rng.choice(open_ones)))
+            reachable = [one for one in self.gateways if one.open or self._has_open(one)]
+            if reachable:
+                task = loop.create_task(self._one(self.rng.choice(reachable)))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
     async def finish(self) -> None:
-        """Wait until all have ended."""
+        """Wait until all requests have ended."""
         if self._tasks:
             await asyncio.wait(self._tasks)
 
     def _has_open(self, gateway: Gateway) -> bool:
-        """Whether clients hold connections to a process that was told to end."""
+        """Whether clients hold idle connections to a process that is shutting down."""
         return gateway.ending and bool(self._idle[gateway.name, len(gateway.lives)])
 
     async def _one(self, gateway: Gateway) -> None:
@@ -59,9 +59,9 @@
         wait = rng.choice(WAITS)
         sent = Sent(f"q{self._count:06d}", kind, gateway.name, len(gateway.lives), wait, False)
         leaves = rng.random() < self.leaving
-        kept = self._kept(sent) if not gateway.open or rng.random() < KEPT else None
+        kept = self._take_idle(sent) if not gateway.open or rng.random() < REUSE_SHARE else None
         if kept is None and not gateway.open:
-            return  # nobody opens a new one to it
+            return  # the gateway takes no new connections
         sent.fresh = kept is None
         try:
             async with asyncio.timeout(1.0):
@@ -78,7 +78,7 @@
         patience = rng.uniform(0.003, 0.08) if leaves else wait + PATIENCE
         await self._await_answer(sent, client, patience, leaves)
 
-    def _kept(self, sent: Sent) -> Client | None:
+    def _take_idle(self, sent: Sent) -> Client | None:
         idle = self._idle[sent.gateway, sent.life]
         while idle:
             until, client = idle.pop()
@@ -93,7 +93,7 @@
         reading = asyncio.ensure_future(read_message(client.reader))
         await asyncio.wait((reading,), timeout=patience)
         if not reading.done():
-            # This process may have been held up, and what came meanwhile lies unread.
+            # This process may have stalled, with an answer received but not yet read.
             await asyncio.sleep(LOOP_TURN)
         if not reading.done():
             reading.cancel()
@@ -110,16 +110,16 @@
             client.writer.close()
             return
         sent.ended = time.monotonic()
-        self._note(sent, message)
+        self._record_answer(sent, message)
         if b"\r\nconnection: close\r\n" in message.lower():
             client.writer.close()
         else:
-            rests = self.rng.random() < RESTING
-            until = float("inf") if rests else sent.ended + IDLE_MOST
+            keeps_open = self.rng.random() < KEEP_OPEN_SHARE
+            until = float("inf") if keeps_open else sent.ended + MAX_IDLE
             self._idle[sent.gateway, sent.life].append((until, client))
 
     @staticmethod
-    def _note(sent: Sent, message: bytes) -> None:
+    def _record_answer(sent: Sent, message: bytes) -> None:
         sent.status = int(message.split(b" ")[1])
         if sent.status == 200:
             sent.end = End.SERVED
@@ -128,7 +128,7 @@
             sent.end = End.REFUSED if sent.status in (429, 503) else End.FAILED
 
     def close(self) -> None:
-        """Let go of all connections that are kept."""
+        """Close all idle connections."""
         for idle in self._idle.values():
             for _, client in idle:
                 client.writer.close()
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -1,4 +1,4 @@
-"""Gateway processes of a play: the real program, started, ended, killed, paused and reloaded."""
+"""Gateway processes of a run: starts, stops, kills, pauses and reloads the real program."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from tests.sockets import dial
 
 READY_WITHIN = 10.0  # s
-LONGEST_DEADLINE = 3.0  # s; the protocol page takes it as that where it is longer
-KILL_AFTER = LONGEST_DEADLINE + 0.7  # s from SIGTERM to SIGKILL, at the page's earliest
+LONGEST_DEADLINE = 3.0  # s; the protocol page caps longer deadlines at this
+KILL_AFTER = LONGEST_DEADLINE + 0.7  # s from SIGTERM to SIGKILL, the shortest that the page allows
 
 
-Series = Sequence[tuple[float, signal.Signals]]  # signals, and the pause (s) before each
+SignalSeries = Sequence[tuple[float, signal.Signals]]  # signals, and the pause (s) before each
 
 
 class Gateway:
-    """One gateway, whichever process of it runs."""
+    """One gateway across its successive processes."""
 
     def __init__(
         self, name: str, folder: Path, library: Path, agents: list[Agent], records: Records
@@ -40,17 +40,17 @@
         self.lives: list[Life] = records.lives.setdefault(name, [])
         self.value: dict[str, Any] = {}
         self.program: asyncio.subprocess.Process | None = None
-        self.open = False  # the front gives it new connections
-        self.ending = False  # it was told to end, and clients go on using what they have open
-        self._busy = asyncio.Lock()
+        self.open = False  # the front sends it new connections
+        self.ending = False  # got SIGTERM; clients still use their open connections
+        self._restart_lock = asyncio.Lock()
 
     @property
     def life(self) -> Life:
-        """The latest process."""
+        """The record of the latest process."""
         return self.lives[-1]
 
     def configure(self, value: dict[str, Any]) -> None:
-        """Write its file."""
+        """Write its configuration file."""
         self.value = value | {"name": self.name, "listen": self.addr}
         self.path.write_text(json.dumps(self.value))
 
@@ -84,10 +84,10 @@
             return False
         return status == 200
 
-    async def end(self, after: Series = ()) -> None:
-        """SIGTERM, and wait for its end; SIGKILL if it outstays its time.
+    async def end(self, after: SignalSeries = ()) -> None:
+        """Send SIGTERM, then the signals `after`, and wait for the exit.
 
-        The signals `after` follow it.
+        A process that still runs after KILL_AFTER gets SIGKILL.
         """
         program, life = self.program, self.life
         if program is None or program.returncode is not None:
@@ -108,27 +108,27 @@
         following.cancel()
         life.ended, life.code, self.ending = time.monotonic(), program.returncode, False
 
-    async def _send_series(self, program: asyncio.subprocess.Process, series: Series) -> None:
+    async def _send_series(self, program: asyncio.subprocess.Process, series: SignalSeries) -> None:
         for pause, number in series:
             await asyncio.sleep(pause)
             if program.returncode is None:
                 program.send_signal(number)
 
-    async def restart(self, before: Series = (), after: Series = ()) -> None:
-        """End it in order, and start the next process; other signals go out around SIGTERM."""
-        if self._busy.locked():
+    async def restart(self, before: SignalSeries = (), after: SignalSeries = ()) -> None:
+        """Stop with SIGTERM, amid other signals if given, and start the next process."""
+        if self._restart_lock.locked():
             return
-        async with self._busy:
+        async with self._restart_lock:
             if self.program is not None:
                 await self._send_series(self.program, before)
             await self.end(after)
             await self.start()
 
     async def kill(self) -> None:
-        """SIGKILL, and start the next process; the front notices a little later."""
-        if self._busy.locked() or self.program is None:
+        """Send SIGKILL and start the next process; the front notices a little later."""
+        if self._restart_lock.locked() or self.program is None:
             return
-        async with self._busy:
+        async with self._restart_lock:
             self.life.killed = time.monotonic()
             self.program.kill()
             await self.program.wait()
@@ -136,7 +136,7 @@
             await self.start()
 
     async def pause(self, seconds: float) -> None:
-        """SIGSTOP for a moment."""
+        """Suspend the process with SIGSTOP for `seconds`."""
         program, life = self.program, self.life
         if program is None or program.returncode is not None:
             return
@@ -148,7 +148,7 @@
         life.pauses.append((begun, time.monotonic()))
 
     def reload(self) -> None:
-        """SIGHUP with discovery at its other agent."""
+        """Switch the configuration to the other discovery agent and send SIGHUP."""
         program = self.program
         if program is None or program.returncode is not None or not self.open:
             return
@@ -158,7 +158,7 @@
         program.send_signal(signal.SIGHUP)
 
     async def stop(self) -> None:
-        """Make sure that nothing of it is left."""
+        """Kill the process if it still runs, and release the fault plan."""
         if self.program is not None and self.program.returncode is None:
             self.program.kill()
             await self.program.wait()
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -1,4 +1,4 @@
-"""One seed from start to verdict."""
+"""Runs the soak with one seed, from start to verdict."""
 
 from __future__ import annotations
 
@@ -21,27 +21,30 @@
 
 NODES = 12
 RATE = 25.0  # requests a second to each gateway
-BEAT, STALL = 0.01, 0.03  # s between two looks at the own clock, and of a gap that counts
-SETTLE, LAST = 2.5, 2.0  # s from the last trouble to the quiet time, and of that
+STALL_CHECK_INTERVAL, MIN_STALL = (
+    0.01,
+    0.03,
+)  # s between checks of the clock, and the shortest gap recorded as a stall
+SETTLE_TIME, QUIET_TIME = 2.5, 2.0  # s from the last fault to the quiet period, and its length
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What a play came to."""
+    """The result of one run."""
 
     seed: int
     broken: list[str]
     troubles: list[str]
     requests: dict[str, int]
-    failed_calls: dict[str, int]  # of the system, by kind
+    failed_calls: dict[str, int]  # injected system call failures, by call
     processes: int = 0
     attempts: int = 0
     took: float = 0.0
-    worst_stall: float = 0.0  # s for which the soak's own process was held up
+    worst_stall: float = 0.0  # s; the longest stall of the soak's own process
 
 
 class Play:
-    """All that takes part in one play."""
+    """One run: its nodes, agents, gateways, clients and records."""
 
     def __init__(self, seed: int, folder: Path, gateways: int) -> None:
         self.seed, self.folder = seed, folder
@@ -64,15 +67,15 @@
         self.failed_calls: dict[str, int] = {}
 
     async def run(self) -> Verdict:
-        """Play it."""
-        begun = time.monotonic()
+        """Run it and check its records."""
+        started = time.monotonic()
         try:
             await self._start()
             await self._play()
         finally:
             await self._stop()
         verdict = self._judge()
-        verdict.took = time.monotonic() - begun
+        verdict.took = time.monotonic() - started
         return verdict
 
     async def _start(self) -> None:
@@ -99,24 +102,24 @@
         troubles = Troubles(
             self.rng, self.gateways, self.nodes, self.catalogue, self.crowd, self.records
         )
-        watching = asyncio.create_task(self._note_stalls())
-        going = asyncio.create_task(self.crowd.run(float("inf"), rate))
+        stall_task = asyncio.create_task(self._note_stalls())
+        client_task = asyncio.create_task(self.crowd.run(float("inf"), rate))
         await troubles.run()
-        await asyncio.sleep(SETTLE)
+        await asyncio.sleep(SETTLE_TIME)
         self.records.quiet = time.monotonic()
-        await asyncio.sleep(LAST)
-        going.cancel()
+        await asyncio.sleep(QUIET_TIME)
+        client_task.cancel()
         await self.crowd.finish()
         await asyncio.gather(*(gateway.end() for gateway in self.gateways))
-        watching.cancel()
+        stall_task.cancel()
 
     async def _note_stalls(self) -> None:
-        """Note when this process itself is held up."""
+        """Record the stalls of this process itself."""
         last = time.monotonic()
         while True:
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(STALL_CHECK_INTERVAL)
             now = time.monotonic()
-            if now - last > STALL:
+            if now - last > MIN_STALL:
                 self.records.stalls.append((last, now))
             last = now
 
@@ -149,5 +152,5 @@
 
 
 def play(seed: int, folder: Path, gateways: int = 10) -> Verdict:
-    """Play one seed in a folder of its own."""
+    """Run one seed, with its files in `folder`."""
     return asyncio.run(Play(seed, folder, gateways).run())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -99,11 +99,11 @@
 
 BROKEN: list[tuple[Callable[[Records], None], str]] = [
     (_doubled, "its effect happened 2 times"),
-    (_refused_and_run, "refused as harmless, and it has run"),
+    (_refused_and_run, "refused as not executed, but it was executed"),
     (_drained, "drain: reached n0"),
     (_left, "after its client had left"),
     (_late, "lost: answered 1.00 s late"),
-    (_wrong, "served with what no host made for it"),
+    (_wrong, "served with a body that no host sent for it"),
     (_crashed, "ended with -11"),
     (_kept_and_read, "lost: a kept connection closed with no answer"),
     (_ended(End.CLOSED), "lost: a new connection closed with no answer"),
@@ -133,7 +133,7 @@
     log.write_text("requests=9 panics=0 faults=0 overdue=0\n")
     assert Oracle(made).broken([log]) == []
     log.write_text("requests=9 panics=1 faults=0 overdue=0\n")
-    assert Oracle(made).broken([log]) == ["g0: its figures count panics"]
+    assert Oracle(made).broken([log]) == ["g0: its log reports panics"]
 
 
 @pytest.mark.parametrize(("began", "broken"), [(51.3, 0), (51.7, 1)])
