--- a/tests/soak/agents.py
+++ b/tests/soak/agents.py
@@ -1,4 +1,4 @@
-"""Discovery: one list, and an agent for each gateway that has what the list has (PROTOCOL)."""
+"""Discovery: one list of servers, served to each gateway by agents (PROTOCOL)."""
 
 from __future__ import annotations
 
@@ -12,61 +12,61 @@
 
 
 class Catalogue:
-    """The list, its versions, and whether agents can be told of it."""
+    """The list of servers, its versions, and whether agents can reach it."""
 
     def __init__(self, records: Records) -> None:
         self.records = records
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self._changed: dict[str, int] = {}  # version of each entry's last change
-        self._news = asyncio.Event()
+        self._change_event = asyncio.Event()
         self._reachable = asyncio.Event()
         self._reachable.set()
 
     def change(self, entry: dict[str, Any]) -> None:
-        """Have an entry in the list."""
+        """Add or replace an entry."""
         self.version += 1
         self.entries[entry["id"]] = entry
         self._changed[entry["id"]] = self.version
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+    def _notify_watches(self) -> None:
+        change_event, self._change_event = self._change_event, asyncio.Event()
+        change_event.set()
 
     def since(self, version: int) -> dict[str, Any]:
-        """What an agent answers a watch."""
+        """The changes since a version, as a watch returns them."""
         new = [e for name, e in self.entries.items() if self._changed[name] > version]
         return {"version": self.version, "full": False, "servers": new}
 
     def whole(self) -> dict[str, Any]:
-        """The whole list, without what has left."""
-        there = [entry for entry in self.entries.values() if entry["state"] != "left"]
-        return {"version": self.version, "full": True, "servers": there}
+        """The whole list, without servers that have left."""
+        present = [entry for entry in self.entries.values() if entry["state"] != "left"]
+        return {"version": self.version, "full": True, "servers": present}
 
     async def outage(self, seconds: float) -> None:
-        """Agents say nothing for a while."""
+        """Keep agents from answering for a while."""
         begun = time.monotonic()
         self._reachable.clear()
         await asyncio.sleep(seconds)
         self.records.outages.append((begun, time.monotonic()))
         self._reachable.set()
-        self._wake()
+        self._notify_watches()
 
     async def wait(self, version: int, seconds: float) -> None:
-        """Until there is something newer, or so long has passed; and until agents can speak."""
-        news = self._news
+        """Wait for a newer version or the time-out, then for the end of an outage."""
+        change_event = self._change_event
         if version >= self.version:
             try:
                 async with asyncio.timeout(seconds):
-                    await news.wait()
+                    await change_event.wait()
             except TimeoutError:
                 pass
         await self._reachable.wait()
 
 
 class Agent:
-    """A gateway's agent. A gateway may be moved to another one by a reload."""
+    """A discovery agent. Each gateway has two and switches between them on a reload."""
 
     def __init__(self, catalogue: Catalogue) -> None:
         self.catalogue = catalogue
@@ -75,17 +75,17 @@
         self._writers: set[Writer] = set()
 
     async def start(self) -> None:
-        """Listen at a free port."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.addr = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def reset(self) -> None:
-        """Break the watch."""
+        """Reset all connections."""
         for writer in self._writers:
             writer.transport.abort()
 
     def stop(self) -> None:
-        """End at once."""
+        """Close the listener and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -50,14 +50,14 @@
 
     def _has_open(self, gateway: Gateway) -> bool:
         """Whether clients hold idle connections to a process that is shutting down."""
-        return gateway.ending and bool(self._idle[gateway.name, len(gateway.lives)])
+        return gateway.ending and bool(self._idle[gateway.name, len(gateway.processes)])
 
     async def _one(self, gateway: Gateway) -> None:
         rng = self.rng
         self._count += 1
         kind = rng.choice((Kind.PAGE, Kind.PAGE, Kind.PAYOUT, Kind.FILING))
         wait = rng.choice(WAITS)
-        sent = Sent(f"q{self._count:06d}", kind, gateway.name, len(gateway.lives), wait, False)
+        sent = Sent(f"q{self._count:06d}", kind, gateway.name, len(gateway.processes), wait, False)
         leaves = rng.random() < self.leaving
         kept = self._take_idle(sent) if not gateway.open or rng.random() < REUSE_SHARE else None
         if kept is None and not gateway.open:
@@ -79,7 +79,7 @@
         await self._await_answer(sent, client, patience, leaves)
 
     def _take_idle(self, sent: Sent) -> Client | None:
-        idle = self._idle[sent.gateway, sent.life]
+        idle = self._idle[sent.gateway, sent.process]
         while idle:
             until, client = idle.pop()
             if time.monotonic() < until and not client.reader.at_eof():
@@ -116,7 +116,7 @@
         else:
             keeps_open = self.rng.random() < KEEP_OPEN_SHARE
             until = float("inf") if keeps_open else sent.ended + MAX_IDLE
-            self._idle[sent.gateway, sent.life].append((until, client))
+            self._idle[sent.gateway, sent.process].append((until, client))
 
     @staticmethod
     def _record_answer(sent: Sent, message: bytes) -> None:
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -14,7 +14,7 @@
 
 from sailhitch.lab.ports import free_port
 from tests.soak.agents import Agent
-from tests.soak.records import Life, Records
+from tests.soak.records import ProcessRecord, Records
 from tests.soak.system_faults import FaultPlan
 from tests.sockets import dial
 
@@ -37,7 +37,7 @@
         self.path, self.log = folder / f"{name}.json", folder / f"{name}.log"
         self.faults = FaultPlan(folder / f"{name}.faults")
         self.library = library
-        self.lives: list[Life] = records.lives.setdefault(name, [])
+        self.processes: list[ProcessRecord] = records.processes.setdefault(name, [])
         self.value: dict[str, Any] = {}
         self.program: asyncio.subprocess.Process | None = None
         self.open = False  # the front sends it new connections
@@ -45,9 +45,9 @@
         self._restart_lock = asyncio.Lock()
 
     @property
-    def life(self) -> Life:
+    def process(self) -> ProcessRecord:
         """The record of the latest process."""
-        return self.lives[-1]
+        return self.processes[-1]
 
     def configure(self, value: dict[str, Any]) -> None:
         """Write its configuration file."""
@@ -60,16 +60,16 @@
         env |= self.faults.environment(self.library)
         env |= {"EDGE_CONFIG": str(self.path), "EDGE_NAME": self.name, "EDGE_LISTEN": self.addr}
         env |= {"EDGE_DISCOVERY": self.value["discovery"]}
-        self.lives.append(Life(time.monotonic()))
+        self.processes.append(ProcessRecord(time.monotonic()))
         with self.log.open("ab") as log:
             self.program = await asyncio.create_subprocess_exec(
                 sys.executable, "-B", "-m", "sailhitch", env=env, stderr=log
             )
-        while time.monotonic() - self.life.started < 2 * READY_WITHIN:
+        while time.monotonic() - self.process.started < 2 * READY_WITHIN:
             if self.program.returncode is not None:
                 break
             if await self._is_ready():
-                self.life.ready = time.monotonic()
+                self.process.ready = time.monotonic()
                 self.open = True
                 return
             await asyncio.sleep(0.03)
@@ -89,24 +89,24 @@
 
         A process that still runs after KILL_AFTER gets SIGKILL.
         """
-        program, life = self.program, self.life
+        program, process = self.program, self.process
         if program is None or program.returncode is not None:
             return
-        life.stopped, self.ending = time.monotonic(), True
+        process.stopped, self.ending = time.monotonic(), True
         program.send_signal(signal.SIGTERM)
         following = asyncio.create_task(self._send_series(program, after))
         await asyncio.sleep(0.2)
         self.open = False  # the front has noticed
         try:
             async with asyncio.timeout_at(
-                asyncio.get_running_loop().time() + life.stopped + KILL_AFTER - time.monotonic()
+                asyncio.get_running_loop().time() + process.stopped + KILL_AFTER - time.monotonic()
             ):
                 await program.wait()
         except TimeoutError:
             program.kill()
             await program.wait()
         following.cancel()
-        life.ended, life.code, self.ending = time.monotonic(), program.returncode, False
+        process.ended, process.code, self.ending = time.monotonic(), program.returncode, False
 
     async def _send_series(self, program: asyncio.subprocess.Process, series: SignalSeries) -> None:
         for pause, number in series:
@@ -129,15 +129,15 @@
         if self._restart_lock.locked() or self.program is None:
             return
         async with self._restart_lock:
-            self.life.killed = time.monotonic()
+            self.process.killed = time.monotonic()
             self.program.kill()
             await self.program.wait()
-            self.life.ended, self.open = time.monotonic(), False
+            self.process.ended, self.open = time.monotonic(), False
             await self.start()
 
     async def pause(self, seconds: float) -> None:
         """Suspend the process with SIGSTOP for `seconds`."""
-        program, life = self.program, self.life
+        program, process = self.program, self.process
         if program is None or program.returncode is not None:
             return
         begun = time.monotonic()
@@ -145,7 +145,7 @@
         await asyncio.sleep(seconds)
         if program.returncode is None:
             program.send_signal(signal.SIGCONT)
-        life.pauses.append((begun, time.monotonic()))
+        process.pauses.append((begun, time.monotonic()))
 
     def reload(self) -> None:
         """Switch the configuration to the other discovery agent and send SIGHUP."""
@@ -154,7 +154,7 @@
             return
         self.agents.reverse()
         self.configure(self.value | {"discovery": self.agents[0].addr})
-        self.life.reloads.append(time.monotonic())
+        self.process.reloads.append(time.monotonic())
         program.send_signal(signal.SIGHUP)
 
     async def stop(self) -> None:
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that note what comes to them and when, and misbehave by a mode; each behind a proxy."""
+"""Nodes that record the requests they get and misbehave by mode; each behind a proxy."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 WORK = 0.01  # s that a request takes
 WORKERS = 8  # requests in work at a time
-COLD = 1.0  # s after a start in which a node is slower
+COLD = 1.0  # s after its start for which a node is slower
 
 
 class Mode(Enum):
     """How a node behaves."""
 
-    SOUND = auto()
-    HANGING = auto()  # takes requests, which run, and answers none
-    RESETTING = auto()  # breaks the connection, before or after the effect
-    SPOILING = auto()  # answers what is no answer, half of one, or an error
-    FULL = auto()  # turns away, and says so
+    HEALTHY = auto()
+    HANGING = auto()  # executes requests and never answers
+    RESETTING = auto()  # resets the connection, before or after the effect
+    SPOILING = auto()  # sends an invalid answer, half of one, or an error
+    FULL = auto()  # refuses requests
 
 
 FAULTS = {
@@ -35,15 +35,15 @@
 
 
 class SoakNode(Node):
-    """A node of the lab that writes into the records."""
+    """A lab node that records arrivals and effects."""
 
     def __init__(self, name: str, records: Records, memory: Memory, rng: random.Random) -> None:
         super().__init__(
             WORK, workers=WORKERS, cold=COLD, memory=memory, reports=True, script=self._fault
         )
         self.name, self.records, self.rng = name, records, rng
-        self.mode = Mode.SOUND
-        self.started_ms = 0  # wall clock, as discovery tells it; 0: long ago
+        self.mode = Mode.HEALTHY
+        self.started_ms = 0  # wall clock, for discovery; 0 means long ago
         self.state = "active"
         self.proxy = Proxy()
 
@@ -67,7 +67,7 @@
             count[name.decode()] = count.get(name.decode(), 0) + 1
 
     def entry(self) -> dict[str, Any]:
-        """What discovery says of it."""
+        """Its entry in discovery."""
         return {
             "id": self.name,
             "addr": self.proxy.addr,
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 
-from tests.soak.records import Arrival, Drain, End, Kind, Life, Records, Sent
+from tests.soak.records import Arrival, Drain, End, Kind, ProcessRecord, Records, Sent
 
 DRAIN_GRACE = 1.0  # s; `drainGrace` of the settings
 NOTIFIED_AFTER_RELOAD = 4.0  # s after SIGHUP until which the gateway need not know of a change
@@ -49,8 +49,8 @@
 
     # --- Requests
 
-    def _life(self, sent: Sent) -> Life:
-        return self.records.lives[sent.gateway][sent.life - 1]
+    def _process(self, sent: Sent) -> ProcessRecord:
+        return self.records.processes[sent.gateway][sent.process - 1]
 
     def _check_request(self, sent: Sent) -> Iterator[str]:
         if sent.end is End.UNCONNECTED:
@@ -65,10 +65,10 @@
             yield from self._check_attempt(sent, arrival)
 
     def _check_answer(self, sent: Sent) -> Iterator[str]:
-        life = self._life(sent)
+        process = self._process(sent)
         if sent.wrong:
             yield "served with a body that no host sent for it"
-        if life.killed and sent.ended >= life.killed and sent.end in (End.CLOSED, End.SILENT):
+        if process.killed and sent.ended >= process.killed and sent.end in (End.CLOSED, End.SILENT):
             return  # its process was killed while handling it, or before it arrived
         if sent.end is End.SILENT:
             yield f"lost: no answer {sent.ended - sent.at:.2f} s after it was sent"
@@ -82,20 +82,23 @@
 
     def _describe_times(self, sent: Sent) -> str:
         """When a request was sent and closed, and its process stopped, killed or ended."""
-        life = self._life(sent)
-        said = [f"sent {sent.at - life.started:.3f}", f"closed {sent.ended - life.started:.3f}"]
-        marks = {"told to end": life.stopped, "killed": life.killed, "ended": life.ended}
-        said += [f"{mark} {at - life.started:.3f}" for mark, at in marks.items() if at]
+        process = self._process(sent)
+        said = [
+            f"sent {sent.at - process.started:.3f}",
+            f"closed {sent.ended - process.started:.3f}",
+        ]
+        marks = {"told to end": process.stopped, "killed": process.killed, "ended": process.ended}
+        said += [f"{mark} {at - process.started:.3f}" for mark, at in marks.items() if at]
         return ", ".join(said) + " s after its process's start"
 
     def _describe_arrivals(self, sent: Sent) -> str:
         """When a request reached nodes, how long proxies may have delayed it, and stalls nearby."""
-        started = self._life(sent).started
+        started = self._process(sent).started
         came = ", ".join(
             f"{one.node} {one.at - started:.3f} (held {one.held:.1f})"
             for one in self.arrivals[sent.name]
         )
-        held_up = [*self._life(sent).pauses, *self.records.stalls]
+        held_up = [*self._process(sent).pauses, *self.records.stalls]
         near = [one for one in held_up if abs(one[0] - sent.at) < 1.0]
         spans = ", ".join(f"{begin - started:.3f} to {end - started:.3f}" for begin, end in near)
         which = "a new" if sent.fresh else "a kept"
@@ -119,7 +122,7 @@
 
         Nodes and proxies run in the soak's own process, which may stall, too.
         """
-        paused = _stalled_for(self._life(sent).pauses, arrival.at)
+        paused = _stalled_for(self._process(sent).pauses, arrival.at)
         return (
             RECORDING_DELAY + arrival.held + paused + _stalled_for(self.records.stalls, arrival.at)
         )
@@ -142,12 +145,12 @@
 
     def _notified_at(self, sent: Sent, drain: Drain, at: float) -> float:
         """The time by which the gateway must have known of a drain, for an arrival at `at`."""
-        life = self._life(sent)
-        notified = max(drain.begun, life.started)
+        process = self._process(sent)
+        notified = max(drain.begun, process.started)
         for begun, over in self.records.outages:
             if begun - DRAIN_GRACE <= notified < over:
                 notified = over
-        for reload in life.reloads:
+        for reload in process.reloads:
             if drain.begun - DRAIN_GRACE <= reload <= at:
                 notified = max(notified, reload + NOTIFIED_AFTER_RELOAD)
         return notified
@@ -155,16 +158,16 @@
     # --- Processes and shares
 
     def _check_processes(self) -> Iterator[str]:
-        for name, lives in self.records.lives.items():
-            for number, life in enumerate(lives, 1):
+        for name, processes in self.records.processes.items():
+            for number, process in enumerate(processes, 1):
                 which = f"{name}, process {number}"
-                if not life.ready or life.ready - life.started > READY_WITHIN:
+                if not process.ready or process.ready - process.started > READY_WITHIN:
                     yield f"{which}: not ready within {READY_WITHIN:g} s"
-                if life.stopped and not life.killed:
-                    if life.code != 0:
-                        yield f"{which}: ended with {life.code}"
-                    if life.ended - life.stopped > EXIT_WITHIN:
-                        yield f"{which}: took {life.ended - life.stopped:.1f} s to end"
+                if process.stopped and not process.killed:
+                    if process.code != 0:
+                        yield f"{which}: ended with {process.code}"
+                    if process.ended - process.stopped > EXIT_WITHIN:
+                        yield f"{which}: took {process.ended - process.stopped:.1f} s to end"
 
     def _check_shares(self) -> Iterator[str]:
         sent = [one for one in self.records.sent.values() if one.end is not End.LEFT]
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -16,7 +16,7 @@
 from tests.soak.oracle import Oracle, ends
 from tests.soak.records import Records
 from tests.soak.system_faults import Call, build
-from tests.soak.troubles import Troubles
+from tests.soak.troubles import FaultInjector
 from tests.sockets import config_value
 
 NODES = 12
@@ -34,7 +34,7 @@
 
     seed: int
     broken: list[str]
-    troubles: list[str]
+    injected: list[str]
     requests: dict[str, int]
     failed_calls: dict[str, int]  # injected system call failures, by call
     processes: int = 0
@@ -99,12 +99,12 @@
 
     async def _play(self) -> None:
         rate = RATE * len(self.gateways)
-        troubles = Troubles(
+        injector = FaultInjector(
             self.rng, self.gateways, self.nodes, self.catalogue, self.crowd, self.records
         )
         stall_task = asyncio.create_task(self._note_stalls())
         client_task = asyncio.create_task(self.crowd.run(float("inf"), rate))
-        await troubles.run()
+        await injector.run()
         await asyncio.sleep(SETTLE_TIME)
         self.records.quiet = time.monotonic()
         await asyncio.sleep(QUIET_TIME)
@@ -142,10 +142,10 @@
         return Verdict(
             self.seed,
             Oracle(self.records).broken(logs),
-            sorted(self.records.troubles),
+            sorted(self.records.injected),
             dict(ends(self.records)),
             self.failed_calls,
-            processes=sum(len(lives) for lives in self.records.lives.values()),
+            processes=sum(len(processes) for processes in self.records.processes.values()),
             attempts=len(self.records.arrivals),
             worst_stall=max((end - begin for begin, end in self.records.stalls), default=0.0),
         )
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy before a node: connections come up late, are cut off silently, or are reset."""
+"""A TCP proxy before a node that delays, silently drops or resets connections."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 import time
 from typing import Any, cast
 
-LATE_MOST = 0.3  # s until a late connection comes up
-ON_ITS_WAY = 0.05  # s that what was held back takes on to the node, once it is let go
+MAX_CONNECT_DELAY = 0.3  # s by which new connections are delayed at most
+FORWARDING_TIME = 0.05  # s that delayed data takes to reach the node once it is forwarded
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time (socket(7))
 
 
 class Proxy:
-    """Passes on what comes to its port."""
+    """Forwards connections from its port to a node."""
 
     def __init__(self) -> None:
         self.to = ("127.0.0.1", 0)
-        self.late = 0.0  # s until a new connection goes on to the node
-        self.late_until = 0.0  # until then something that was held back may still come
-        self.cut = False  # whatever comes is lost, and nobody is told
+        self.late = 0.0  # s before a new connection is forwarded to the node
+        self.late_until = 0.0  # delayed data may still arrive until then
+        self.cut = False  # drop all data without closing connections
         self.addr = ""
         self.open: set[_Side] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, to: str) -> None:
-        """Listen at a free port, and pass on to this address."""
+        """Listen on a free port and forward to this address."""
         host, _, port = to.rpartition(":")
         self.to = (host, int(port))
         loop = asyncio.get_running_loop()
@@ -35,26 +35,26 @@
         self.addr = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def end_late(self, now: float) -> None:
-        """From now on new connections go on at once."""
+        """Stop delaying new connections."""
         self.late_until, self.late = now + self.late, 0.0
 
     def held(self, now: float) -> float:
-        """For how long (s) what comes now may have been held back."""
-        return self.late or (LATE_MOST if now < self.late_until else 0.0)
+        """The longest delay (s) of data that arrives now."""
+        return self.late or (MAX_CONNECT_DELAY if now < self.late_until else 0.0)
 
     def reset(self) -> None:
-        """Break all connections, as a machine that comes back does."""
+        """Reset all connections, as a rebooted machine does."""
         for side in list(self.open):
             side.reset()
 
     def heal(self) -> None:
-        """End a cut: what was open meanwhile is reset."""
+        """End a cut and reset the connections that are open."""
         if self.cut:
             self.cut = False
             self.reset()
 
     def stop(self) -> None:
-        """End at once."""
+        """Close the listener and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -66,20 +66,20 @@
     def __init__(self, proxy: Proxy, other: _Side | None = None) -> None:
         self.proxy, self.other = proxy, other
         self.transport: asyncio.Transport | None = None
-        self.held = b""  # came before the other side was up
+        self.held = b""  # data received before the other side was connected
         self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.proxy.open.add(self)
         if self.other is None:
-            self._task = asyncio.get_running_loop().create_task(self._go_on())
+            self._task = asyncio.get_running_loop().create_task(self._connect_to_node())
 
-    async def _go_on(self) -> None:
+    async def _connect_to_node(self) -> None:
         late = self.proxy.late
         await asyncio.sleep(late)
         if late:
-            until = time.monotonic() + ON_ITS_WAY
+            until = time.monotonic() + FORWARDING_TIME
             self.proxy.late_until = max(self.proxy.late_until, until)
         other = _Side(self.proxy, self)
         try:
@@ -113,7 +113,7 @@
                 other.transport.close()
 
     def reset(self) -> None:
-        """Break this side."""
+        """Close this side with a TCP reset."""
         if self.transport is not None:
             sock: Any = self.transport.get_extra_info("socket")
             with contextlib.suppress(OSError):
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -1,4 +1,4 @@
-"""What happened in a play, as everybody notes it. Times are seconds of the monotonic clock."""
+"""Events of a run, recorded by all its parts. Times are seconds of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Kind(Enum):
-    """A request's class, and whether its effect may happen again."""
+    """The class of a request, which says whether its effect may be repeated."""
 
     PAGE = "pure-all"
     PAYOUT = "side_effect-all"
@@ -21,47 +21,47 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    LEFT = "left"  # its client closed the connection first
-    CLOSED = "closed"  # the gateway closed it, with no answer
+    LEFT = "left"  # the client closed the connection first
+    CLOSED = "closed"  # the gateway closed the connection without an answer
     SILENT = "silent"  # no answer came in time
-    UNCONNECTED = "unconnected"  # no connection came up
+    UNCONNECTED = "unconnected"  # the connection could not be opened
 
 
 @dataclass(slots=True)
 class Sent:
-    """A request, as its client knows it."""
+    """A request as its client saw it."""
 
     name: str
     kind: Kind
     gateway: str
-    life: int  # of the gateway: which of its processes was asked
-    wait: float  # s that the client waits
+    process: int  # number of the gateway's process that got it, from 1
+    wait: float  # s; the wait that the client states
     fresh: bool  # whether it was the first on its connection
     at: float = 0.0  # when its last byte was written
     ended: float = 0.0
     end: End = End.OPEN
     status: int = 0
-    wrong: bool = False  # served with another request's answer
+    wrong: bool = False  # served with a body that was not made for this request
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that came whole to a node."""
+    """A complete request that reached a node."""
 
     name: str
     node: str
     at: float
-    wait: float  # s that the gateway says it waits
-    held: float = 0.0  # s for which the way to the node may have held it back
+    wait: float  # s; the wait that the gateway states
+    held: float = 0.0  # s by which the node's proxy may have delayed it
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessRecord:
     """One process of a gateway."""
 
     started: float
     ready: float = 0.0
-    stopped: float = 0.0  # told to end
+    stopped: float = 0.0  # when it got SIGTERM
     killed: float = 0.0
     ended: float = 0.0
     code: int | None = None
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class Drain:
-    """A while in which a node wants nothing new."""
+    """A period in which a node takes no new requests."""
 
     node: str
     begun: float
@@ -80,14 +80,14 @@
 
 @dataclass(slots=True)
 class Records:
-    """All of a play."""
+    """All records of a run."""
 
     sent: dict[str, Sent] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
     effects: dict[str, int] = field(default_factory=dict)  # by request
-    lives: dict[str, list[Life]] = field(default_factory=dict)  # by gateway
+    processes: dict[str, list[ProcessRecord]] = field(default_factory=dict)  # by gateway
     drains: list[Drain] = field(default_factory=list)
     outages: list[tuple[float, float]] = field(default_factory=list)  # of discovery
     stalls: list[tuple[float, float]] = field(default_factory=list)  # of the soak's own process
-    troubles: list[str] = field(default_factory=list)
-    quiet: float = float("inf")  # from here on nothing goes wrong any more
+    injected: list[str] = field(default_factory=list)
+    quiet: float = float("inf")  # no faults are injected from here on
--- a/tests/soak/system_faults.c
+++ b/tests/soak/system_faults.c
@@ -1,7 +1,7 @@
-/* Preloaded into a gateway: chosen system calls fail, and the wall clock is stepped.
+/* Preloaded into a gateway; makes chosen system calls fail and steps the wall clock.
  *
  * The plan is a file of a fixed layout (system_faults.py) that the process maps and the soak writes
- * at any time. A call fails while `remaining` of its kind is above 0; each failure takes one off.
+ * at any time. A call fails while `remaining` of its kind is above 0; each failure decrements it.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
--- a/tests/soak/system_faults.py
+++ b/tests/soak/system_faults.py
@@ -1,7 +1,7 @@
-"""The plan by which a process's system calls fail and its wall clock is stepped.
+"""Injects failures of system calls and steps of the wall clock into a process.
 
-The process is started with a library before the C library's (`LD_PRELOAD`, ld.so(8)); it is built
-with the machine's C compiler. Everything is the process's own; nothing of the system changes.
+A library that is built with the machine's C compiler is loaded before the C library (`LD_PRELOAD`,
+ld.so(8)). It affects this process only and changes nothing of the system.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("system_faults.c")
-WALL_STEP_AT = 64  # bytes; behind three arrays of five int32 and one unused
+WALL_STEP_OFFSET = 64  # byte offset, after three arrays of five int32 and one unused int32
 
 
 class Call(IntEnum):
-    """A kind of system call, by its place in the plan."""
+    """A kind of system call; the value is its index in the plan."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -35,7 +35,7 @@
 
 
 class FaultPlan:
-    """One process's plan; it outlasts the process, and the next one goes by it too."""
+    """The fault plan of a gateway, shared by its successive processes."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -44,11 +44,11 @@
             self._map = mmap.mmap(file.fileno(), mmap.PAGESIZE)
 
     def environment(self, library: Path) -> dict[str, str]:
-        """What a process is started with to go by the plan."""
+        """The environment variables that apply the plan to a process."""
         return {"LD_PRELOAD": str(library), "SOAK_FAULTS": str(self.path)}
 
     def fail(self, call: Call, number: int, count: int) -> None:
-        """Have the next `count` calls of a kind fail with an errno."""
+        """Make the next `count` calls of a kind fail with errno `number`."""
         struct.pack_into("i", self._map, 4 * (len(Call) + call), number)
         struct.pack_into("i", self._map, 4 * call, count)
 
@@ -57,9 +57,9 @@
         return int(struct.unpack_from("i", self._map, 4 * (2 * len(Call) + call))[0])
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Set the wall clock this far from the system's."""
-        struct.pack_into("q", self._map, WALL_STEP_AT, int(seconds * 1e9))
+        """Offset the process's wall clock from the system's."""
+        struct.pack_into("q", self._map, WALL_STEP_OFFSET, int(seconds * 1e9))
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Unmap the file."""
         self._map.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,8 +1,7 @@
 """The fault soak: its oracle finds each broken rule, and some seeds break none.
 
-More seeds: `python -m tests.soak`. Of those played here, 23 and 24 broke rules in the version that
-the soak was first run on, and 601 was once told as broken by an oracle that was wrong
-(docs/incidents/).
+More seeds: `python -m tests.soak`. Seeds 23 and 24 broke rules in the first version that the soak
+ran on; for seed 601 a faulty oracle once reported a violation (docs/incidents/).
 """
 
 from __future__ import annotations
@@ -20,22 +19,22 @@
 from tests.soak.clients import PATIENCE, WAITS, Crowd
 from tests.soak.oracle import Oracle
 from tests.soak.play import play
-from tests.soak.proxy import LATE_MOST, Proxy
-from tests.soak.records import Arrival, Drain, End, Kind, Life, Records, Sent
+from tests.soak.proxy import MAX_CONNECT_DELAY, Proxy
+from tests.soak.records import Arrival, Drain, End, Kind, ProcessRecord, Records, Sent
 from tests.sockets import Server, Writer, answer, dial, until
 
 
 @pytest.mark.parametrize("seed", [23, 24, 601])
 def test_overlapping_faults_break_no_rule(seed: int, tmp_path: Path) -> None:
     verdict = play(seed, tmp_path)
-    assert verdict.broken == [], verdict.troubles
+    assert verdict.broken == [], verdict.injected
     assert verdict.requests["served"] > 1000
 
 
 def _records(kind: Kind = Kind.PAYOUT, end: End = End.SERVED, fresh: bool = True) -> Records:
-    """A request to one gateway with one process, and enough served ones in the quiet time."""
+    """One request to a gateway with one process, and enough served ones in the quiet period."""
     made = Records(quiet=100.0)
-    made.lives["g0"] = [Life(started=0.0, ready=1.0)]
+    made.processes["g0"] = [ProcessRecord(started=0.0, ready=1.0)]
     sent = Sent("q", kind, "g0", 1, 1.0, fresh, at=50.0, ended=50.2, end=end, status=200)
     made.sent["q"] = sent
     for i in range(40):
@@ -73,7 +72,7 @@
 
 def _closed_before_a_kill(made: Records) -> None:
     made.sent["q"].end = End.CLOSED
-    made.lives["g0"][0].killed = 50.3
+    made.processes["g0"][0].killed = 50.3
 
 
 def _wrong(made: Records) -> None:
@@ -81,8 +80,8 @@
 
 
 def _crashed(made: Records) -> None:
-    life = made.lives["g0"][0]
-    life.stopped, life.ended, life.code = 60.0, 61.0, -11
+    process = made.processes["g0"][0]
+    process.stopped, process.ended, process.code = 60.0, 61.0, -11
 
 
 def _kept_and_read(made: Records) -> None:
@@ -110,7 +109,7 @@
     (_ended(End.SILENT), "lost: no answer"),
     (_closed_before_a_kill, "sent 50.000, closed 50.200, killed 50.300"),
     (lambda made: _arrived(made, 50.5, 0.9), "was told 0.900 s where 0.500 s were left"),
-    (lambda made: setattr(made.lives["g0"][0], "ready", 0.0), "not ready within"),
+    (lambda made: setattr(made.processes["g0"][0], "ready", 0.0), "not ready within"),
     (lambda made: setattr(made, "quiet", 102.0), "0 of 0 were served"),
 ]
 
@@ -141,21 +140,21 @@
     began: float, broken: int
 ) -> None:
     made = _records()
-    _late(made)  # by 1 s, where 0.6 are borne
+    _late(made)  # by 1 s, where 0.6 s are allowed
     made.stalls.append((began, 52.0))
     assert len(Oracle(made).broken([])) == broken
 
 
 def test_the_oracle_excuses_what_a_kill_and_a_stall_of_the_soak_explain() -> None:
     made = _records(end=End.CLOSED)
-    made.lives["g0"][0].killed = 49.999  # it was on its way
+    made.processes["g0"][0].killed = 49.999  # while the request was on its way
     made.stalls.append((50.1, 50.6))
     _arrived(made, 50.5, 0.9)
     assert Oracle(made).broken([]) == []
 
 
 def test_what_a_proxy_held_back_is_told_as_held_when_it_arrives() -> None:
-    """Also where its lateness ends in the meantime: the way on to the node takes a while, too."""
+    """Also if the delay ends meanwhile: forwarding to the node takes time, too."""
 
     async def play() -> list[float]:
         proxy, held = Proxy(), list[float]()
@@ -168,7 +167,7 @@
         node = await asyncio.start_server(take, "127.0.0.1", 0)
         host, port = node.sockets[0].getsockname()
         await proxy.start(f"{host}:{port}")
-        proxy.late = LATE_MOST
+        proxy.late = MAX_CONNECT_DELAY
         client = await dial(proxy.addr)
         client.send(b"x")
         await until(lambda: bool(proxy.open))
@@ -179,22 +178,22 @@
         node.close()
         return held
 
-    assert asyncio.run(play()) == [LATE_MOST]
+    assert asyncio.run(play()) == [MAX_CONNECT_DELAY]
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_an_answer_that_came_while_the_soak_stood_still_is_no_lost_one(seed: int) -> None:
-    """Guards against time-outs of the soak's clients that run before it reads its sockets."""
+    """Guards against client time-outs that fire before the event loop has read the sockets."""
 
     async def stall(message: bytes, writer: Writer) -> None:
         writer.write(answer(b"now"))
-        time.sleep(max(WAITS) + PATIENCE + 0.1)  # all patience is over when the loop goes on
+        time.sleep(max(WAITS) + PATIENCE + 0.1)  # longer than every client's time-out
 
-    async def story() -> list[End]:
+    async def scenario() -> list[End]:
         async with Server(stall) as gateway:
             records = Records()
             one: Any = SimpleNamespace(
-                name="g0", addr=gateway.addr, open=True, lives=[Life(started=0.0)]
+                name="g0", addr=gateway.addr, open=True, processes=[ProcessRecord(started=0.0)]
             )
             crowd = Crowd([one], records, random.Random(seed))
             crowd.leaving = 0.0
@@ -202,4 +201,4 @@
             crowd.close()
             return [sent.end for sent in records.sent.values()]
 
-    assert asyncio.run(story()) == [End.SERVED]
+    assert asyncio.run(scenario()) == [End.SERVED]
