--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -1,4 +1,4 @@
-"""Gateway processes of a play: the real program, started, ended, killed, paused and reloaded."""
+"""Gateway processes of a run: starts, stops, kills, pauses and reloads the real program."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 from sailhitch.lab.ports import free_port
 from tests.soak.agents import Agent
-from tests.soak.records import Life, Records
+from tests.soak.records import ProcessRecord, Records
 from tests.soak.system_faults import FaultPlan
 from tests.sockets import dial
 
 READY_WITHIN = 10.0  # s
-LONGEST_DEADLINE = 3.0  # s; the protocol page takes it as that where it is longer
-KILL_AFTER = LONGEST_DEADLINE + 0.7  # s from SIGTERM to SIGKILL, at the page's earliest
+LONGEST_DEADLINE = 3.0  # s; the protocol page caps longer deadlines at this
+KILL_AFTER = LONGEST_DEADLINE + 0.7  # s from SIGTERM to SIGKILL, the shortest that the page allows
 
 
-Series = Sequence[tuple[float, signal.Signals]]  # signals, and the pause (s) before each
+SignalSeries = Sequence[tuple[float, signal.Signals]]  # signals, and the pause (s) before each
 
 
 class Gateway:
-    """One gateway, whichever process of it runs."""
+    """One gateway across its successive processes."""
 
     def __init__(
         self, name: str, folder: Path, library: Path, agents: list[Agent], records: Records
@@ -37,20 +37,20 @@
         self.path, self.log = folder / f"{name}.json", folder / f"{name}.log"
         self.faults = FaultPlan(folder / f"{name}.faults")
         self.library = library
-        self.lives: list[Life] = records.lives.setdefault(name, [])
+        self.processes: list[ProcessRecord] = records.processes.setdefault(name, [])
         self.value: dict[str, Any] = {}
         self.program: asyncio.subprocess.Process | None = None
-        self.open = False  # the front gives it new connections
-        self.ending = False  # it was told to end, and clients go on using what they have open
-        self._busy = asyncio.Lock()
+        self.open = False  # the front sends it new connections
+        self.ending = False  # got SIGTERM; clients still use their open connections
+        self._restart_lock = asyncio.Lock()
 
     @property
-    def life(self) -> Life:
-        """The latest process."""
-        return self.lives[-1]
+    def process(self) -> ProcessRecord:
+        """The record of the latest process."""
+        return self.processes[-1]
 
     def configure(self, value: dict[str, Any]) -> None:
-        """Write its file."""
+        """Write its configuration file."""
         self.value = value | {"name": self.name, "listen": self.addr}
         self.path.write_text(json.dumps(self.value))
 
@@ -60,16 +60,16 @@
         env |= self.faults.environment(self.library)
         env |= {"EDGE_CONFIG": str(self.path), "EDGE_NAME": self.name, "EDGE_LISTEN": self.addr}
         env |= {"EDGE_DISCOVERY": self.value["discovery"]}
-        self.lives.append(Life(time.monotonic()))
+        self.processes.append(ProcessRecord(time.monotonic()))
         with self.log.open("ab") as log:
             self.program = await asyncio.create_subprocess_exec(
                 sys.executable, "-B", "-m", "sailhitch", env=env, stderr=log
             )
-        while time.monotonic() - self.life.started < 2 * READY_WITHIN:
+        while time.monotonic() - self.process.started < 2 * READY_WITHIN:
             if self.program.returncode is not None:
                 break
             if await self._is_ready():
-                self.life.ready = time.monotonic()
+                self.process.ready = time.monotonic()
                 self.open = True
                 return
             await asyncio.sleep(0.03)
@@ -84,60 +84,60 @@
             return False
         return status == 200
 
-    async def end(self, after: Series = ()) -> None:
-        """SIGTERM, and wait for its end; SIGKILL if it outstays its time.
+    async def end(self, after: SignalSeries = ()) -> None:
+        """Send SIGTERM, then the signals `after`, and wait for the exit.
 
-        The signals `after` follow it.
+        A process that still runs after KILL_AFTER gets SIGKILL.
         """
-        program, life = self.program, self.life
+        program, process = self.program, self.process
         if program is None or program.returncode is not None:
             return
-        life.stopped, self.ending = time.monotonic(), True
+        process.stopped, self.ending = time.monotonic(), True
         program.send_signal(signal.SIGTERM)
         following = asyncio.create_task(self._send_series(program, after))
         await asyncio.sleep(0.2)
         self.open = False  # the front has noticed
         try:
             async with asyncio.timeout_at(
-                asyncio.get_running_loop().time() + life.stopped + KILL_AFTER - time.monotonic()
+                asyncio.get_running_loop().time() + process.stopped + KILL_AFTER - time.monotonic()
             ):
                 await program.wait()
         except TimeoutError:
             program.kill()
             await program.wait()
         following.cancel()
-        life.ended, life.code, self.ending = time.monotonic(), program.returncode, False
+        process.ended, process.code, self.ending = time.monotonic(), program.returncode, False
 
-    async def _send_series(self, program: asyncio.subprocess.Process, series: Series) -> None:
+    async def _send_series(self, program: asyncio.subprocess.Process, series: SignalSeries) -> None:
         for pause, number in series:
             await asyncio.sleep(pause)
             if program.returncode is None:
                 program.send_signal(number)
 
-    async def restart(self, before: Series = (), after: Series = ()) -> None:
-        """End it in order, and start the next process; other signals go out around SIGTERM."""
-        if self._busy.locked():
+    async def restart(self, before: SignalSeries = (), after: SignalSeries = ()) -> None:
+        """Stop with SIGTERM, amid other signals if given, and start the next process."""
+        if self._restart_lock.locked():
             return
-        async with self._busy:
+        async with self._restart_lock:
             if self.program is not None:
                 await self._send_series(self.program, before)
             await self.end(after)
             await self.start()
 
     async def kill(self) -> None:
-        """SIGKILL, and start the next process; the front notices a little later."""
-        if self._busy.locked() or self.program is None:
+        """Send SIGKILL and start the next process; the front notices a little later."""
+        if self._restart_lock.locked() or self.program is None:
             return
-        async with self._busy:
-            self.life.killed = time.monotonic()
+        async with self._restart_lock:
+            self.process.killed = time.monotonic()
             self.program.kill()
             await self.program.wait()
-            self.life.ended, self.open = time.monotonic(), False
+            self.process.ended, self.open = time.monotonic(), False
             await self.start()
 
     async def pause(self, seconds: float) -> None:
-        """SIGSTOP for a moment."""
-        program, life = self.program, self.life
+        """Suspend the process with SIGSTOP for `seconds`."""
+        program, process = self.program, self.process
         if program is None or program.returncode is not None:
             return
         begun = time.monotonic()
@@ -145,20 +145,20 @@
         await asyncio.sleep(seconds)
         if program.returncode is None:
             program.send_signal(signal.SIGCONT)
-        life.pauses.append((begun, time.monotonic()))
+        process.pauses.append((begun, time.monotonic()))
 
     def reload(self) -> None:
-        """SIGHUP with discovery at its other agent."""
+        """Switch the configuration to the other discovery agent and send SIGHUP."""
         program = self.program
         if program is None or program.returncode is not None or not self.open:
             return
         self.agents.reverse()
         self.configure(self.value | {"discovery": self.agents[0].addr})
-        self.life.reloads.append(time.monotonic())
+        self.process.reloads.append(time.monotonic())
         program.send_signal(signal.SIGHUP)
 
     async def stop(self) -> None:
-        """Make sure that nothing of it is left."""
+        """Kill the process if it still runs, and release the fault plan."""
         if self.program is not None and self.program.returncode is None:
             self.program.kill()
             await self.program.wait()
